--- a/test/sim/node.ts
+++ b/test/sim/node.ts
@@ -138,6 +138,7 @@
           clock.after(timeoutMs, () => {
             reject(new Error('no answer'));
           });
+          sim.observe(this.name, watch ? 'state watch' : 'state', { method, path, body });
           const copy: unknown = body === undefined ? undefined : structuredClone(body);
           if (this.old) for (const o of (copy as { then?: Json[] } | undefined)?.then ?? []) asBefore(o);
           const go = () => {
@@ -193,8 +194,9 @@
     const { sim } = this;
     const { world } = sim;
     return {
-      request: (_method, path, body, timeoutMs) =>
+      request: (method, path, body, timeoutMs) =>
         new Promise<Reply>((resolve, reject) => {
+          sim.observe(this.name, 'cloud', { method, path, body });
           clock.after(timeoutMs, () => {
             reject(new Error('no answer'));
           });
@@ -220,6 +222,7 @@
             resolve(null);
           });
           const body = JSON.parse(JSON.stringify(wire.directToWire(tok, session, commands))) as Json;
+          sim.observe(this.name, `agent ${address}`, body);
           const arrive = () => {
             const w = sim.fleet.machines.get(address)?.worker;
             if (w == null || w.gone) return;
@@ -282,15 +285,24 @@
   private peer(clock: ProcessClock, name: string): Peer {
     const { world } = this.sim;
     const delay = () => world.int(1, 6);
+    const observe = (message: unknown) => {
+      this.sim.observe(this.name, name, message);
+    };
     return {
-      contact: (ms) =>
-        this.across(clock, name, ms, delay(), (c) => Promise.resolve(c.ctx.state.reachable(1500))),
-      cancel: (job, ms) =>
-        this.across(clock, name, ms, 3, (c) => Promise.resolve(c.jobs.takeCancel(jobId(job)))),
-      ask: (topic, payload, ms) =>
-        this.across(clock, name, ms, delay(), (c) =>
+      contact: (ms) => {
+        observe('contact');
+        return this.across(clock, name, ms, delay(), (c) => Promise.resolve(c.ctx.state.reachable(1500)));
+      },
+      cancel: (job, ms) => {
+        observe({ cancel: job });
+        return this.across(clock, name, ms, 3, (c) => Promise.resolve(c.jobs.takeCancel(jobId(job))));
+      },
+      ask: (topic, payload, ms) => {
+        observe({ topic, payload });
+        return this.across(clock, name, ms, delay(), (c) =>
           c.channel.answer(topic, payload.slice(), ipOf(this.name)),
-        ),
+        );
+      },
     };
   }
 }
--- a/test/sim/run.ts
+++ b/test/sim/run.ts
@@ -23,6 +23,9 @@
 /** The users' 90 s, shorter as everything is here. */
 const NEGLECTED_MS = 30_000;
 
+/** Is told of all that controllers send: requests, answers to workers and to users. */
+export type Observer = (from: string, to: string, message: unknown) => void;
+
 export class Sim {
   readonly world: World;
   readonly state: StateService;
@@ -42,6 +45,7 @@
     readonly size: Size = SMALL,
     upgrade = false,
     packages: Node['packages'] = () => [],
+    readonly observe: Observer = () => undefined,
   ) {
     this.world = new World(seed);
     this.state = new StateService(this.world, size);
@@ -66,6 +70,7 @@
         }
         clock.run(() => {
           const r = replyTo(controller, body);
+          this.observe(node, `agent ${w.name}`, r);
           this.world.after(this.slowly(), () => {
             if (!clock.dead && !n.cut.has('workers') && !this.cutOff(w, node) && !w.deaf) done(r);
           });
@@ -224,11 +229,14 @@
   }
 
   private async ask<T>(what: (c: Controller) => Promise<T>): Promise<T | null> {
-    const { controller, clock } = this.nodes.get(this.world.pick(NODES))!;
+    const { controller, clock, name } = this.nodes.get(this.world.pick(NODES))!;
     if (controller === null) return null;
     const answer = new Promise<T>((resolve, reject) => {
       clock.run(() => {
-        what(controller).then(resolve, reject);
+        what(controller).then((given) => {
+          this.observe(name, 'user', given);
+          resolve(given);
+        }, reject);
       });
     });
     try {
