--- a/packages/tracing/src/span-tracer.ts
+++ b/packages/tracing/src/span-tracer.ts
@@ -40,7 +40,7 @@
 
   /** Records a span below a context, which need not be that of a span that was recorded. */
   recordBelow(parent: SpanContext | null, { name, startMs, endMs, self, attributes }: FinishedSpan): void {
-    const toWall = this.clock.wall() - this.clock.now();
+    const toWall = this.clock.wallClock() - this.clock.now();
     const options = { startTime: toWall + startMs, attributes: { ...attributes } };
     const span = this.ids.using(parseTraceParent(self), () =>
       this.tracer.startSpan(name, options, below(parent)),
--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -15,9 +15,9 @@
   attempt,
   jobId,
   machineName,
-  steady,
+  monotonicMs,
   teamName,
-  token,
+  fencingToken,
   typeName,
   zoneName,
 } from '../../../src/core/types.js';
@@ -60,9 +60,9 @@
     spot: false,
     session: 1,
     seq: 1,
-    token: token(3),
+    token: fencingToken(3),
     noticeS: null,
-    tasks: tasks.map((t) => ({ ...task, ...t, why: null, saved: false })),
+    tasks: tasks.map((t) => ({ ...task, ...t, exitReason: null, hasCheckpoint: false })),
   },
 });
 
@@ -72,11 +72,14 @@
   const queue = new SpanQueue('test', exporter, clock, OPTIONS);
   const spans = new JobSpans(new SpanTracer('c-0', clock, [queue]), 1, () => clock.now());
   const steps: [number, ServiceEvent][] = [
-    [10, { kind: 'job_accepted', job, team: teamName('t'), since: steady(4) }],
+    [10, { kind: 'job_accepted', job, team: teamName('t'), since: monotonicMs(4) }],
     [20, { kind: 'task_placed', task, team: teamName('t') }],
-    [30, { kind: 'transaction', keys: [key.machine(machineName('n-2'))], outcome: 'ok', since: steady(20) }],
-    [31, { kind: 'transaction', keys: [key.machine(machine)], outcome: 'conflict', since: steady(20) }],
-    [35, { kind: 'transaction', keys: [key.machine(machine)], outcome: 'ok', since: steady(20) }],
+    [
+      30,
+      { kind: 'transaction', keys: [key.machine(machineName('n-2'))], outcome: 'ok', since: monotonicMs(20) },
+    ],
+    [31, { kind: 'transaction', keys: [key.machine(machine)], outcome: 'conflict', since: monotonicMs(20) }],
+    [35, { kind: 'transaction', keys: [key.machine(machine)], outcome: 'ok', since: monotonicMs(20) }],
     [50, { kind: 'command_sent', machine, command: { op: 'start', job, index: 2, attempt: attempt(5) } }],
     [55, reportOf([])],
     [90, reportOf([{ state: 'fetching' }])],
--- a/packages/warm-standby/src/entries.ts
+++ b/packages/warm-standby/src/entries.ts
@@ -1,7 +1,7 @@
 /** What the decision log holds: decisions of a slice's holder, and what it has learned and not written down yet. */
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
 import type { Run } from '../../../src/core/slowness.js';
-import type { Attempt, ExitWhy, JobId, MachineName, WallMs } from '../../../src/core/types.js';
+import type { Attempt, ExitReason, JobId, MachineName, WallClockMs } from '../../../src/core/types.js';
 import type { Hint } from '../../../src/packages/api.js';
 
 type WorkerHint = Extract<Hint, { kind: 'worker' }>;
@@ -10,15 +10,15 @@
 export type LogEntry =
   | { readonly kind: 'start' | 'stop' | 'preempt'; readonly task: TaskOnMachine }
   /** A task has left its machine; its result may not be written yet. */
-  | { readonly kind: 'left'; readonly task: TaskOnMachine; readonly why: ExitWhy | 'absent' }
-  | (WorkerHint & { readonly heardAt: WallMs })
+  | { readonly kind: 'left'; readonly task: TaskOnMachine; readonly why: ExitReason | 'absent' }
+  | (WorkerHint & { readonly heardAt: WallClockMs })
   | {
       readonly kind: 'job_failing';
       readonly job: JobId;
       readonly rounds: number;
       readonly why: 'error' | 'unknown';
       readonly machines: readonly MachineName[];
-      readonly retryAt: WallMs;
+      readonly retryAt: WallClockMs;
     }
   | { readonly kind: 'run'; readonly machine: MachineName; readonly run: Run };
 
@@ -64,7 +64,7 @@
       return ofMachine(event.task.machine, { kind: 'left', task: event.task, why: event.why ?? 'absent' });
     case 'worker_heard': {
       const { machine, address, session, seq, token } = event.report;
-      const heardAt = now.wall as WallMs;
+      const heardAt = now.wall as WallClockMs;
       return ofMachine(machine, { kind: 'worker', machine, address, session, seq, token, heardAt });
     }
     case 'task_ran':
@@ -72,7 +72,7 @@
     case 'job_failing': {
       const { job, failures } = event;
       const { rounds, why, machines, until } = failures;
-      const retryAt = (now.wall + Math.max(0, until - now.steady)) as WallMs;
+      const retryAt = (now.wall + Math.max(0, until - now.steady)) as WallClockMs;
       return {
         subject: { kind: 'job', job },
         entry: { kind: 'job_failing', job, rounds, why, machines: [...machines], retryAt },
--- a/packages/warm-standby/src/holder-monitor.ts
+++ b/packages/warm-standby/src/holder-monitor.ts
@@ -1,5 +1,5 @@
 /** How long holders have been silent, and how suspicious that is. */
-import type { NodeName, Steady } from '../../../src/core/types.js';
+import type { NodeName, MonotonicMs } from '../../../src/core/types.js';
 import type { Options } from './options.js';
 import { PhiAccrual } from './phi-accrual.js';
 
@@ -15,13 +15,13 @@
     private readonly options: Options['detection'],
   ) {}
 
-  heard(holder: NodeName, now: Steady): void {
+  heard(holder: NodeName, now: MonotonicMs): void {
     const watched = this.holders.get(holder) ?? new PhiAccrual(this.heartbeatMs * LONGEST_USUAL_HEARTBEATS);
     this.holders.set(holder, watched);
     watched.heard(now);
   }
 
-  phi(holder: NodeName, now: Steady): number {
+  phi(holder: NodeName, now: MonotonicMs): number {
     return this.holders.get(holder)?.phi(now) ?? 0;
   }
 
@@ -29,7 +29,7 @@
     return this.holders.get(holder)?.lastHeardAt ?? null;
   }
 
-  isSuspected(holder: NodeName, now: Steady): boolean {
+  isSuspected(holder: NodeName, now: MonotonicMs): boolean {
     const watched = this.holders.get(holder);
     const silenceMs = watched?.silenceMs(now) ?? null;
     if (watched === undefined || silenceMs === null) return false;
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -1,6 +1,6 @@
 /** Messages between standbys and holders, and their form on the wire: protobuf, with a version of the format. */
 import protobuf from 'protobufjs/light.js';
-import type { Attempt, ExitWhy, JobId, MachineName, NodeName, Version } from '../../../src/core/types.js';
+import type { Attempt, ExitReason, JobId, MachineName, NodeName, Version } from '../../../src/core/types.js';
 import type { LogEntry } from './entries.js';
 import type { AppendMessage, SnapshotMessage } from './replica.js';
 
@@ -217,7 +217,11 @@
     case 'preempt':
       return { kind: e.body, task: taskFrom(e[e.body]!) };
     case 'left':
-      return { kind: 'left', task: taskFrom(e.left!), why: (e.left!.why ?? 'absent') as ExitWhy | 'absent' };
+      return {
+        kind: 'left',
+        task: taskFrom(e.left!),
+        why: (e.left!.why ?? 'absent') as ExitReason | 'absent',
+      };
     case 'worker': {
       const { machine, address, session, seq, token, heardAt } = e.worker!;
       return { kind: 'worker', machine, address, session, seq, token, heardAt };
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -2,7 +2,7 @@
  * The holder's loop: keeps the log of each slice that this process holds and sends it to the slice's standbys. A standby that
  * is slow or away falls behind; nothing here ever waits for it.
  */
-import type { NodeName, Steady } from '../../../src/core/types.js';
+import type { NodeName, MonotonicMs } from '../../../src/core/types.js';
 import type { Service, SliceFact } from '../../../src/packages/api.js';
 import { ByteBudget } from './byte-budget.js';
 import type { Cluster } from './cluster.js';
@@ -52,7 +52,7 @@
   }
 
   /** Takes in an answer, or that none came. */
-  note(answer: Acknowledgement | null, now: Steady): void {
+  note(answer: Acknowledgement | null, now: MonotonicMs): void {
     if (answer === null) {
       this.status = 'silent';
       this.notBefore = now + Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** this.failures);
@@ -111,7 +111,7 @@
   ) {
     service.onEvent((event) => {
       const { clock } = service;
-      const recorded = entryOf(event, { steady: clock.now(), wall: clock.wall() });
+      const recorded = entryOf(event, { steady: clock.now(), wall: clock.wallClock() });
       if (recorded !== null) this.record(recorded);
     });
   }
--- a/packages/warm-standby/src/replica.ts
+++ b/packages/warm-standby/src/replica.ts
@@ -2,7 +2,7 @@
  * The standby's side of a slice's log. It applies entries in order or not at all, and knows how far it is behind. Nothing
  * that it holds is carried out: what runs where is read from the state service alone.
  */
-import type { NodeName, Steady, Version } from '../../../src/core/types.js';
+import type { NodeName, MonotonicMs, Version } from '../../../src/core/types.js';
 import type { LogEntry } from './entries.js';
 import { SliceMemory } from './slice-memory.js';
 
@@ -54,13 +54,13 @@
   applied: number | null = null;
   memory = new SliceMemory();
   private head = 0;
-  private caughtUpAt: Steady | null = null;
-  private heardAt: Steady | null = null;
+  private caughtUpAt: MonotonicMs | null = null;
+  private heardAt: MonotonicMs | null = null;
   private pending: PendingSnapshot | null = null;
 
   constructor(readonly slice: NodeName) {}
 
-  append(message: AppendMessage, now: Steady): ReplicaOutcome {
+  append(message: AppendMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
     if (message.epoch > this.epoch) this.begin(message.epoch);
     this.heardAt = now;
@@ -76,7 +76,7 @@
     return 'applied';
   }
 
-  snapshot(message: SnapshotMessage, now: Steady): ReplicaOutcome {
+  snapshot(message: SnapshotMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
     if (message.epoch > this.epoch) this.begin(message.epoch);
     this.heardAt = now;
--- a/packages/warm-standby/src/takeover.ts
+++ b/packages/warm-standby/src/takeover.ts
@@ -221,7 +221,7 @@
     const replica = this.receiver.replicas.get(slice);
     const memory = replica?.epoch === before.epoch ? replica.memory : null;
     const takeover = this.describe(fact, before, memory);
-    for (const hint of memory?.hints(clock.wall()) ?? []) this.service.learn(hint);
+    for (const hint of memory?.hints(clock.wallClock()) ?? []) this.service.learn(hint);
     this.publisher.continueWith(fact, memory?.entries() ?? []);
     this.history.add(takeover);
     const { from, cause, wasWarm } = takeover;
@@ -256,7 +256,7 @@
       workersKnown: memory?.workerCount ?? 0,
       endedTasks: memory?.endedTasks ?? 0,
       machines: facts.machinesOf(slice).length,
-      wall: clock.wall(),
+      wall: clock.wallClock(),
       at: {
         lastHeard: suspicion === null ? null : this.monitor.lastHeardAt(before.holder),
         suspected: suspicion?.since ?? null,
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -2,7 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { jobId, machineName, nodeName, steady, token, version, wallMs } from '../../../src/core/types.js';
+import {
+  jobId,
+  machineName,
+  nodeName,
+  monotonicMs,
+  fencingToken,
+  version,
+  wallClockMs,
+} from '../../../src/core/types.js';
 import { attempt } from '../../../src/core/types.js';
 import { DecisionLog } from '../src/decision-log.js';
 import type { LogEntry } from '../src/entries.js';
@@ -43,8 +51,8 @@
     address: fc.constantFrom('10.0.0.1:1', '10.0.0.2:1'),
     session: fc.nat(3),
     seq: fc.nat(9),
-    token: fc.nat(9).map(token),
-    heardAt: fc.nat(9).map(wallMs),
+    token: fc.nat(9).map(fencingToken),
+    heardAt: fc.nat(9).map(wallClockMs),
   }),
   fc.record({
     kind: fc.constant('job_failing' as const),
@@ -52,7 +60,7 @@
     rounds: fc.nat(4),
     why: fc.constantFrom('error', 'unknown'),
     machines: fc.array(names, { maxLength: 3 }),
-    retryAt: fc.nat(99).map(wallMs),
+    retryAt: fc.nat(99).map(wallClockMs),
   }),
   fc.record({
     kind: fc.constant('run' as const),
@@ -93,7 +101,7 @@
           head: log.length,
         };
         const before = replica.applied;
-        const outcome = replica.append(message, steady(i));
+        const outcome = replica.append(message, monotonicMs(i));
         if (replica.epoch > epoch) assert.equal(outcome, 'stale');
         if (outcome !== 'applied') assert.ok(replica.applied === before || replica.applied === null);
         // Entries of both epochs are the same here, so that each state is that of some beginning of the log.
@@ -152,22 +160,22 @@
       address: `a:${i}`,
       session: 1,
       seq: i,
-      token: token(7),
-      heardAt: wallMs(i),
+      token: fencingToken(7),
+      heardAt: wallClockMs(i),
     });
   assert.equal(log.after(0, 100), null, 'the tail does not reach back that far');
-  assert.equal(replica.append({ epoch: EPOCH, first: 95, entries: [], head: 100 }, steady(0)), 'gap');
+  assert.equal(replica.append({ epoch: EPOCH, first: 95, entries: [], head: 100 }, monotonicMs(0)), 'gap');
   assert.equal(replica.isWarm(EPOCH, 1000, 1000), false);
   const all = log.memory.entries();
   const parts = [all.slice(0, 12), all.slice(12)];
   parts.forEach((part, i) => {
     const message = { epoch: EPOCH, upTo: log.head, part: i, parts: 2, entries: part };
-    assert.equal(replica.snapshot(message, steady(1)), 'applied');
+    assert.equal(replica.snapshot(message, monotonicMs(1)), 'applied');
   });
   assert.equal(replica.applied, 100);
   assert.deepEqual(replica.memory.entries(), log.memory.entries());
   const next = log.after(100, 5)!;
-  assert.equal(replica.append({ epoch: EPOCH, ...next, head: log.head }, steady(2)), 'applied');
+  assert.equal(replica.append({ epoch: EPOCH, ...next, head: log.head }, monotonicMs(2)), 'applied');
   assert.equal(replica.isWarm(EPOCH, 1000, 1000), true);
   assert.equal(replica.isWarm(version(8), 1000, 1000), false, 'not for another epoch');
 });
@@ -175,14 +183,14 @@
 test('the parts of two snapshots are never put together, and an old one takes nothing back', () => {
   const replica = new Replica(slice);
   const part = (upTo: number, n: number) => ({ epoch: EPOCH, upTo, part: n, parts: 2, entries: [] });
-  assert.equal(replica.snapshot(part(5, 0), steady(0)), 'applied');
-  assert.equal(replica.snapshot(part(6, 1), steady(0)), 'gap');
+  assert.equal(replica.snapshot(part(5, 0), monotonicMs(0)), 'applied');
+  assert.equal(replica.snapshot(part(6, 1), monotonicMs(0)), 'gap');
   assert.equal(replica.applied, null);
-  replica.snapshot(part(6, 0), steady(0));
-  replica.snapshot(part(6, 1), steady(0));
+  replica.snapshot(part(6, 0), monotonicMs(0));
+  replica.snapshot(part(6, 1), monotonicMs(0));
   assert.equal(replica.applied, 6);
-  replica.snapshot(part(5, 0), steady(0));
-  replica.snapshot(part(5, 1), steady(0));
+  replica.snapshot(part(5, 0), monotonicMs(0));
+  replica.snapshot(part(5, 1), monotonicMs(0));
   assert.equal(replica.applied, 6);
 });
 
@@ -192,9 +200,9 @@
     kind: 'start',
     task: { job: jobId('wk-1'), index: 0, attempt: attempt(1), machine: machineName('n-1') },
   };
-  replica.append({ epoch: EPOCH, first: 1, entries: [start], head: 1 }, steady(1000));
+  replica.append({ epoch: EPOCH, first: 1, entries: [start], head: 1 }, monotonicMs(1000));
   assert.deepEqual(replica.lag(), { entries: 0, ms: 0 });
-  replica.append({ epoch: EPOCH, first: 2, entries: [], head: 500 }, steady(4000));
+  replica.append({ epoch: EPOCH, first: 2, entries: [], head: 500 }, monotonicMs(4000));
   assert.deepEqual(replica.lag(), { entries: 499, ms: 3000 });
   assert.equal(replica.isWarm(EPOCH, 498, 9000), false);
   assert.equal(replica.isWarm(EPOCH, 499, 2999), false);
@@ -209,8 +217,8 @@
     address: 'a:1',
     session: 1,
     seq: at,
-    token: token(7),
-    heardAt: wallMs(at),
+    token: fencingToken(7),
+    heardAt: wallClockMs(at),
   });
   log.append(heard('n-1', 0));
   log.append(heard('n-1', 2000));
@@ -242,8 +250,8 @@
       address: `10.200.${i >> 8}.${i & 255}:9000`,
       session: 1,
       seq: at,
-      token: token(123_456),
-      heardAt: wallMs(1_700_000_000_000 + at),
+      token: fencingToken(123_456),
+      heardAt: wallClockMs(1_700_000_000_000 + at),
     });
   };
   // Each reports every 2 s for a minute.
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -5,7 +5,7 @@
 import { Type, type Static, type TSchema } from '@sinclair/typebox';
 import { Ajv } from 'ajv';
 import { parse } from 'smol-toml';
-import { GPU, capacityOf, nodeName, teamName, zoneName, type Team, type Zone } from '../core/types.js';
+import { GPU, capacityVector, nodeName, teamName, zoneName, type Team, type Zone } from '../core/types.js';
 
 const text = Type.String({ minLength: 1, maxLength: 200 });
 const address = Type.String({ pattern: '^[0-9A-Za-z.-]+:[0-9]{1,5}$' });
@@ -138,10 +138,10 @@
     nodes: c.count,
     zones: c.zones.map(zoneName),
     teams: c.teams.map((t) => {
-      const limit = capacityOf(t.cpus_max, 0, t.gpus_max);
+      const limit = capacityVector(t.cpus_max, 0, t.gpus_max);
       return {
         name: teamName(t.name),
-        guarantee: capacityOf(t.cpus, 0, t.gpus),
+        guarantee: capacityVector(t.cpus, 0, t.gpus),
         limitCpu: t.cpus_max > 0 ? limit[0] : null,
         limitGpu: t.gpus_max > 0 ? limit[GPU] : null,
       };
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -18,7 +18,7 @@
   type MachineRecord,
   type MachineType,
   type NodeName,
-  type Steady,
+  type MonotonicMs,
   type Team,
   type TeamName,
   type TypeName,
@@ -47,7 +47,7 @@
   readonly dependencies: DependencyTracker;
   readonly teams: ReadonlyMap<TeamName, Team>;
   /** Sessions as this process saw them appear. */
-  readonly sessionSince = new Map<string, Steady>();
+  readonly sessionSince = new Map<string, MonotonicMs>();
   /** Told of changes after the view has taken them in. */
   readonly listeners: ((changes: Changes) => void)[] = [];
   /** What this controller does and learns, for packages. */
@@ -161,7 +161,7 @@
 
   /** What the order of a team's jobs depends on: owners and the leader have to agree on it. */
   order(): Omit<OrderContext, 'hasTasks'> {
-    return { wall: this.clock.wall(), behindMs: this.operator.placement.behind_s * 1000 };
+    return { wall: this.clock.wallClock(), behindMs: this.operator.placement.behind_s * 1000 };
   }
 
   /** Whether room is kept for the gang: owners and the leader have to agree on it. */
@@ -169,7 +169,7 @@
     const { tasks } = job.spec;
     if (job.failing !== undefined) return false;
     const afterMs = (this.operator.placement.hold_after_s * 1000) / Math.sqrt(tasks);
-    return tasks > 1 && this.clock.wall() - job.submitted > afterMs;
+    return tasks > 1 && this.clock.wallClock() - job.submitted > afterMs;
   }
 
   /**
@@ -188,7 +188,7 @@
           failing === undefined &&
           !ledger.jobs.has(spec.id),
       );
-    const since = this.clock.wall() - this.operator.placement.yield_s * 1000;
+    const since = this.clock.wallClock() - this.operator.placement.yield_s * 1000;
     return ({ spec, submitted }) => wanted && spec.spot && spec.kind !== 'gang' && submitted > since;
   }
 
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -1,14 +1,14 @@
 /** What reports teach about machines and jobs, kept in memory only: losing it costs time, never a rule. */
 import {
-  steady,
-  type ExitWhy,
+  monotonicMs,
+  type ExitReason,
   type JobId,
   type JobRecord,
   type MachineName,
   type MachineRecord,
   type Placed,
   type Report,
-  type Steady,
+  type MonotonicMs,
 } from '../core/types.js';
 import { dropOldest } from '../core/bounded.js';
 import { Failures, RUNS_WELL_MS } from '../core/failures.js';
@@ -28,7 +28,7 @@
 /** Remembers failures, caches and run times of machines and jobs. */
 export class Health {
   readonly failures: Failures;
-  private readonly pauses = new Map<string, Steady>();
+  private readonly pauses = new Map<string, MonotonicMs>();
   /** Images that machines were seen to have, the latest used last. */
   private readonly images = new Map<MachineName, Set<string>>();
   private readonly imageGb = new Map<string, number>();
@@ -36,7 +36,7 @@
 
   private readonly slowness: Slowness;
   /** Since when tasks have been seen running, by machine and task. */
-  private readonly runningAt = new Map<MachineName, Map<string, Steady>>();
+  private readonly runningAt = new Map<MachineName, Map<string, MonotonicMs>>();
 
   constructor(
     private readonly ctx: Context,
@@ -61,7 +61,7 @@
   private sawRunning(r: Report): void {
     const t = this.ctx.clock.now();
     const before = this.runningAt.get(r.machine);
-    const now = new Map<string, Steady>();
+    const now = new Map<string, MonotonicMs>();
     for (const task of r.tasks) {
       const k = taskKey(task.job, task.index, task.attempt);
       const since = before?.get(k);
@@ -71,7 +71,7 @@
       if (spec !== undefined && task.state === 'running' && since !== undefined && t - since >= RUNS_WELL_MS)
         this.failures.ranLong(task.job);
       // A gang runs only as fast as its slowest machine, so its time says nothing about this one.
-      if (task.why === 'done' && since !== undefined && spec?.kind === 'array')
+      if (task.exitReason === 'done' && since !== undefined && spec?.kind === 'array')
         this.ran(r.machine, {
           job: task.job,
           cls: spec.class,
@@ -113,7 +113,7 @@
       }
       case 'job_failing': {
         if (!view.jobs.has(hint.job)) return;
-        const until = steady(clock.now() + hint.retryInMs);
+        const until = monotonicMs(clock.now() + hint.retryInMs);
         this.failures.adopt(hint.job, { ...hint, machines: new Set(hint.machines), until });
         return;
       }
@@ -137,7 +137,7 @@
     if (!this.remember(r)) return;
     this.sawRunning(r);
     for (const t of r.tasks) {
-      if (t.state === 'fetching' || (t.state === 'exited' && t.why !== 'done')) continue;
+      if (t.state === 'fetching' || (t.state === 'exited' && t.exitReason !== 'done')) continue;
       const spec = this.ctx.view.jobs.get(t.job)?.spec;
       if (spec === undefined) continue;
       let set = this.images.get(r.machine);
@@ -180,7 +180,7 @@
   }
 
   /** A task left a machine; some reasons say something about one or the other. */
-  exit(m: MachineRecord, placed: Placed, why: ExitWhy | null): void {
+  exit(m: MachineRecord, placed: Placed, why: ExitReason | null): void {
     const { job } = placed;
     if (!this.ctx.view.jobs.has(job)) {
       if (why === 'done') this.failures.forgetMachine(m.name);
@@ -200,7 +200,7 @@
   private pause(job: JobId, machine: MachineName, ms: number): void {
     const key = `${job} ${machine}`;
     this.pauses.delete(key);
-    this.pauses.set(key, (this.ctx.clock.now() + ms) as Steady);
+    this.pauses.set(key, (this.ctx.clock.now() + ms) as MonotonicMs);
     dropOldest(this.pauses, Math.max(PAUSES_KEPT, 2 * this.ctx.view.machines.size));
   }
 
@@ -217,7 +217,7 @@
   /** Whether it fails everywhere and is not to be tried yet. */
   backedOff(job: JobRecord): boolean {
     const { clock } = this.ctx;
-    if ((job.failing?.until ?? 0) > clock.wall()) return true;
+    if ((job.failing?.until ?? 0) > clock.wallClock()) return true;
     return (this.failures.failuresOf(job.spec.id)?.until ?? 0) > clock.now();
   }
 
--- a/src/controller/jobs.ts
+++ b/src/controller/jobs.ts
@@ -82,7 +82,12 @@
     if (needs.kind === 'impossible') return this.knownOrImpossible(spec.id, 'unknown_need');
     if (needs.kind === 'withdrawn') {
       // One that names a cancelled job is accepted, and is over at once.
-      const over: FinalRecord = { state: 'cancelled', done: 0, at: ctx.clock.wall(), because: needs.because };
+      const over: FinalRecord = {
+        state: 'cancelled',
+        done: 0,
+        at: ctx.clock.wallClock(),
+        because: needs.because,
+      };
       return this.accept(spec, { key: key.final(spec.id), value: over, reason: 'submission' }, 'cancelled');
     }
     const { needs: named, ...rest } = spec;
@@ -90,7 +95,7 @@
       spec: needs.left.length === 0 ? rest : { ...rest, needs: needs.left },
       phase: 'active',
       done: NONE_DONE,
-      submitted: ctx.clock.wall(),
+      submitted: ctx.clock.wallClock(),
     };
     // One that does not fit is refused with its status: its change would be refused for ever.
     const stored = storedJob(record, ctx.state.settings.valueBytes);
@@ -185,13 +190,13 @@
     const urgency = dependencies.all().inherited.get(job.spec.id);
     if (urgency === undefined) return {};
     const { priority, dueMs } = urgency;
-    return { inherited: { priority, dueInS: dueMs === null ? null : (dueMs - clock.wall()) / 1000 } };
+    return { inherited: { priority, dueInS: dueMs === null ? null : (dueMs - clock.wallClock()) / 1000 } };
   }
 
   private failuresOf({ failing }: JobRecord): Pick<JobStatus, 'failing'> {
     if (failing === undefined) return {};
     const { rounds, why, machines, until } = failing;
-    const nextTryInS = Math.max(0, (until - this.ctx.clock.wall()) / 1000);
+    const nextTryInS = Math.max(0, (until - this.ctx.clock.wallClock()) / 1000);
     return { failing: { rounds, why, machines, nextTryInS } };
   }
 
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,7 +1,7 @@
 /** Keeps the records in step with the cloud: machine types, machines that failed, are unknown, or are to be returned. */
 import { key } from '../../core/keys.js';
 import { partsWithin } from '../../core/records.js';
-import type { MachineName, MachineRecord, MachineType, NodeName, Steady } from '../../core/types.js';
+import type { MachineName, MachineRecord, MachineType, NodeName, MonotonicMs } from '../../core/types.js';
 import type { CloudClient } from '../../io/cloud.js';
 import { URGENCY } from '../../io/rate-limiter.js';
 import type { ListedMachine, Op } from '../../io/wire.js';
@@ -24,7 +24,7 @@
 export class CloudInventory {
   private releasing = false;
   /** When the cloud last listed each machine that has a record. */
-  private readonly listedAt = new Map<MachineName, Steady>();
+  private readonly listedAt = new Map<MachineName, MonotonicMs>();
 
   constructor(
     private readonly ctx: Context,
@@ -70,7 +70,7 @@
     await this.transactions.commitEach(ops, URGENCY.starts);
   }
 
-  private async compare(list: readonly ListedMachine[], askedAt: Steady): Promise<void> {
+  private async compare(list: readonly ListedMachine[], askedAt: MonotonicMs): Promise<void> {
     const { ctx } = this;
     const failed: Op[] = [];
     const withoutRecord = new Set<MachineName>();
@@ -98,7 +98,7 @@
    * than the one before by as much as it lags. What follows is only that the machine is returned: the cloud's answer to
    * that frees its tasks. Without this a taken machine that is alone in its zone is waited for like one that is cut off.
    */
-  private takenBack(list: readonly ListedMachine[], askedAt: Steady): MachineRecord[] {
+  private takenBack(list: readonly ListedMachine[], askedAt: MonotonicMs): MachineRecord[] {
     const { view, clock, settings } = this.ctx;
     const now = clock.now();
     for (const l of list) if (view.machines.has(l.name)) this.listedAt.set(l.name, now);
--- a/src/controller/leader/fleet-planner.ts
+++ b/src/controller/leader/fleet-planner.ts
@@ -3,13 +3,13 @@
 import { Forecast } from '../../core/forecast.js';
 import { typeAllowed } from '../../core/jobs.js';
 import {
-  fits,
+  fitsWithin,
   type JobRecord,
   type JobSpec,
   type MachineName,
   type MachineRecord,
   type MachineType,
-  type Steady,
+  type MonotonicMs,
 } from '../../core/types.js';
 import type { Context } from '../context.js';
 import type { Rentals } from './rentals.js';
@@ -27,7 +27,7 @@
 
 /** Makes the leader's plan from the view, the forecast and what is known of machines. */
 export class FleetPlanner {
-  private readonly emptySince = new Map<MachineName, Steady>();
+  private readonly emptySince = new Map<MachineName, MonotonicMs>();
   private readonly forecast: Forecast;
 
   constructor(
@@ -64,7 +64,7 @@
   }
 
   ageS(m: MachineRecord): number {
-    return (this.ctx.clock.wall() - m.since) / 1000;
+    return (this.ctx.clock.wallClock() - m.since) / 1000;
   }
 
   private bootS(m: MachineRecord): number {
@@ -90,7 +90,7 @@
   /** What fails wherever it runs gets room of its own for its first tries; later ones use what is free. */
   private deservesRoom({ failing }: JobRecord): boolean {
     if (failing === undefined) return true;
-    return failing.rounds <= ROUNDS_WORTH_RENTING && failing.until <= this.ctx.clock.wall();
+    return failing.rounds <= ROUNDS_WORTH_RENTING && failing.until <= this.ctx.clock.wallClock();
   }
 
   private isUsable(m: MachineRecord): boolean {
@@ -125,8 +125,8 @@
       underWay.set(j.spec.class, (underWay.get(j.spec.class) ?? 0) + left);
     }
     const typeOf = (spec: JobSpec): MachineType | undefined =>
-      [...ctx.types.values()].find((t) => typeAllowed(spec, t.name) && fits(spec.demand, t.capacity));
-    return [...this.forecast.reserve(ctx.clock.wall() / 1000, underWay, typeOf), ...this.spareForLoss()];
+      [...ctx.types.values()].find((t) => typeAllowed(spec, t.name) && fitsWithin(spec.demand, t.capacity));
+    return [...this.forecast.reserve(ctx.clock.wallClock() / 1000, underWay, typeOf), ...this.spareForLoss()];
   }
 
   /** Services are wanted all the time: room for those of any one machine, should it be lost. */
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -10,7 +10,7 @@
   type NodeName,
   type Report,
   type SliceRecord,
-  type Steady,
+  type MonotonicMs,
   type TeamRecord,
 } from '../../core/types.js';
 import type { CloudClient } from '../../io/cloud.js';
@@ -44,7 +44,7 @@
   private readonly rentals: Rentals;
   private readonly strayed: StrayedMachines;
   private readonly planner: FleetPlanner;
-  private leadingSince: Steady | null = null;
+  private leadingSince: MonotonicMs | null = null;
   private planMs = 0;
 
   constructor(
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -8,7 +8,7 @@
   type MachineRecord,
   type NodeName,
   type RentalRecord,
-  type Steady,
+  type MonotonicMs,
   type TypeName,
   type Zone,
 } from '../../core/types.js';
@@ -43,7 +43,7 @@
   floor: known.token + 1,
   phase: 'booting',
   placed: [],
-  since: ctx.clock.wall(),
+  since: ctx.clock.wallClock(),
 });
 
 /** The change that has a machine returned to the cloud; only the cloud's answer to that frees its tasks. */
@@ -54,7 +54,7 @@
 
 /** Rents machines and records them, whoever decided the rental. */
 export class Rentals {
-  private readonly refusedUntil = new Map<string, Steady>();
+  private readonly refusedUntil = new Map<string, MonotonicMs>();
   private number = 0;
   private busy = false;
 
@@ -124,7 +124,7 @@
     if (got.length < owners.length)
       this.refusedUntil.set(
         kindOf(rental),
-        (ctx.clock.now() + ctx.operator.fleet.refused_s * 1000) as Steady,
+        (ctx.clock.now() + ctx.operator.fleet.refused_s * 1000) as MonotonicMs,
       );
     await this.transactions.commitInOrder(this.recordsOf(rental, got, slices), URGENCY.starts);
   }
--- a/src/controller/leader/strayed-machines.ts
+++ b/src/controller/leader/strayed-machines.ts
@@ -3,7 +3,7 @@
  * their owner does not reach them.
  */
 import type { LiveNode } from '../../core/slices.js';
-import type { MachineName, MachineRecord, NodeName, Steady, Token } from '../../core/types.js';
+import type { MachineName, MachineRecord, NodeName, MonotonicMs, FencingToken } from '../../core/types.js';
 import type { Context } from '../context.js';
 
 /** A worker that gets no answer is at the next controller so much later. */
@@ -22,8 +22,8 @@
 
 interface Strayed {
   /** Under another token everything begins anew. */
-  readonly token: Token;
-  readonly since: Steady;
+  readonly token: FencingToken;
+  readonly since: MonotonicMs;
 }
 
 /** Keeps track of machines that do not reach their owner. */
@@ -33,8 +33,8 @@
    * When a machine last turned to another controller though its owner lives. One that is heard and does not hear goes
    * round all of them: moved to another slice it would be judged anew, and given work once more.
    */
-  private readonly strayedAt = new Map<MachineName, Steady>();
-  private readonly unfitUntil = new Map<string, Steady>();
+  private readonly strayedAt = new Map<MachineName, MonotonicMs>();
+  private readonly unfitUntil = new Map<string, MonotonicMs>();
 
   constructor(private readonly ctx: Context) {}
 
@@ -93,7 +93,7 @@
   }
 
   private judge(reached: ReadonlyMap<string, number>, lost: ReadonlyMap<string, number>): void {
-    const until = (this.ctx.clock.now() + UNFIT_MS) as Steady;
+    const until = (this.ctx.clock.now() + UNFIT_MS) as MonotonicMs;
     for (const [node, machines] of lost)
       if (machines >= FEW_MACHINES && !reached.has(node)) this.unfitUntil.set(node, until);
   }
--- a/src/controller/leader/unknown-machines.ts
+++ b/src/controller/leader/unknown-machines.ts
@@ -4,7 +4,7 @@
  */
 import type { Settings } from '../../config/settings.js';
 import { newer } from '../../core/worker-reports.js';
-import type { MachineName, Report, Steady, TypeName, Zone } from '../../core/types.js';
+import type { MachineName, Report, MonotonicMs, TypeName, Zone } from '../../core/types.js';
 import type { ListedMachine } from '../../io/wire.js';
 import type { Context } from '../context.js';
 
@@ -37,10 +37,10 @@
 export class UnknownMachines {
   private readonly confirmed = new Map<MachineName, UnknownMachine>();
   /** Workers without a record, as they first reported. */
-  private readonly reporters = new Map<MachineName, { session: number; seq: number; at: Steady }>();
+  private readonly reporters = new Map<MachineName, { session: number; seq: number; at: MonotonicMs }>();
   /** Since when the list shows a machine without a record. */
-  private readonly listedSince = new Map<MachineName, Steady>();
-  private readonly released = new Map<MachineName, Steady>();
+  private readonly listedSince = new Map<MachineName, MonotonicMs>();
+  private readonly released = new Map<MachineName, MonotonicMs>();
 
   constructor(private readonly ctx: Context) {}
 
@@ -88,7 +88,7 @@
    * Those that did not report again in time go, and the oldest where that is not enough. All at once they must not: where
    * thousands report for the first time, none would be remembered by its second report.
    */
-  private makeRoom(now: Steady): void {
+  private makeRoom(now: MonotonicMs): void {
     for (const [name, { at }] of this.reporters) {
       if (this.reporters.size < MOST_REPORTERS && now - at <= REPORTS_WITHIN_MS) return;
       this.reporters.delete(name);
--- a/src/controller/owner/job-reconciler.ts
+++ b/src/controller/owner/job-reconciler.ts
@@ -3,11 +3,11 @@
 import {
   NO_VERSION,
   type DoneSet,
-  type FailingRecord,
+  type JobFailureRecord,
   type FinalRecord,
   type JobId,
   type JobRecord,
-  type WallMs,
+  type WallClockMs,
 } from '../../core/types.js';
 import type { Group } from '../../io/state/transactions.js';
 import type { Guard, Op } from '../../io/wire.js';
@@ -65,11 +65,11 @@
     for (const [id, failures] of this.health.failures.blamed()) {
       const job = view.jobs.get(id);
       if (job?.phase !== 'active' || open.has(id) || failures.rounds <= (job.failing?.rounds ?? 0)) continue;
-      const failing: FailingRecord = {
+      const failing: JobFailureRecord = {
         rounds: failures.rounds,
         why: failures.why,
         machines: [...failures.machines].slice(-MOST_MACHINES_NAMED),
-        until: (clock.wall() + Math.max(0, failures.until - clock.now())) as WallMs,
+        until: (clock.wallClock() + Math.max(0, failures.until - clock.now())) as WallClockMs,
       };
       ctx.log.info({ job: id, ...failing }, 'job fails wherever it runs');
       const value = ctx.storedJob({ ...job, failing });
@@ -166,7 +166,11 @@
     ctx.log.info({ job: id, state: final.state, done: final.done }, 'job is over');
     const ops: Op[] = [
       { key: key.job(id), value: undefined, reason: 'end' },
-      { key: key.final(id), value: { ...final, at: ctx.clock.wall() } satisfies FinalRecord, reason: 'end' },
+      {
+        key: key.final(id),
+        value: { ...final, at: ctx.clock.wallClock() } satisfies FinalRecord,
+        reason: 'end',
+      },
     ];
     const guards: Guard[] = [ctx.guard(key.job(id)), { key: key.final(id), version: NO_VERSION }];
     if (final.state === 'cancelled') guards.push(...ctx.teamGuards(team));
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/owner/machine-sessions.ts
@@ -17,8 +17,8 @@
   MachineRecord,
   NodeName,
   Report,
-  Steady,
-  Token,
+  MonotonicMs,
+  FencingToken,
 } from '../../core/types.js';
 import type { Workers } from '../../io/workers.js';
 import type { Context } from '../context.js';
@@ -26,7 +26,7 @@
 
 /** What a worker that has reported is answered. */
 export type ReportAnswer =
-  | { readonly kind: 'ok'; readonly token: Token; readonly commands: readonly Command[] }
+  | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly Command[] }
   | { readonly kind: 'elsewhere'; readonly node: NodeName | null }
   | { readonly kind: 'busy' };
 
@@ -47,7 +47,7 @@
   /** Machines to which a direct message is under way. */
   private readonly messaged = new Set<MachineName>();
   /** When a stop was last sent directly, the latest last. */
-  private readonly stopSentAt = new Map<string, Steady>();
+  private readonly stopSentAt = new Map<string, MonotonicMs>();
   private readonly reportMs: number;
 
   constructor(
@@ -102,7 +102,7 @@
     return { kind: 'ok', token, commands: answer };
   }
 
-  private noteCommands(machine: MachineName, token: Token, sent: readonly Command[]): void {
+  private noteCommands(machine: MachineName, token: FencingToken, sent: readonly Command[]): void {
     const { ctx } = this;
     for (const command of sent) {
       const { op, job, index, attempt } = command;
--- a/src/controller/owner/preemptor.ts
+++ b/src/controller/owner/preemptor.ts
@@ -11,7 +11,7 @@
   withinGuarantee,
   type PreemptInput,
 } from '../../core/preemption.js';
-import type { JobId, JobRecord, MachineName, MachineRecord, Placed, Steady } from '../../core/types.js';
+import type { JobId, JobRecord, MachineName, MachineRecord, Placed, MonotonicMs } from '../../core/types.js';
 import type { Group } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 
@@ -27,7 +27,7 @@
 /** Chooses tasks to stop and keeps the room that they leave for the job that it was made for. */
 export class Preemptor {
   private readonly claims = new Map<MachineName, Claim>();
-  private readonly waitingSince = new Map<JobId, Steady>();
+  private readonly waitingSince = new Map<JobId, MonotonicMs>();
 
   constructor(private readonly ctx: Context) {}
 
--- a/src/controller/owner/results.ts
+++ b/src/controller/owner/results.ts
@@ -11,9 +11,9 @@
   JobRecord,
   MachineName,
   MachineRecord,
-  Steady,
+  MonotonicMs,
   TaskIndex,
-  Token,
+  FencingToken,
 } from '../../core/types.js';
 import type { Group } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
@@ -48,14 +48,14 @@
    * Tasks that are done and whose entries are still in their machine's record. Their room can be used again at
    * once: the record only says too much. After a crash the next owner sees them exited in the next report.
    */
-  private readonly proven = new Map<MachineName, { token: Token; exits: readonly Exit[] }>();
+  private readonly proven = new Map<MachineName, { token: FencingToken; exits: readonly Exit[] }>();
   /** Since when results of unfinished jobs have been gathered. */
-  private readonly gatheredSince = new Map<JobId, Steady>();
+  private readonly gatheredSince = new Map<JobId, MonotonicMs>();
 
   constructor(private readonly ctx: Context) {}
 
   /** Remembers which ended tasks of a machine may keep their entries for now. */
-  remember(machine: MachineRecord, token: Token, exits: readonly Exit[]): void {
+  remember(machine: MachineRecord, token: FencingToken, exits: readonly Exit[]): void {
     const kept = exits.filter((e) => this.mayStay(e));
     if (kept.length > 0) this.proven.set(machine.name, { token, exits: kept });
     else this.proven.delete(machine.name);
@@ -107,7 +107,7 @@
     for (let i = 0; i < tasks; i++) indexes.add(i);
   }
 
-  private gatheringSince(id: JobId): Steady {
+  private gatheringSince(id: JobId): MonotonicMs {
     const since = this.gatheredSince.get(id) ?? this.ctx.clock.now();
     this.gatheredSince.set(id, since);
     return since;
--- a/src/controller/owner/starts.ts
+++ b/src/controller/owner/starts.ts
@@ -109,7 +109,7 @@
       keepWhole: this.areGangsAbout(),
       yields: ctx.yielding(),
       mayHold: (j) => ctx.mayHold(j),
-      overdue: (j) => ctx.clock.wall() - j.submitted > placement.behind_s * 1000,
+      overdue: (j) => ctx.clock.wallClock() - j.submitted > placement.behind_s * 1000,
       fails: (j) => this.health.fails(j),
       hSlack: placement.h_slack,
     });
@@ -164,7 +164,7 @@
 
   /** Why a job waits is asked for afterwards, too: it is logged now and then of those that wait for long. */
   private logWaiting(mine: readonly JobRecord[]): void {
-    const wall = this.ctx.clock.wall();
+    const wall = this.ctx.clock.wallClock();
     for (const id of this.loggedAt.keys()) if (!this.waitReasons.has(id)) this.loggedAt.delete(id);
     for (const { spec, submitted } of mine) {
       const why = this.waitReasons.get(spec.id);
--- a/src/controller/report-router.ts
+++ b/src/controller/report-router.ts
@@ -7,7 +7,14 @@
  * the worker a higher one, such an answer is dropped. Who is kept alive this way is written down, so that
  * nobody takes those machines for dead.
  */
-import type { Command, MachineName, MachineRecord, Report, Steady, Token } from '../core/types.js';
+import type {
+  Command,
+  MachineName,
+  MachineRecord,
+  Report,
+  MonotonicMs,
+  FencingToken,
+} from '../core/types.js';
 import type { Context } from './context.js';
 import type { Health } from './health.js';
 import { leaderOf, type Leader } from './leader/leader.js';
@@ -18,10 +25,10 @@
 
 interface Substituted {
   /** The owner's token; under another one everything begins anew. */
-  readonly token: Token;
+  readonly token: FencingToken;
   /** Since when this worker is answered here, and when it was last heard. */
-  since: Steady;
-  heard: Steady;
+  since: MonotonicMs;
+  heard: MonotonicMs;
   /** It has come back soon after an answer, so it hears this controller and not only the other way round. */
   hears: boolean;
   /** For how long it is kept before it is sent to its owner again, to see whether that works now. */
@@ -38,10 +45,10 @@
 export class ReportRouter {
   private readonly substituted = new Map<MachineName, Substituted>();
   /** Workers that were sent to their owner, and when. */
-  private readonly sentOn = new Map<MachineName, { token: Token; at: Steady }>();
+  private readonly sentOn = new Map<MachineName, { token: FencingToken; at: MonotonicMs }>();
   /** Workers that were sent on by this controller, alone as it is, and are back since then: nobody else has them. */
-  private readonly cameBack = new Map<MachineName, { token: Token; at: Steady }>();
-  private readonly tokens = new Map<MachineName, { token: Token; since: Steady }>();
+  private readonly cameBack = new Map<MachineName, { token: FencingToken; at: MonotonicMs }>();
+  private readonly tokens = new Map<MachineName, { token: FencingToken; since: MonotonicMs }>();
   private readonly list: SubstituteList;
 
   constructor(
@@ -131,7 +138,7 @@
   }
 
   /** It has the present token and has had it for a while: it knew its owner and left it. */
-  private leftOwner(r: Report, token: Token): boolean {
+  private leftOwner(r: Report, token: FencingToken): boolean {
     const known = this.tokens.get(r.machine);
     const reportMs = this.ctx.settings.workers.report_s * 1000;
     return r.token === token && known !== undefined && this.ctx.clock.now() - known.since >= reportMs * 1.5;
@@ -176,7 +183,7 @@
     s.heard = t;
     if (t - s.since < s.keepMs) return true;
     // Back to its owner; if it returns from there it is kept for longer.
-    s.since = (t + reportMs) as Steady;
+    s.since = (t + reportMs) as MonotonicMs;
     s.keepMs = Math.min(s.keepMs * 2, reportMs * 16);
     return false;
   }
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -1,5 +1,5 @@
 /** What an operator sees: who holds what, how the teams stand to one another, and why jobs wait. */
-import { CPU, GPU, NOTHING, UNIT, type Amounts } from '../core/types.js';
+import { CPU, GPU, NO_RESOURCES, MICRO_UNITS, type ResourceVector } from '../core/types.js';
 import type { Dependency } from '../core/dependencies.js';
 import { key } from '../core/keys.js';
 import type { Context } from './context.js';
@@ -16,13 +16,13 @@
       ? `waits to know how ${d.unread.join(', ')} ended`
       : `withdrawn with ${d.because}, which it needs`;
 
-const amounts = (a: Amounts) => ({ cpus: a[CPU] / UNIT, gpus: a[GPU] / UNIT });
+const amounts = (a: ResourceVector) => ({ cpus: a[CPU] / MICRO_UNITS, gpus: a[GPU] / MICRO_UNITS });
 
 /** The state of the fleet as this controller sees it, for operators. */
 export function status(ctx: Context, owner: Owner, healthy: boolean) {
   const { view } = ctx;
   const ledger = ctx.ledger();
-  const wall = ctx.clock.wall();
+  const wall = ctx.clock.wallClock();
   const waiting = [...view.jobs.values()].flatMap((j) => {
     const placed = ledger.jobs.get(j.spec.id)?.tasks.size ?? 0;
     const tasks = j.spec.tasks - j.done.count - placed;
@@ -55,8 +55,8 @@
       uses: amounts(ledger.used(t.name)),
       guaranteed: amounts(t.guarantee),
       limit: {
-        cpus: t.limitCpu === null ? null : t.limitCpu / UNIT,
-        gpus: t.limitGpu === null ? null : t.limitGpu / UNIT,
+        cpus: t.limitCpu === null ? null : t.limitCpu / MICRO_UNITS,
+        gpus: t.limitGpu === null ? null : t.limitGpu / MICRO_UNITS,
       },
     })),
     machines: [...view.machines.values()].slice(0, MOST).map((m) => ({
@@ -68,7 +68,7 @@
       phase: m.phase,
       drain: m.drain === true,
       answeredBy: ctx.substituteOf(m) ?? ctx.holderOf(m),
-      free: amounts(ledger.free.get(m.name) ?? NOTHING),
+      free: amounts(ledger.free.get(m.name) ?? NO_RESOURCES),
       tasks: m.placed.flatMap((p) => p.tasks.map((i) => ctx.task(p.job, i))),
     })),
     waiting: waiting.sort((a, b) => b.waitsS - a.waitsS).slice(0, MOST),
--- a/src/core/admission.ts
+++ b/src/core/admission.ts
@@ -2,7 +2,7 @@
  * How many requests may be in progress at once. The limit follows measured times: while answers take about
  * as long as the best of late it grows by one per window, and when they take longer it shrinks by a part.
  */
-import type { Steady } from './types.js';
+import type { MonotonicMs } from './types.js';
 
 /** Bounds of the limit, and when answers count as slow. */
 export interface AdmissionOptions {
@@ -40,7 +40,7 @@
     return true;
   }
 
-  leave(tookMs: number, now: Steady): void {
+  leave(tookMs: number, now: MonotonicMs): void {
     this.inProgress--;
     this.sum += tookMs;
     this.count++;
--- a/src/core/dependencies.ts
+++ b/src/core/dependencies.ts
@@ -9,13 +9,13 @@
   type JobId,
   type JobRecord,
   type Priority,
-  type WallMs,
+  type WallClockMs,
 } from './types.js';
 
 /** Whether a job that names others may start. */
 export type Dependency =
   /** All needed jobs are done; since when, as far as their final states tell. */
-  | { readonly kind: 'ready'; readonly since: WallMs }
+  | { readonly kind: 'ready'; readonly since: WallClockMs }
   /** Some are unfinished; of the others, those whose final states are not read yet may have been cancelled. */
   | { readonly kind: 'blocked'; readonly by: readonly JobId[]; readonly unread: readonly JobId[] }
   /** Needed jobs are over, and how is not read yet. */
@@ -164,7 +164,7 @@
 }
 
 /** The job as it is scheduled. Its own times count from when the last job that it needs was done, but for the deadline. */
-function withUrgency(job: JobRecord, since: WallMs, urgency: EffectiveUrgency): JobRecord {
+function withUrgency(job: JobRecord, since: WallClockMs, urgency: EffectiveUrgency): JobRecord {
   const { priority, dueMs } = urgency;
   const deadlineS = dueMs === null ? null : (dueMs - since) / 1000;
   return { ...job, submitted: since, spec: { ...job.spec, priority, deadlineS } };
--- a/src/core/drfh.ts
+++ b/src/core/drfh.ts
@@ -2,21 +2,21 @@
  * Dominant shares and the fitness H of "Multi-Resource Fair Allocation in Heterogeneous Cloud Computing
  * Systems", Sec. 4 and 5.2, with the GPU as a third resource.
  */
-import { CPU, GPU, type Amounts, type Team } from './types.js';
+import { CPU, GPU, type ResourceVector, type Team } from './types.js';
 
 /** Each resource of `a` as a share of the fleet's total; a resource the fleet lacks counts as none. */
-export function shares(a: Amounts, total: Amounts): [number, number, number] {
+export function resourceShares(a: ResourceVector, total: ResourceVector): [number, number, number] {
   const s = (i: 0 | 1 | 2) => (total[i] > 0 ? a[i] / total[i] : 0);
   return [s(0), s(1), s(2)];
 }
 
 /** The largest of the shares. */
-export function dominantShare(demand: Amounts, total: Amounts): number {
-  return Math.max(...shares(demand, total));
+export function dominantShare(demand: ResourceVector, total: ResourceVector): number {
+  return Math.max(...resourceShares(demand, total));
 }
 
 /** The team's guarantee, in whole units of the resource it is given in; 1 for a team without one. */
-export function weightOf(team: Team): number {
+export function teamWeight(team: Team): number {
   const most = Math.max(team.guarantee[GPU], team.guarantee[CPU]) / 1_000_000;
   return most > 0 ? most : 1;
 }
@@ -25,7 +25,7 @@
  * H(i, l) = |D/D1 - c/c1| summed over the resources, D the demand and c the machine's free room, both as
  * shares of the fleet's totals. Index 1 is the CPU, or the dominant resource for a task that asks no CPU.
  */
-export function fitness(demand: Amounts, free: Amounts, total: Amounts): number {
+export function fitness(demand: ResourceVector, free: ResourceVector, total: ResourceVector): number {
   // Called for every machine of a slice and every task: nothing is allocated here.
   let first = CPU as 0 | 1 | 2;
   if (demand[CPU] <= 0 || total[CPU] <= 0)
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -7,11 +7,11 @@
 import type {
   Attempt,
   Command,
-  ExitWhy,
+  ExitReason,
   JobId,
   MachineName,
   Report,
-  Steady,
+  MonotonicMs,
   TaskIndex,
   TeamName,
 } from './types.js';
@@ -29,7 +29,12 @@
 
 /** Something that a controller did or learned. */
 export type ServiceEvent =
-  | { readonly kind: 'job_accepted'; readonly job: JobId; readonly team: TeamName; readonly since: Steady }
+  | {
+      readonly kind: 'job_accepted';
+      readonly job: JobId;
+      readonly team: TeamName;
+      readonly since: MonotonicMs;
+    }
   /** Decided, and not yet committed. */
   | { readonly kind: 'task_placed'; readonly task: TaskOnMachine; readonly team: TeamName }
   /** Decided, and not yet committed. */
@@ -37,14 +42,14 @@
   | { readonly kind: 'command_sent'; readonly machine: MachineName; readonly command: Command }
   /** A report, or the answer to a direct message, was taken in under the machine's present token. */
   | { readonly kind: 'worker_heard'; readonly report: Report }
-  | { readonly kind: 'task_left'; readonly task: TaskOnMachine; readonly why: ExitWhy | null }
+  | { readonly kind: 'task_left'; readonly task: TaskOnMachine; readonly why: ExitReason | null }
   | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: Run }
   | { readonly kind: 'job_failing'; readonly job: JobId; readonly failures: JobFailures }
   | {
       readonly kind: 'transaction';
       readonly keys: readonly string[];
       readonly outcome: TransactionOutcome;
-      readonly since: Steady;
+      readonly since: MonotonicMs;
     };
 
 /** Takes in events; must neither throw nor wait. */
--- a/src/core/failures.ts
+++ b/src/core/failures.ts
@@ -3,10 +3,10 @@
  * on every machine until its user cancels it: it must neither cost the fleet its machines nor keep taking room, so it is
  * tried again with exponential backoff. A faulty machine shows by failing what runs elsewhere.
  */
-import type { ExitWhy, JobId, MachineName, Steady } from './types.js';
+import type { ExitReason, JobId, MachineName, MonotonicMs } from './types.js';
 
 /** Reasons of an exit that count as a failure of the job or of its machine. */
-export type FailureCause = Extract<ExitWhy, 'error' | 'unknown'>;
+export type FailureCause = Extract<ExitReason, 'error' | 'unknown'>;
 
 /** What is known of the failures of one job. */
 export interface JobFailures {
@@ -16,7 +16,7 @@
   readonly machines: ReadonlySet<MachineName>;
   readonly why: FailureCause;
   /** It is not tried again before. */
-  readonly until: Steady;
+  readonly until: MonotonicMs;
 }
 
 /** So many machines on which a job failed say that it is the job, while no task of it was seen to run well. */
@@ -39,7 +39,7 @@
   rounds: number;
   readonly machines: Set<MachineName>;
   why: FailureCause;
-  until: Steady;
+  until: MonotonicMs;
   /** A task of it was done, or has run for long. */
   done: boolean;
   ranLong: boolean;
@@ -59,7 +59,7 @@
   ) {}
 
   /** A task failed. `knownRounds`: what an earlier owner of the job has recorded. */
-  failed(job: JobId, machine: MachineName, why: FailureCause, now: Steady, knownRounds = 0): void {
+  failed(job: JobId, machine: MachineName, why: FailureCause, now: MonotonicMs, knownRounds = 0): void {
     const state = this.stateOf(job);
     state.machines.delete(machine);
     state.machines.add(machine);
@@ -70,7 +70,7 @@
     if (!this.isBlamed(state) || now < state.until) return;
     state.rounds++;
     const wait = Math.min(MOST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (state.rounds - 1));
-    state.until = (now + wait * (1 - JITTER + 2 * JITTER * this.random())) as Steady;
+    state.until = (now + wait * (1 - JITTER + 2 * JITTER * this.random())) as MonotonicMs;
   }
 
   /** Takes over what another controller has learned of a job, unless more is known here. */
@@ -89,7 +89,7 @@
     if (state !== undefined) {
       state.machines.clear();
       state.rounds = 0;
-      state.until = 0 as Steady;
+      state.until = 0 as MonotonicMs;
     }
     this.stateOf(job).done = true;
     this.machines.delete(machine);
@@ -138,7 +138,14 @@
     let state = this.jobs.get(job);
     if (state === undefined) {
       const none: JobState['machines'] = new Set();
-      state = { rounds: 0, machines: none, why: 'error', until: 0 as Steady, done: false, ranLong: false };
+      state = {
+        rounds: 0,
+        machines: none,
+        why: 'error',
+        until: 0 as MonotonicMs,
+        done: false,
+        ranLong: false,
+      };
       this.jobs.set(job, state);
     }
     return state;
--- a/src/core/fleet-levelling.ts
+++ b/src/core/fleet-levelling.ts
@@ -2,7 +2,7 @@
 import { dominantShare } from './drfh.js';
 import type { Bin, FleetInput, Want } from './fleet.js';
 import { typeAllowed } from './jobs.js';
-import type { Amounts, NodeName, TeamName } from './types.js';
+import type { ResourceVector, NodeName, TeamName } from './types.js';
 
 /** Moves cost changes of the state service, and a plan is made every second or so. */
 const MOST_LEVELLED = 2;
@@ -18,7 +18,7 @@
   rest: readonly Want[],
 ): { bin: Bin; to: NodeName }[] {
   const { ledger, owners } = input;
-  const size = (a: Amounts) => dominantShare(a, ledger.total);
+  const size = (a: ResourceVector) => dominantShare(a, ledger.total);
   const has = new Map<NodeName, number>();
   let all = 0;
   let machines = 0;
--- a/src/core/fleet-reclaim.ts
+++ b/src/core/fleet-reclaim.ts
@@ -1,7 +1,7 @@
 /** Which machines change slice with low-priority work on them, for work of higher priority that the cloud has no room for. */
 import type { Bin, FleetInput, Want } from './fleet.js';
 import { typeAllowed } from './jobs.js';
-import { PRIORITY_RANK, timesFits, type NodeName, type Placed, type Zone } from './types.js';
+import { PRIORITY_RANK, tasksThatFit, type NodeName, type Placed, type Zone } from './types.js';
 
 /** Moves cost changes of the state service, and a plan is made every second or so. */
 const MOST_RECLAIMED = 6;
@@ -34,7 +34,7 @@
       if (b.owner === node || b.real?.phase !== 'up' || !input.movable(b.real)) return 0;
       if (!isReclaimable(b.real.placed) || out.some((x) => x.bin === b)) return 0;
       if (!typeAllowed(spec, b.type) || (b.spot && !spec.spot) || (spec.zone ?? b.zone) !== b.zone) return 0;
-      return timesFits(spec.demand, types.get(b.type)!.capacity);
+      return tasksThatFit(spec.demand, types.get(b.type)!.capacity);
     };
     const zone = want.zone ?? (spec.oneZone ? zoneWithMost(bins, places) : null);
     let left = tasks;
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -9,12 +9,12 @@
 import { reclaimed, type RefusedWant } from './fleet-reclaim.js';
 import { jobOrder, type OrderContext } from './job-order.js';
 import {
-  NOTHING,
+  NO_RESOURCES,
   PRIORITY_RANK,
-  fits,
-  plus,
-  timesFits,
-  type Amounts,
+  fitsWithin,
+  addResources,
+  tasksThatFit,
+  type ResourceVector,
   type JobRecord,
   type JobSpec,
   type MachineRecord,
@@ -91,7 +91,7 @@
   readonly spot: boolean;
   readonly empty: boolean;
   owner: NodeName;
-  free: Amounts;
+  free: ResourceVector;
   taken: number;
 }
 
@@ -99,7 +99,7 @@
 function chooseType(spec: JobSpec, input: FleetInput): { type: MachineType; zone: Zone; spot: boolean }[] {
   const out: { type: MachineType; zone: Zone; spot: boolean; cost: number }[] = [];
   for (const type of input.types) {
-    if (!typeAllowed(spec, type.name) || !fits(spec.demand, type.capacity)) continue;
+    if (!typeAllowed(spec, type.name) || !fitsWithin(spec.demand, type.capacity)) continue;
     let per = Number.POSITIVE_INFINITY;
     for (const r of [0, 1, 2] as const)
       if (spec.demand[r] > 0) per = Math.min(per, Math.floor(type.capacity[r] / spec.demand[r]));
@@ -161,7 +161,7 @@
 
   // Most machines are full most of the time, and need not be looked at again for each job.
   const demands = [...waiting.map((j) => j.spec), ...input.reserve.map((r) => r.spec)].map((s) => s.demand);
-  const open = bins.filter((b) => b.empty || demands.some((d) => fits(d, b.free)));
+  const open = bins.filter((b) => b.empty || demands.some((d) => fitsWithin(d, b.free)));
 
   const moves: { machine: MachineRecord; to: NodeName }[] = [];
   const rentals: RentalNeed[] = [];
@@ -179,7 +179,7 @@
   const room = (b: Bin, spec: JobSpec, zone: Zone | null): number => {
     if (!typeAllowed(spec, b.type) || (b.spot && !spec.spot)) return 0;
     if ((zone ?? spec.zone ?? b.zone) !== b.zone || (spec.zone ?? b.zone) !== b.zone) return 0;
-    return timesFits(spec.demand, b.free);
+    return tasksThatFit(spec.demand, b.free);
   };
 
   /** Puts as many tasks as it can on paper, on the bins allowed; the best are filled first. */
@@ -199,7 +199,7 @@
       const n = Math.min(left, room(b, spec, w.zone), zoneCap(spec) - (w.zones.get(b.zone) ?? 0));
       if (n <= 0) continue;
       taken?.(b);
-      b.free = plus(b.free, spec.demand, -n);
+      b.free = addResources(b.free, spec.demand, -n);
       b.taken += n;
       w.zones.set(b.zone, (w.zones.get(b.zone) ?? 0) + n);
       left -= n;
@@ -285,11 +285,11 @@
     return best;
   };
 
-  const headroom = new Map<TeamName, Amounts>();
+  const headroom = new Map<TeamName, ResourceVector>();
   const fitsLimit = (spec: JobSpec) =>
-    ledger.timesWithinLimit(spec.team, spec.demand, headroom.get(spec.team) ?? NOTHING);
+    ledger.timesWithinLimit(spec.team, spec.demand, headroom.get(spec.team) ?? NO_RESOURCES);
   const count = (spec: JobSpec, n: number) =>
-    headroom.set(spec.team, plus(headroom.get(spec.team) ?? NOTHING, spec.demand, n));
+    headroom.set(spec.team, addResources(headroom.get(spec.team) ?? NO_RESOURCES, spec.demand, n));
 
   // First what each slice can take by itself now, so that no slice loses a machine that it needs; then what others
   // have to spare now; only then what boots, or is to be rented.
--- a/src/core/job-order.ts
+++ b/src/core/job-order.ts
@@ -1,9 +1,9 @@
 /** The order in which the jobs of a team are served. */
-import { PRIORITY_RANK, type JobId, type JobRecord, type WallMs } from './types.js';
+import { PRIORITY_RANK, type JobId, type JobRecord, type WallClockMs } from './types.js';
 
 /** What the order depends on beside the jobs themselves. */
 export interface OrderContext {
-  readonly wall: WallMs;
+  readonly wall: WallClockMs;
   /** Whether some task of the job is on a machine. */
   readonly hasTasks: (id: JobId) => boolean;
   /** A job of which nothing runs after so long is not left behind arrays that are late in any case. */
--- a/src/core/jobs.ts
+++ b/src/core/jobs.ts
@@ -2,7 +2,7 @@
 import {
   CPU,
   GPU,
-  fits,
+  fitsWithin,
   type DoneSet,
   type JobRecord,
   type JobSpec,
@@ -83,7 +83,7 @@
   for (const t of types) {
     if (!typeAllowed(spec, t.name)) continue;
     if (spec.zone !== null && !t.zones.includes(spec.zone)) continue;
-    if (fits(spec.demand, t.capacity)) fitting = true;
+    if (fitsWithin(spec.demand, t.capacity)) fitting = true;
   }
   if (!fitting) return 'fits_no_type';
   const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
--- a/src/core/ledger.ts
+++ b/src/core/ledger.ts
@@ -3,13 +3,13 @@
  * it counts each placed task that is not yet proved gone. The sums follow the records one by one, so that the
  * work goes with what changed and not with the size of the fleet.
  */
-import { dominantShare, weightOf } from './drfh.js';
+import { dominantShare, teamWeight } from './drfh.js';
 import {
   CPU,
   GPU,
-  NOTHING,
-  plus,
-  type Amounts,
+  NO_RESOURCES,
+  addResources,
+  type ResourceVector,
   type Attempt,
   type JobId,
   type MachineName,
@@ -35,9 +35,9 @@
 }
 
 interface TeamSums {
-  used: Amounts;
+  used: ResourceVector;
   /** The part of it that does not end by itself. */
-  lasting: Amounts;
+  lasting: ResourceVector;
   /** Sum of the dominant shares of the team's tasks, not yet divided by its weight. */
   dominant: number;
   tasks: number;
@@ -52,11 +52,11 @@
 /** Sums over the machine records, kept up to date record by record. */
 export class Ledger {
   readonly jobs = new Map<JobId, JobPlacement>();
-  readonly free = new Map<MachineName, Amounts>();
+  readonly free = new Map<MachineName, ResourceVector>();
   private readonly machines = new Map<MachineName, MachineRecord>();
   private readonly teamSums = new Map<TeamName, TeamSums>();
-  private fleet: Amounts = NOTHING;
-  private totalNow: Amounts = NOTHING;
+  private fleet: ResourceVector = NO_RESOURCES;
+  private totalNow: ResourceVector = NO_RESOURCES;
   /** The dominant shares were added up for another total. */
   private stale = false;
 
@@ -69,12 +69,12 @@
     for (const m of machines) this.set(m.name, m);
   }
 
-  get total(): Amounts {
+  get total(): ResourceVector {
     return this.totalNow;
   }
 
-  used(team: TeamName): Amounts {
-    return this.teamSums.get(team)?.used ?? NOTHING;
+  used(team: TeamName): ResourceVector {
+    return this.teamSums.get(team)?.used ?? NO_RESOURCES;
   }
 
   /** Takes in the present record of a machine, or that it has none. */
@@ -88,7 +88,7 @@
     }
     if (m === undefined) return;
     this.machines.set(name, m);
-    this.free.set(name, this.types.get(m.type)?.capacity ?? NOTHING);
+    this.free.set(name, this.types.get(m.type)?.capacity ?? NO_RESOURCES);
     this.counts(m, 1);
     for (const p of m.placed) this.add(m, p);
   }
@@ -96,7 +96,7 @@
   private counts(m: MachineRecord, times: number): void {
     const t = this.types.get(m.type);
     if (t === undefined || m.phase === 'releasing') return;
-    this.fleet = plus(this.fleet, t.capacity, times);
+    this.fleet = addResources(this.fleet, t.capacity, times);
     this.retotal();
   }
 
@@ -161,24 +161,24 @@
   }
 
   private sumMachine(m: { name: MachineName }, p: Placed, n: number): void {
-    this.free.set(m.name, plus(this.free.get(m.name) ?? NOTHING, p.demand, -n));
+    this.free.set(m.name, addResources(this.free.get(m.name) ?? NO_RESOURCES, p.demand, -n));
   }
 
   private sumTeam(p: Placed, n: number): void {
     let t = this.teamSums.get(p.team);
     if (t === undefined) {
-      t = { used: NOTHING, lasting: NOTHING, dominant: 0, tasks: 0 };
+      t = { used: NO_RESOURCES, lasting: NO_RESOURCES, dominant: 0, tasks: 0 };
       this.teamSums.set(p.team, t);
     }
-    t.used = plus(t.used, p.demand, n);
-    if (p.kind === 'service') t.lasting = plus(t.lasting, p.demand, n);
+    t.used = addResources(t.used, p.demand, n);
+    if (p.kind === 'service') t.lasting = addResources(t.lasting, p.demand, n);
     t.tasks += n;
     t.dominant = t.tasks === 0 ? 0 : t.dominant + dominantShare(p.demand, this.total) * n;
   }
 
   weight(team: TeamName): number {
     const t = this.teams.get(team);
-    return t === undefined ? 1 : weightOf(t);
+    return t === undefined ? 1 : teamWeight(t);
   }
 
   /** The team's global dominant share divided by its weight. */
@@ -193,20 +193,20 @@
     return (this.teamSums.get(team)?.dominant ?? 0) / this.weight(team);
   }
 
-  withinLimit(team: TeamName, demand: Amounts, times: number): boolean {
+  withinLimit(team: TeamName, demand: ResourceVector, times: number): boolean {
     return this.fitsLimit(team, this.used(team), demand, times);
   }
 
   /** Whether so much will fit into the team's limit once its work that ends by itself has ended. */
-  willFitLimit(team: TeamName, demand: Amounts, times: number): boolean {
-    return this.fitsLimit(team, this.teamSums.get(team)?.lasting ?? NOTHING, demand, times);
+  willFitLimit(team: TeamName, demand: ResourceVector, times: number): boolean {
+    return this.fitsLimit(team, this.teamSums.get(team)?.lasting ?? NO_RESOURCES, demand, times);
   }
 
   /** How many more tasks the team's limit allows beside what it uses and `extra`. */
-  timesWithinLimit(team: TeamName, demand: Amounts, extra: Amounts): number {
+  timesWithinLimit(team: TeamName, demand: ResourceVector, extra: ResourceVector): number {
     const t = this.teams.get(team);
     if (t === undefined) return 0;
-    const used = plus(this.used(team), extra);
+    const used = addResources(this.used(team), extra);
     const times = (limit: number | null, r: typeof CPU | typeof GPU) =>
       limit === null || demand[r] <= 0
         ? Number.POSITIVE_INFINITY
@@ -214,10 +214,10 @@
     return Math.min(times(t.limitCpu, CPU), times(t.limitGpu, GPU));
   }
 
-  private fitsLimit(team: TeamName, used: Amounts, demand: Amounts, times: number): boolean {
+  private fitsLimit(team: TeamName, used: ResourceVector, demand: ResourceVector, times: number): boolean {
     const t = this.teams.get(team);
     if (t === undefined) return false;
-    const after = plus(used, demand, times);
+    const after = addResources(used, demand, times);
     if (t.limitCpu !== null && demand[CPU] > 0 && after[CPU] > t.limitCpu) return false;
     return !(t.limitGpu !== null && demand[GPU] > 0 && after[GPU] > t.limitGpu);
   }
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -10,10 +10,10 @@
 import { TASK_BYTES, entryBytes } from './records.js';
 import {
   PRIORITY_RANK,
-  fits,
-  plus,
-  timesFits,
-  type Amounts,
+  fitsWithin,
+  addResources,
+  tasksThatFit,
+  type ResourceVector,
   type Attempt,
   type JobId,
   type JobRecord,
@@ -112,11 +112,11 @@
 }
 
 /** The least that any of the jobs asks for of each resource; null where there are none. */
-function leastDemand(queues: Iterable<readonly JobRecord[]>): Amounts | null {
-  let least: Amounts | null = null;
+function leastDemand(queues: Iterable<readonly JobRecord[]>): ResourceVector | null {
+  let least: ResourceVector | null = null;
   for (const queue of queues)
     for (const { spec } of queue) {
-      const known: Amounts = least ?? spec.demand;
+      const known: ResourceVector = least ?? spec.demand;
       const { demand } = spec;
       least = [Math.min(demand[0], known[0]), Math.min(demand[1], known[1]), Math.min(demand[2], known[2])];
     }
@@ -124,9 +124,9 @@
 }
 
 /** Most machines are full most of the time: only those are looked at that can take the least of the demands. */
-function openRooms({ slice, ledger, recordRoom }: ScheduleInput, least: Amounts | null): Room[] {
+function openRooms({ slice, ledger, recordRoom }: ScheduleInput, least: ResourceVector | null): Room[] {
   if (least === null) return [];
-  const open = slice.filter((m) => fits(least, ledger.free.get(m.name)!));
+  const open = slice.filter((m) => fitsWithin(least, ledger.free.get(m.name)!));
   return open.map((m) => ({
     m,
     bytes: recordRoom(m.name),
@@ -179,8 +179,8 @@
       if ((zones.get(m.zone) ?? 0) >= cap) continue;
       const n = taken.get(m.name) ?? 0;
       if (slots(room, spec) <= n) continue;
-      const free: Amounts = plus(ledger.free.get(m.name)!, spec.demand, -n);
-      if (!fits(spec.demand, free) || input.avoid(spec.id, m.name)) continue;
+      const free: ResourceVector = addResources(ledger.free.get(m.name)!, spec.demand, -n);
+      if (!fitsWithin(spec.demand, free) || input.avoid(spec.id, m.name)) continue;
       const h = fitness(spec.demand, free, ledger.total);
       // H decides among the machines in use. An empty one is opened only when nothing in use fits: H looks at
       // shape and not at size, and would else put something small on every machine that a gang needs whole.
@@ -228,7 +228,7 @@
     const { m } = room;
     if (kept(room, spec) || !typeAllowed(spec, m.type) || (m.spot && !spec.spot)) return 0;
     if ((zone ?? spec.zone ?? m.zone) !== m.zone) return 0;
-    return Math.min(slots(room, spec), timesFits(spec.demand, ledger.free.get(m.name)!));
+    return Math.min(slots(room, spec), tasksThatFit(spec.demand, ledger.free.get(m.name)!));
   };
 
   /** Kept for a gang of at least the same priority. */
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -8,9 +8,9 @@
   CPU,
   GPU,
   PRIORITY_RANK,
-  fits,
-  plus,
-  timesFits,
+  fitsWithin,
+  addResources,
+  tasksThatFit,
   type JobId,
   type JobRecord,
   type JobSpec,
@@ -28,7 +28,7 @@
   tasks: number,
 ): boolean {
   if (team === undefined) return false;
-  const used = plus(ledger.used(team.name), spec.demand, tasks);
+  const used = addResources(ledger.used(team.name), spec.demand, tasks);
   const asked = [CPU, GPU].filter((r) => team.guarantee[r as 0 | 2] > 0 && spec.demand[r as 0 | 2] > 0);
   return asked.length > 0 && asked.every((r) => used[r as 0 | 2] <= team.guarantee[r as 0 | 2]);
 }
@@ -89,12 +89,12 @@
     let cost = 0;
     const victims: Placed[] = [];
     for (const { p, cost: c } of order) {
-      if (fits(job.demand, free)) break;
-      free = plus(free, p.demand, p.tasks.length);
+      if (fitsWithin(job.demand, free)) break;
+      free = addResources(free, p.demand, p.tasks.length);
       cost += c;
       victims.push(p);
     }
-    if (victims.length === 0 || !fits(job.demand, free) || cost >= bestLoss) continue;
+    if (victims.length === 0 || !fitsWithin(job.demand, free) || cost >= bestLoss) continue;
     best = { machine, victims };
     bestLoss = cost;
   }
@@ -111,9 +111,9 @@
 function gangPlaceOn(machine: MachineRecord, { job, jobs, ledger }: PreemptInput) {
   const free = ledger.free.get(machine.name)!;
   const victims = machine.placed.filter((p) => p.priority === 'low' && p.kind === 'array' && p.stop !== true);
-  const now = timesFits(job.demand, free);
-  const all = victims.reduce((room, p) => plus(room, p.demand, p.tasks.length), free);
-  const later = timesFits(job.demand, all);
+  const now = tasksThatFit(job.demand, free);
+  const all = victims.reduce((room, p) => addResources(room, p.demand, p.tasks.length), free);
+  const later = tasksThatFit(job.demand, all);
   if (later <= now) return { machine, victims: [], places: now, cost: 0 };
   const cost = victims.reduce((sum, p) => sum + loss(p, jobs.get(p.job)), 0);
   return { machine, victims, places: later, cost };
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -25,15 +25,15 @@
 /** Revision of the whole state service. */
 export type Revision = Brand<number, 'Revision'>;
 /** Fencing token of a machine. */
-export type Token = Brand<number, 'Token'>;
+export type FencingToken = Brand<number, 'Token'>;
 /** Tells one start of a task from its others; the tasks of a gang share theirs. */
 export type Attempt = Brand<number, 'Attempt'>;
 /** Number of a task in its job, from 0. */
 export type TaskIndex = number;
 /** Milliseconds on this process's steady clock. */
-export type Steady = Brand<number, 'Steady'>;
+export type MonotonicMs = Brand<number, 'Steady'>;
 /** Milliseconds of the time of day; only ever used with slack. */
-export type WallMs = Brand<number, 'WallMs'>;
+export type WallClockMs = Brand<number, 'WallMs'>;
 
 /** Takes text for a job id. */
 export const jobId = (s: string) => s as JobId;
@@ -54,13 +54,13 @@
 /** Takes a number for a revision. */
 export const revision = (n: number) => n as Revision;
 /** Takes a number for a fencing token. */
-export const token = (n: number) => n as Token;
+export const fencingToken = (n: number) => n as FencingToken;
 /** Takes a number for an attempt. */
 export const attempt = (n: number) => n as Attempt;
 /** Takes milliseconds for a time of the steady clock. */
-export const steady = (n: number) => n as Steady;
+export const monotonicMs = (n: number) => n as MonotonicMs;
 /** Takes milliseconds for a time of day. */
-export const wallMs = (n: number) => n as WallMs;
+export const wallClockMs = (n: number) => n as WallClockMs;
 
 /** The version of a key that does not exist. */
 export const NO_VERSION = version(0);
@@ -69,48 +69,48 @@
  * Amounts of the three resources in whole millionths, so that adding and taking away loses nothing:
  * [cpu, memory in GB, gpu].
  */
-export type Amounts = readonly [number, number, number];
+export type ResourceVector = readonly [number, number, number];
 /** Amounts are whole numbers of this part of a unit. */
-export const UNIT = 1_000_000;
+export const MICRO_UNITS = 1_000_000;
 /** Index of the CPUs in amounts. */
 export const CPU = 0;
 /** Index of the memory. */
-export const MEM = 1;
+export const MEMORY = 1;
 /** Index of the GPUs. */
 export const GPU = 2;
 /** A demand is rounded up and a capacity down, so no machine is ever promised more than it has. */
-export const demandOf = (cpus: number, memoryGb: number, gpus: number): Amounts => [
-  Math.ceil(cpus * UNIT - 1e-3),
-  Math.ceil(memoryGb * UNIT - 1e-3),
-  Math.ceil(gpus * UNIT - 1e-3),
+export const demandVector = (cpus: number, memoryGb: number, gpus: number): ResourceVector => [
+  Math.ceil(cpus * MICRO_UNITS - 1e-3),
+  Math.ceil(memoryGb * MICRO_UNITS - 1e-3),
+  Math.ceil(gpus * MICRO_UNITS - 1e-3),
 ];
 /** A machine's capacity, rounded down. */
-export const capacityOf = (cpus: number, memoryGb: number, gpus: number): Amounts => [
-  Math.floor(cpus * UNIT + 1e-3),
-  Math.floor(memoryGb * UNIT + 1e-3),
-  Math.floor(gpus * UNIT + 1e-3),
+export const capacityVector = (cpus: number, memoryGb: number, gpus: number): ResourceVector => [
+  Math.floor(cpus * MICRO_UNITS + 1e-3),
+  Math.floor(memoryGb * MICRO_UNITS + 1e-3),
+  Math.floor(gpus * MICRO_UNITS + 1e-3),
 ];
 /** The sum of `a` and so many times `b`. */
-export const plus = (a: Amounts, b: Amounts, times = 1): Amounts => [
+export const addResources = (a: ResourceVector, b: ResourceVector, times = 1): ResourceVector => [
   a[0] + b[0] * times,
   a[1] + b[1] * times,
   a[2] + b[2] * times,
 ];
 /** Whether a need fits into the room, in every resource. */
-export const fits = (need: Amounts, room: Amounts) =>
+export const fitsWithin = (need: ResourceVector, room: ResourceVector) =>
   need[0] <= room[0] && need[1] <= room[1] && need[2] <= room[2];
 /** How many times the need fits into the room. */
-export const timesFits = (need: Amounts, room: Amounts): number => {
+export const tasksThatFit = (need: ResourceVector, room: ResourceVector): number => {
   let n = Number.POSITIVE_INFINITY;
-  for (const r of [CPU, MEM, GPU] as const)
+  for (const r of [CPU, MEMORY, GPU] as const)
     if (need[r] > 0) n = Math.min(n, Math.max(0, Math.floor(room[r] / need[r])));
   return n;
 };
 /** No amount of anything. */
-export const NOTHING: Amounts = [0, 0, 0];
+export const NO_RESOURCES: ResourceVector = [0, 0, 0];
 
 /** Array: independent tasks. Gang: all tasks at the same time or none. Service: replicas until cancelled. */
-export type Kind = 'array' | 'gang' | 'service';
+export type JobKind = 'array' | 'gang' | 'service';
 /** Priorities, from the highest to the lowest. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 /** A smaller rank is a higher priority. */
@@ -121,10 +121,10 @@
   readonly id: JobId;
   readonly class: string;
   readonly team: TeamName;
-  readonly kind: Kind;
+  readonly kind: JobKind;
   readonly priority: Priority;
   readonly tasks: number;
-  readonly demand: Amounts;
+  readonly demand: ResourceVector;
   readonly image: string;
   readonly imageGb: number;
   readonly types: readonly TypeName[] | null;
@@ -143,7 +143,7 @@
 /** A type of machine that the cloud rents. */
 export interface MachineType {
   readonly name: TypeName;
-  readonly capacity: Amounts;
+  readonly capacity: ResourceVector;
   readonly price: number;
   readonly spotPrice: number;
   readonly bootS: number;
@@ -156,7 +156,7 @@
 export interface Team {
   readonly name: TeamName;
   /** [cpu, memory (never guaranteed), gpu]; 0 means none. */
-  readonly guarantee: Amounts;
+  readonly guarantee: ResourceVector;
   /** Null where the settings give 0: no limit of that kind. */
   readonly limitCpu: number | null;
   readonly limitGpu: number | null;
@@ -183,7 +183,7 @@
   /** How often, with what and where it failed, and when it is tried next. */
   readonly failing?: {
     readonly rounds: number;
-    readonly why: ExitWhy;
+    readonly why: ExitReason;
     readonly machines: readonly MachineName[];
     readonly nextTryInS: number;
   };
@@ -195,20 +195,20 @@
   readonly phase: JobPhase;
   /** Tasks below `base` are done; of those from it on, the ones whose bit is set. */
   readonly done: DoneSet;
-  readonly submitted: WallMs;
+  readonly submitted: WallClockMs;
   /** It fails wherever it runs; gone with the next task that is done. */
-  readonly failing?: FailingRecord;
+  readonly failing?: JobFailureRecord;
 }
 
 /** What a job's record says of its failures, so that another owner goes on with its waits, and its user can see them. */
-export interface FailingRecord {
+export interface JobFailureRecord {
   /** How often it was tried and failed since it is taken to fail everywhere. */
   readonly rounds: number;
-  readonly why: ExitWhy;
+  readonly why: ExitReason;
   /** The machines where it failed last. */
   readonly machines: readonly MachineName[];
   /** It is not tried again before. */
-  readonly until: WallMs;
+  readonly until: WallClockMs;
 }
 
 /** Which tasks of a job are done. */
@@ -224,7 +224,7 @@
   readonly state: FinalState;
   readonly done: number;
   /** When it was over; versions before pipelines did not write it. */
-  readonly at?: WallMs;
+  readonly at?: WallClockMs;
   /** The job whose cancellation withdrew this one, where it was not its own. */
   readonly because?: JobId;
 }
@@ -233,9 +233,9 @@
 export interface Placed {
   readonly job: JobId;
   readonly team: TeamName;
-  readonly kind: Kind;
+  readonly kind: JobKind;
   readonly priority: Priority;
-  readonly demand: Amounts;
+  readonly demand: ResourceVector;
   readonly attempt: Attempt;
   readonly tasks: readonly TaskIndex[];
   /** Set once the tasks are to go: a controller that takes over goes on with it. */
@@ -260,7 +260,7 @@
   readonly address?: string;
   readonly placed: readonly Placed[];
   /** When the record was made, for judging a boot that takes too long. */
-  readonly since: WallMs;
+  readonly since: WallClockMs;
   /** No new work is put here. */
   readonly drain?: boolean;
   /** Images that it has cached as far as is known, the latest used last. */
@@ -292,7 +292,7 @@
 }
 
 /** The leadership; it goes with its lease. */
-export interface LeaderRecord {
+export interface LeadershipRecord {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
   readonly lease: number;
@@ -317,7 +317,8 @@
 /** State of a task on its machine. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 /** Why a task has left its machine. */
-export type ExitWhy = 'done' | 'stopped' | 'peers' | 'incomplete' | 'error' | 'full' | 'in_use' | 'unknown';
+export type ExitReason =
+  'done' | 'stopped' | 'peers' | 'incomplete' | 'error' | 'full' | 'in_use' | 'unknown';
 
 /** A task as its worker reports it. */
 export interface ReportedTask {
@@ -325,8 +326,8 @@
   readonly index: TaskIndex;
   readonly attempt: Attempt;
   readonly state: TaskState;
-  readonly why: ExitWhy | null;
-  readonly saved: boolean;
+  readonly exitReason: ExitReason | null;
+  readonly hasCheckpoint: boolean;
 }
 
 /** A worker's report. */
@@ -338,7 +339,7 @@
   readonly spot: boolean;
   readonly session: number;
   readonly seq: number;
-  readonly token: Token;
+  readonly token: FencingToken;
   readonly noticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
--- a/src/core/view.ts
+++ b/src/core/view.ts
@@ -6,14 +6,14 @@
 import { parseKey } from './keys.js';
 import { jobFromStored, type StoredJob } from './records.js';
 import {
-  token,
+  fencingToken,
   version,
   revision,
   type Incarnation,
   type JobId,
   type JobRecord,
   type SubstitutesRecord,
-  type LeaderRecord,
+  type LeadershipRecord,
   type MachineName,
   type MachineRecord,
   type MachineType,
@@ -23,7 +23,7 @@
   type SliceRecord,
   type TeamName,
   type TeamRecord,
-  type Token,
+  type FencingToken,
   type Version,
   NO_VERSION,
 } from './types.js';
@@ -58,7 +58,7 @@
     string,
     { readonly node: string; readonly machines: ReadonlySet<MachineName> }
   >();
-  leader: LeaderRecord | null = null;
+  leader: LeadershipRecord | null = null;
   types: readonly MachineType[] | null = null;
   /** Machines whose records changed since somebody last took the set in; see `Context.ledger`. */
   readonly touched = new Set<MachineName>();
@@ -79,8 +79,8 @@
    * which is raised above its token whenever it changes slice. Revisions only grow, so each change of who may
    * command a machine gives it a higher token, and a whole slice changes hands with a single write.
    */
-  tokenOf(m: MachineRecord): Token {
-    return token(Math.max(this.sliceVersions.get(m.owner) ?? NO_VERSION, m.floor));
+  tokenOf(m: MachineRecord): FencingToken {
+    return fencingToken(Math.max(this.sliceVersions.get(m.owner) ?? NO_VERSION, m.floor));
   }
 
   /**
@@ -169,7 +169,7 @@
         else this.cancellations.add(parsed.job);
         break;
       case 'leader':
-        this.leader = (value ?? null) as LeaderRecord | null;
+        this.leader = (value ?? null) as LeadershipRecord | null;
         break;
       case 'types':
         this.indexTypes(k, value);
--- a/src/core/worker-reports.ts
+++ b/src/core/worker-reports.ts
@@ -9,26 +9,26 @@
 import { isDone } from './jobs.js';
 import type { Ledger } from './ledger.js';
 import {
-  NOTHING,
-  fits,
-  plus,
+  NO_RESOURCES,
+  fitsWithin,
+  addResources,
   type Attempt,
   type Command,
-  type ExitWhy,
+  type ExitReason,
   type JobId,
   type JobRecord,
   type MachineRecord,
   type Placed,
   type Report,
   type ReportedTask,
-  type Steady,
+  type MonotonicMs,
   type TaskIndex,
-  type Token,
+  type FencingToken,
 } from './types.js';
 
 /** What the present owner remembers of a machine under one token. All of it may be lost at any time. */
 export interface MachineMemory {
-  readonly token: Token;
+  readonly token: FencingToken;
   report: Report | null;
   /**
    * The newest report that the worker sent by itself. An answer to a direct command may be newer and still
@@ -36,25 +36,25 @@
    */
   posted: { session: number; seq: number } | null;
   /** When the newest of those came. */
-  postedAt: Steady | null;
+  postedAt: MonotonicMs | null;
   /** Since when they have come without a gap. */
-  steadySince: Steady | null;
+  steadySince: MonotonicMs | null;
   /** When the machine last showed that it is there and hears its owner, or when this owner took over. */
-  heardAt: Steady;
+  heardAt: MonotonicMs;
   /** When this owner first got a report. */
-  firstAt: Steady | null;
+  firstAt: MonotonicMs | null;
   /** The report whose answer carried a start, by task. */
   readonly started: Map<string, { session: number; seq: number }>;
   /** Tasks that were seen on the machine. */
   readonly seen: Set<string>;
   /** When a task was last told to stop. */
-  readonly stopped: Map<string, Steady>;
+  readonly stopped: Map<string, MonotonicMs>;
   /** Tasks known to be gone: since when and why. */
-  readonly left: Map<string, { at: Steady; why: ExitWhy | null }>;
+  readonly left: Map<string, { at: MonotonicMs; why: ExitReason | null }>;
 }
 
 /** Nothing is known of a machine yet under this token. */
-export const newMemory = (token: Token, now: Steady): MachineMemory => ({
+export const newMemory = (token: FencingToken, now: MonotonicMs): MachineMemory => ({
   token,
   report: null,
   posted: null,
@@ -85,7 +85,7 @@
 export function takeReport(
   mem: MachineMemory,
   report: Report,
-  now: Steady,
+  now: MonotonicMs,
   posted: boolean,
   reportMs: number,
 ): boolean {
@@ -142,7 +142,7 @@
   readonly placed: Placed;
   readonly index: TaskIndex;
   /** Null: the machine does not know the task and never will. */
-  readonly why: ExitWhy | null;
+  readonly why: ExitReason | null;
 }
 
 const index = (report: Report): Map<string, ReportedTask> =>
@@ -164,8 +164,8 @@
       const t = listed.get(k);
       if (t !== undefined) {
         // Its gang never started, and the others still fetch their image: it only has to wait anew.
-        if (t.why === 'incomplete' && unwanted(placed, i, w) === null) continue;
-        if (t.state === 'exited') out.push({ placed, index: i, why: t.why ?? 'error' });
+        if (t.exitReason === 'incomplete' && unwanted(placed, i, w) === null) continue;
+        if (t.state === 'exited') out.push({ placed, index: i, why: t.exitReason ?? 'error' });
         continue;
       }
       // Its worker has lost its lease since and forgotten the exit; the task is gone all the more.
@@ -188,7 +188,7 @@
   record: MachineRecord,
   mem: MachineMemory,
   w: Wanted,
-  now: Steady,
+  now: MonotonicMs,
   start: boolean,
 ): Command[] {
   const { report } = mem;
@@ -204,7 +204,7 @@
     if (t.state === 'exited') {
       // The record's entry goes in one commit with the result, so its absence says the result is durable.
       if (mine === undefined) out.push({ op: 'forget', ...at });
-      else if (start && t.why === 'incomplete' && unwanted(mine.placed, mine.index, w) === null) {
+      else if (start && t.exitReason === 'incomplete' && unwanted(mine.placed, mine.index, w) === null) {
         // Forgotten, the attempt can be started once more; the gang is completed under the number that it has.
         // A new attempt instead would give up every fetch that takes longer than a task may wait.
         mem.started.set(k, { session: report.session, seq: report.seq });
@@ -227,13 +227,13 @@
   // A record may say too much: entries of tasks that are done stay in it for a while, and their room is used again.
   // So only as much is started as there is room for beside what is known to be there.
   const alive = (k: string) => listed.get(k)?.state !== 'exited' && listed.has(k);
-  let room = w.ledger.free.get(record.name) ?? NOTHING;
-  for (const [k, { placed }] of known) if (!alive(k)) room = plus(room, placed.demand);
+  let room = w.ledger.free.get(record.name) ?? NO_RESOURCES;
+  for (const [k, { placed }] of known) if (!alive(k)) room = addResources(room, placed.demand);
   for (const [k, { placed, index: i }] of known) {
     if (listed.has(k) || mem.left.has(k) || unwanted(placed, i, w) !== null) continue;
     if (placed.kind === 'gang' && mem.seen.has(k)) continue;
-    if (!fits(placed.demand, room)) continue;
-    room = plus(room, placed.demand, -1);
+    if (!fitsWithin(placed.demand, room)) continue;
+    room = addResources(room, placed.demand, -1);
     mem.started.set(k, { session: report.session, seq: report.seq });
     out.push({ op: 'start', job: placed.job, index: i, attempt: placed.attempt });
   }
--- a/src/io/state/client.ts
+++ b/src/io/state/client.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../../core/clock.js';
 import type { TransactionOutcome } from '../../core/events.js';
 import { WATCHED_PREFIX } from '../../core/keys.js';
-import { NO_VERSION, revision, type Revision, type Steady, type Version } from '../../core/types.js';
+import { NO_VERSION, revision, type Revision, type MonotonicMs, type Version } from '../../core/types.js';
 import type { Change } from '../../core/view.js';
 import type { Method, Reply, Transport } from '../http.js';
 import { RateLimiter, URGENCY, type Urgency } from '../rate-limiter.js';
@@ -80,7 +80,7 @@
     private readonly finished: (
       ops: readonly Op[],
       outcome: TransactionOutcome,
-      since: Steady,
+      since: MonotonicMs,
     ) => void = () => undefined,
   ) {
     this.limiter = new RateLimiter(
--- a/src/io/users.ts
+++ b/src/io/users.ts
@@ -2,7 +2,7 @@
 import fastify, { type FastifyInstance } from 'fastify';
 import type { Logger } from 'pino';
 import { Admission } from '../core/admission.js';
-import { jobId, steady } from '../core/types.js';
+import { jobId, monotonicMs } from '../core/types.js';
 import type { Cancelled, Jobs } from '../controller/jobs.js';
 import type { ReportRouter } from '../controller/report-router.js';
 import type { PackageHost } from '../packages/host.js';
@@ -39,7 +39,7 @@
   // Each has its own limit: however many questions are asked, and however slow their answers, submissions are taken.
   const submissions = new Admission(bounds);
   const questions = new Admission(bounds);
-  const now = () => steady(performance.now());
+  const now = () => monotonicMs(performance.now());
 
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'string' }, (_req, body, done) => {
--- a/src/io/wire.ts
+++ b/src/io/wire.ts
@@ -2,23 +2,23 @@
 import { Type, type Static } from '@sinclair/typebox';
 import {
   attempt,
-  capacityOf,
-  demandOf,
+  capacityVector,
+  demandVector,
   jobId,
   machineName,
   revision,
   teamName,
-  token,
+  fencingToken,
   typeName,
   version,
   zoneName,
   type Command,
-  type ExitWhy,
+  type ExitReason,
   type JobId,
   type JobSpec,
   type JobState,
   type JobStatus,
-  type Kind,
+  type JobKind,
   type MachineName,
   type MachineType,
   type Priority,
@@ -26,7 +26,7 @@
   type ReportedTask,
   type Revision,
   type TaskState,
-  type Token,
+  type FencingToken,
   type TypeName,
   type Version,
   type Zone,
@@ -96,7 +96,7 @@
   awaits: Type.Optional(Type.Union([Type.Null(), Type.Array(Type.String({ pattern: ID }))])),
 });
 
-const KIND: Record<string, Kind> = { sweep: 'array', ensemble: 'gang', daemon: 'service' };
+const KIND: Record<string, JobKind> = { sweep: 'array', ensemble: 'gang', daemon: 'service' };
 const PRIORITY: Record<string, Priority> = {
   production: 'production',
   urgent: 'high',
@@ -120,7 +120,7 @@
     kind: KIND[b.shape]!,
     priority: PRIORITY[b.tier]!,
     tasks: b.shards,
-    demand: demandOf(b.vcpus, b.memoryGb, b.cards),
+    demand: demandVector(b.vcpus, b.memoryGb, b.cards),
     image: b.bundle,
     imageGb: b.pullGb,
     types: b.flavors?.map(typeName) ?? null,
@@ -207,8 +207,8 @@
       index: at.index,
       attempt: attempt(t['tryNo']),
       state,
-      why: typeof why === 'string' && WHYS.has(why) ? (why as ExitWhy) : null,
-      saved: t['stored'] === true,
+      exitReason: typeof why === 'string' && WHYS.has(why) ? (why as ExitReason) : null,
+      hasCheckpoint: t['stored'] === true,
     });
   }
   const notice = b['recallS'];
@@ -220,7 +220,7 @@
     spot: b['loaner'] === true,
     session: b['shift'],
     seq: b['tally'],
-    token: token((b['mandate'] ?? 0) as number),
+    token: fencingToken((b['mandate'] ?? 0) as number),
     noticeS: typeof notice === 'number' ? notice : null,
     tasks,
   };
@@ -234,11 +234,11 @@
   ...(c.op === 'stop' ? { windDownS: c.graceS } : {}),
 });
 /** No line may exceed 64 KiB, so what does not fit waits for the next report. */
-export function commandsToWire(tok: Token, commands: readonly Command[]) {
+export function commandsToWire(tok: FencingToken, commands: readonly Command[]) {
   return { mandate: tok, orders: commands.slice(0, 400).map(commandToWire) };
 }
 /** The body of a direct command to a worker. */
-export const directToWire = (tok: Token, session: number, commands: readonly Command[]) => ({
+export const directToWire = (tok: FencingToken, session: number, commands: readonly Command[]) => ({
   ...commandsToWire(tok, commands),
   shift: session,
 });
@@ -262,7 +262,7 @@
   if (!isObject(b) || !Array.isArray(b['flavors'])) throw new Error('machine types: no list');
   return (b['flavors'] as Json[]).map((t) => ({
     name: typeName(String(t['label'])),
-    capacity: capacityOf(Number(t['vcpus']), Number(t['memoryGb']), Number(t['cards'] ?? 0)),
+    capacity: capacityVector(Number(t['vcpus']), Number(t['memoryGb']), Number(t['cards'] ?? 0)),
     price: Number(t['rate']),
     spotPrice: Number(t['spotPrice'] ?? t['rate']),
     bootS: Number(t['readyS']),
--- a/src/io/workers.ts
+++ b/src/io/workers.ts
@@ -3,13 +3,18 @@
  * carried out minutes late.
  */
 import { Agent, request } from 'undici';
-import type { Command, Report, Token } from '../core/types.js';
+import type { Command, Report, FencingToken } from '../core/types.js';
 import * as wire from './wire.js';
 
 /** Sends direct commands to workers. */
 export interface Workers {
   /** The worker's report after the commands, or null where no answer came or too many are under way. */
-  direct(address: string, tok: Token, session: number, commands: readonly Command[]): Promise<Report | null>;
+  direct(
+    address: string,
+    tok: FencingToken,
+    session: number,
+    commands: readonly Command[],
+  ): Promise<Report | null>;
 }
 
 /** Direct commands over HTTP, with a bounded number of connections. */
@@ -28,7 +33,7 @@
 
   async direct(
     address: string,
-    tok: Token,
+    tok: FencingToken,
     session: number,
     commands: readonly Command[],
   ): Promise<Report | null> {
--- a/src/packages/api.ts
+++ b/src/packages/api.ts
@@ -10,14 +10,14 @@
 import type { EventListener } from '../core/events.js';
 import type { Run } from '../core/slowness.js';
 import type {
-  ExitWhy,
+  ExitReason,
   Incarnation,
   JobId,
   MachineName,
   MachineRecord,
   NodeName,
   Revision,
-  Token,
+  FencingToken,
   Version,
 } from '../core/types.js';
 
@@ -102,13 +102,13 @@
       readonly address: string;
       readonly session: number;
       readonly seq: number;
-      readonly token: Token;
+      readonly token: FencingToken;
     }
   | {
       readonly kind: 'job_failing';
       readonly job: JobId;
       readonly rounds: number;
-      readonly why: Extract<ExitWhy, 'error' | 'unknown'>;
+      readonly why: Extract<ExitReason, 'error' | 'unknown'>;
       readonly machines: readonly MachineName[];
       readonly retryInMs: number;
     }
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -9,15 +9,15 @@
 import { Slowness } from '../src/core/slowness.js';
 import {
   machineName,
-  demandOf,
+  demandVector,
   incarnation,
   jobId,
   revision,
-  steady,
+  monotonicMs,
   teamName,
   typeName,
   version,
-  wallMs,
+  wallClockMs,
   zoneName,
   type JobSpec,
 } from '../src/core/types.js';
@@ -45,7 +45,12 @@
         const done = new Set(order);
         assert.equal(set.count, done.size);
         for (let i = 0; i < n; i++) assert.equal(isDone(set, i), done.has(i));
-        const job = { spec: spec({ shards: n }), phase: 'active' as const, done: set, submitted: wallMs(0) };
+        const job = {
+          spec: spec({ shards: n }),
+          phase: 'active' as const,
+          done: set,
+          submitted: wallClockMs(0),
+        };
         assert.deepEqual(
           [...openTasks(job)],
           [...Array(n).keys()].filter((i) => !done.has(i)),
@@ -57,7 +62,12 @@
 
 test("a job of 100,000 tasks keeps its record below the state service's limit", () => {
   let set = NONE_DONE;
-  const job = { spec: spec({ shards: 100_000 }), phase: 'active' as const, done: set, submitted: wallMs(0) };
+  const job = {
+    spec: spec({ shards: 100_000 }),
+    phase: 'active' as const,
+    done: set,
+    submitted: wallClockMs(0),
+  };
   const open = [...openTasks(job)];
   assert.equal(open.length, WINDOW);
   // Every second task: the worst case for the bitmap.
@@ -72,11 +82,11 @@
 test('demands are rounded up and capacities down, so rounding never overfills a machine', () => {
   fc.assert(
     fc.property(fc.double({ min: 0.001, max: 500, noNaN: true }), (x) => {
-      const d = demandOf(x, x, x);
+      const d = demandVector(x, x, x);
       assert.ok(d[0] >= x * 1e6 - 1e-2 && d[0] <= x * 1e6 + 1);
     }),
   );
-  assert.deepEqual(demandOf(0.1 + 0.2, 1.1, 2.2), [300_000, 1_100_000, 2_200_000]);
+  assert.deepEqual(demandVector(0.1 + 0.2, 1.1, 2.2), [300_000, 1_100_000, 2_200_000]);
 });
 
 test('what can never run is judged by team, type and limit', () => {
@@ -89,7 +99,7 @@
   const types = [
     {
       name: typeName('g8'),
-      capacity: demandOf(96, 768, 8),
+      capacity: demandVector(96, 768, 8),
       price: 1,
       spotPrice: 1,
       bootS: 1,
@@ -127,7 +137,7 @@
       assert.equal(entered, n);
       assert.equal(a.inProgress, n);
       t += 300;
-      for (let k = 0; k < entered; k++) a.leave(ms, steady(t));
+      for (let k = 0; k < entered; k++) a.leave(ms, monotonicMs(t));
     }
   };
   round(5);
@@ -177,9 +187,9 @@
     spec: spec({ nameId: id, shards: tasks, dueS: 200 }),
     phase: 'active' as const,
     done: { ...NONE_DONE, count: done },
-    submitted: wallMs(submittedS * 1000),
+    submitted: wallClockMs(submittedS * 1000),
   });
-  const before = jobOrder({ wall: wallMs(0), hasTasks: () => false, behindMs: 60_000 });
+  const before = jobOrder({ wall: wallClockMs(0), hasTasks: () => false, behindMs: 60_000 });
   const order = (...jobs: ReturnType<typeof job>[]) => jobs.sort(before).map((j) => j.spec.id);
   assert.deepEqual(order(job('wk-1', 90, 0), job('wk-2', 10, 20)), ['wk-2', 'wk-1']);
   assert.deepEqual(order(job('wk-2', 10, 20), job('wk-1', 90, 0, 85)), ['wk-1', 'wk-2'], 'nearly done');
@@ -192,13 +202,13 @@
     spec: spec({ nameId: id, shards: tasks, dueS }),
     phase: 'active' as const,
     done: NONE_DONE,
-    submitted: wallMs(submittedS * 1000),
+    submitted: wallClockMs(submittedS * 1000),
   });
   const vast = job('wk-1', 25_000, 0, 30);
   const single = job('wk-2', 1, 20, 900);
   const first = (wallS: number, running: readonly string[], other = single) => {
     const order = jobOrder({
-      wall: wallMs(wallS * 1000),
+      wall: wallClockMs(wallS * 1000),
       hasTasks: (id) => running.includes(id),
       behindMs: 60_000,
     });
--- a/test/dependency-rules.test.ts
+++ b/test/dependency-rules.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { NONE_DONE } from '../src/core/jobs.js';
 import { judgeDependencies, judgeNeeds, type DependencyInput } from '../src/core/dependencies.js';
-import { jobId, wallMs, type FinalRecord, type JobRecord } from '../src/core/types.js';
+import { jobId, wallClockMs, type FinalRecord, type JobRecord } from '../src/core/types.js';
 import { jobFromWire } from '../src/io/wire.js';
 import { submission } from './samples.js';
 
@@ -17,7 +17,7 @@
   spec: jobFromWire(submission({ nameId: id, awaits: needs, dueS: null, ...over }) as never),
   phase: 'active',
   done: NONE_DONE,
-  submitted: wallMs(submitted),
+  submitted: wallClockMs(submitted),
 });
 const input = (
   jobs: JobRecord[],
@@ -32,7 +32,7 @@
 const done = (at?: number): FinalRecord => ({
   state: 'done',
   done: 1,
-  ...(at === undefined ? {} : { at: wallMs(at) }),
+  ...(at === undefined ? {} : { at: wallClockMs(at) }),
 });
 const cancelled: FinalRecord = { state: 'cancelled', done: 0 };
 const startable = (i: DependencyInput) => judgeDependencies(i).startable.map((j) => j.spec.id as string);
--- a/test/drfh.test.ts
+++ b/test/drfh.test.ts
@@ -1,20 +1,20 @@
 /** The paper's worked examples, as numbers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { dominantShare, fitness, shares, weightOf } from '../src/core/drfh.js';
-import { capacityOf, demandOf, teamName, type Amounts } from '../src/core/types.js';
+import { dominantShare, fitness, resourceShares, teamWeight } from '../src/core/drfh.js';
+import { capacityVector, demandVector, teamName, type ResourceVector } from '../src/core/types.js';
 
 const near = (a: number, b: number) => {
   assert.ok(Math.abs(a - b) < 1e-9, `${a} is not ${b}`);
 };
 
 test('shares of the two users of Fig. 2', () => {
-  const server1 = capacityOf(2, 12, 0);
-  const server2 = capacityOf(12, 2, 0);
-  const total: Amounts = [server1[0] + server2[0], server1[1] + server2[1], 0];
-  const user1 = demandOf(0.2, 1, 0);
-  const user2 = demandOf(1, 0.2, 0);
-  const s1 = shares(user1, total);
+  const server1 = capacityVector(2, 12, 0);
+  const server2 = capacityVector(12, 2, 0);
+  const total: ResourceVector = [server1[0] + server2[0], server1[1] + server2[1], 0];
+  const user1 = demandVector(0.2, 1, 0);
+  const user2 = demandVector(1, 0.2, 0);
+  const s1 = resourceShares(user1, total);
   near(s1[0], 1 / 70);
   near(s1[1], 1 / 14);
   near(dominantShare(user1, total), 1 / 14);
@@ -24,31 +24,31 @@
 });
 
 test('the user of Fig. 1 has memory as its dominant resource', () => {
-  const total = capacityOf(9, 18, 0);
-  near(dominantShare(demandOf(1, 4, 0), total), 2 / 9);
+  const total = capacityVector(9, 18, 0);
+  near(dominantShare(demandVector(1, 4, 0), total), 2 / 9);
 });
 
 test('H prefers the server whose free room has the shape of the demand', () => {
   // Sec. 5.2: D = (1/10, 1/30); free (1/5, 1/15) gives 0, free (1/8, 1/4) gives 5/3.
-  const total = capacityOf(600, 600, 0);
-  const d = demandOf(60, 20, 0);
-  near(fitness(d, capacityOf(120, 40, 0), total), 0);
-  near(fitness(d, capacityOf(75, 150, 0), total), 5 / 3);
+  const total = capacityVector(600, 600, 0);
+  const d = demandVector(60, 20, 0);
+  near(fitness(d, capacityVector(120, 40, 0), total), 0);
+  near(fitness(d, capacityVector(75, 150, 0), total), 5 / 3);
 });
 
 test('H of a task without CPU is measured against its dominant resource', () => {
-  const total = capacityOf(100, 100, 100);
-  near(fitness(demandOf(0, 10, 20), capacityOf(50, 10, 20), total), 2.5);
-  assert.equal(fitness(demandOf(1, 1, 0), capacityOf(0, 5, 0), total), Number.POSITIVE_INFINITY);
+  const total = capacityVector(100, 100, 100);
+  near(fitness(demandVector(0, 10, 20), capacityVector(50, 10, 20), total), 2.5);
+  assert.equal(fitness(demandVector(1, 1, 0), capacityVector(0, 5, 0), total), Number.POSITIVE_INFINITY);
 });
 
 test('a team is weighted by its guarantee, or by 1', () => {
   const team = (cpus: number, gpus: number) => ({
     name: teamName('a'),
-    guarantee: capacityOf(cpus, 0, gpus),
+    guarantee: capacityVector(cpus, 0, gpus),
     limitCpu: null,
     limitGpu: null,
   });
-  assert.equal(weightOf(team(0, 24)), 24);
-  assert.equal(weightOf(team(0, 0)), 1);
+  assert.equal(teamWeight(team(0, 24)), 24);
+  assert.equal(teamWeight(team(0, 0)), 1);
 });
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Failures } from '../src/core/failures.js';
 import { parseKey } from '../src/core/keys.js';
-import { jobId, machineName, steady } from '../src/core/types.js';
+import { jobId, machineName, monotonicMs } from '../src/core/types.js';
 import { all, begun, calledOff, leads, meeting, wait } from './sim/meeting.js';
 import type { Sim } from './sim/run.js';
 
@@ -12,13 +12,13 @@
 
 test('a job that fails on several machines waits longer and longer, up to a bound, and condemns none of them', () => {
   const failures = new Failures(() => 0.5);
-  failures.failed(JOB, machine(0), 'error', steady(0));
+  failures.failed(JOB, machine(0), 'error', monotonicMs(0));
   assert.equal(failures.failuresOf(JOB), null, 'one machine may be the one at fault');
   let now = 100;
   const waits: number[] = [];
   for (let i = 1; i <= 8; i++) {
     // All tasks of one try fail, on several machines.
-    for (let k = 0; k < 5; k++) failures.failed(JOB, machine(i * 5 + k), 'error', steady(now + k));
+    for (let k = 0; k < 5; k++) failures.failed(JOB, machine(i * 5 + k), 'error', monotonicMs(now + k));
     const { until, rounds } = failures.failuresOf(JOB)!;
     assert.equal(rounds, i);
     waits.push(until - now);
@@ -33,7 +33,7 @@
 test('the waits of jobs that fail alike are spread', () => {
   const untils = [0, 0.25, 0.75, 0.999].map((r) => {
     const failures = new Failures(() => r);
-    for (const i of [1, 2]) failures.failed(JOB, machine(i), 'error', steady(0));
+    for (const i of [1, 2]) failures.failed(JOB, machine(i), 'error', monotonicMs(0));
     return failures.failuresOf(JOB)!.until;
   });
   assert.ok(Math.min(...untils) >= 3750 && Math.max(...untils) <= 6250);
@@ -42,7 +42,7 @@
 
 test('another owner goes on with the waits that its predecessor recorded', () => {
   const failures = new Failures(() => 0.5);
-  failures.failed(JOB, machine(1), 'error', steady(0), 3);
+  failures.failed(JOB, machine(1), 'error', monotonicMs(0), 3);
   const { rounds, until } = failures.failuresOf(JOB)!;
   assert.equal(rounds, 4);
   assert.equal(until, 40_000);
@@ -51,13 +51,13 @@
 test('a machine is at fault when it fails what runs elsewhere, or several jobs', () => {
   const failures = new Failures(() => 0.5);
   // Many tasks of one array that nobody has seen run yet: it may be the array.
-  for (let i = 0; i < 9; i++) failures.failed(JOB, machine(1), 'error', steady(i));
+  for (let i = 0; i < 9; i++) failures.failed(JOB, machine(1), 'error', monotonicMs(i));
   assert.equal(failures.isFaulty(machine(1)), false);
   failures.ranLong(JOB);
   assert.equal(failures.isFaulty(machine(1)), true);
-  failures.failed(jobId('wk-2'), machine(2), 'error', steady(20));
+  failures.failed(jobId('wk-2'), machine(2), 'error', monotonicMs(20));
   assert.equal(failures.isFaulty(machine(2)), false);
-  failures.failed(jobId('wk-3'), machine(2), 'error', steady(30));
+  failures.failed(jobId('wk-3'), machine(2), 'error', monotonicMs(30));
   assert.equal(failures.isFaulty(machine(2)), true);
   failures.done(jobId('wk-4'), machine(2));
   assert.equal(failures.isFaulty(machine(2)), false, 'it does something well again');
@@ -65,7 +65,7 @@
 
 test('what is known of a job goes with it', () => {
   const failures = new Failures(() => 0.5);
-  for (const i of [1, 2]) failures.failed(JOB, machine(i), 'error', steady(0));
+  for (const i of [1, 2]) failures.failed(JOB, machine(i), 'error', monotonicMs(0));
   assert.equal([...failures.blamed()].length, 1);
   failures.forgetJob(JOB);
   assert.equal([...failures.blamed()].length, 0);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -15,7 +15,7 @@
   machineName,
   nodeName,
   revision,
-  steady,
+  monotonicMs,
   version,
   type MachineRecord,
 } from '../src/core/types.js';
@@ -107,7 +107,7 @@
     const text = JSON.stringify(machine(name, [placedOf(spec, attempt(7), tasks)]));
     const value: unknown = JSON.parse(text);
     view.apply({ key: key.machine(machineName(name)), value, version: version(i + 10) });
-    const memory = newMemory(view.tokenOf(value as MachineRecord), steady(0));
+    const memory = newMemory(view.tokenOf(value as MachineRecord), monotonicMs(0));
     const report = reportFromWire(
       JSON.parse(
         JSON.stringify({
@@ -121,7 +121,7 @@
         }),
       ),
     );
-    takeReport(memory, report!, steady(1), true, 2000);
+    takeReport(memory, report!, monotonicMs(1), true, 2000);
     memories.push(memory);
   }
   const ledger = new Ledger(view.machines.values(), types, new Map());
@@ -202,7 +202,7 @@
 
 test('4,000 machines that no record knows are believed as soon as each has reported twice', () => {
   let now = 0;
-  const ctx = { clock: { now: () => steady(now) }, settings: { cloudLimits: { list_lag_s: 5 } } };
+  const ctx = { clock: { now: () => monotonicMs(now) }, settings: { cloudLimits: { list_lag_s: 5 } } };
   const unknown = new UnknownMachines(ctx as unknown as Context);
   for (const tally of [1, 2])
     for (let i = 0; i < MACHINES; i++) {
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -6,7 +6,7 @@
   attempt,
   nodeName,
   teamName,
-  wallMs,
+  wallClockMs,
   type JobRecord,
   type MachineRecord,
 } from '../src/core/types.js';
@@ -34,7 +34,7 @@
   ),
   phase: 'active',
   done: { base: 0, bits: '', count: 0 },
-  submitted: wallMs(0),
+  submitted: wallClockMs(0),
 });
 export const on = (j: JobRecord, ...tasks: number[]) => placedOf(j.spec, attempt(1), tasks);
 
@@ -49,7 +49,7 @@
       [teamName('red'), nodeName('c-0')],
       [teamName('blue'), nodeName('c-1')],
     ]),
-    order: { wall: wallMs(0), behindMs: 60_000 },
+    order: { wall: wallClockMs(0), behindMs: 60_000 },
     usable: () => true,
     movable: () => true,
     yields: () => false,
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -12,7 +12,7 @@
   attempt,
   jobId,
   machineName,
-  steady,
+  monotonicMs,
   teamName,
   version,
   type MachineRecord,
@@ -96,7 +96,7 @@
       [[1], true],
     ],
   );
-  const mem = newMemory(5 as never, steady(0));
+  const mem = newMemory(5 as never, monotonicMs(0));
   const report = reportFromWire({
     teller: 'n-1',
     flavor: 'm',
@@ -109,14 +109,14 @@
       { shard: `${spec.id}/1`, tryNo: 9, standing: 'running' },
     ],
   })!;
-  takeReport(mem, report, steady(10), true, 2000);
+  takeReport(mem, report, monotonicMs(10), true, 2000);
   const w = { jobs: new Map([[spec.id, job]]), ledger: new Ledger([m], types, new Map()) };
   assert.deepEqual(
     exits(m, mem, w).map((e) => [e.index, e.why]),
     [[0, 'done']],
   );
   assert.deepEqual(
-    commands(m, mem, w, steady(10), true).map((c) => [c.op, c.index]),
+    commands(m, mem, w, monotonicMs(10), true).map((c) => [c.op, c.index]),
     [
       ['stop', 1],
       ['start', 2],
--- a/test/samples.ts
+++ b/test/samples.ts
@@ -1,10 +1,10 @@
 /** Samples that several tests use. */
 import {
-  demandOf,
+  demandVector,
   machineName,
   nodeName,
   typeName,
-  wallMs,
+  wallClockMs,
   zoneName,
   type MachineRecord,
   type MachineType,
@@ -38,7 +38,7 @@
 
 export const type: MachineType = {
   name: typeName('m'),
-  capacity: demandOf(16, 64, 4),
+  capacity: demandVector(16, 64, 4),
   price: 4,
   spotPrice: 2,
   bootS: 30,
@@ -58,7 +58,7 @@
   floor: 1,
   phase: 'up',
   placed,
-  since: wallMs(0),
+  since: wallClockMs(0),
 });
 
 /** The platform's settings of the first of three controllers in two zones. */
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -1,7 +1,7 @@
 /** Virtual time and chance for the stand-ins. One seed gives one run. */
 import { unsafeUniformIntDistribution, xoroshiro128plus, type RandomGenerator } from 'pure-rand';
 import type { Clock } from '../../src/core/clock.js';
-import { steady, wallMs } from '../../src/core/types.js';
+import { monotonicMs, wallClockMs } from '../../src/core/types.js';
 
 interface Event {
   readonly at: number;
@@ -125,10 +125,10 @@
   }
 
   now() {
-    return steady(this.world.now * this.rate);
+    return monotonicMs(this.world.now * this.rate);
   }
-  wall() {
-    return wallMs(1_700_000_000_000 + this.world.now + this.wallOff);
+  wallClock() {
+    return wallClockMs(1_700_000_000_000 + this.world.now + this.wallOff);
   }
   after(ms: number, fn: () => void): () => void {
     let off = false;
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -5,7 +5,7 @@
 import { pino } from 'pino';
 import type { Jobs, Submitted } from '../src/controller/jobs.js';
 import type { ReportRouter } from '../src/controller/report-router.js';
-import { token } from '../src/core/types.js';
+import { fencingToken } from '../src/core/types.js';
 import { Unavailable } from '../src/io/state/client.js';
 import { buildServer } from '../src/io/users.js';
 import { submission } from './samples.js';
@@ -21,7 +21,7 @@
     cancel: () => Promise.resolve({ kind: 'not_found' }),
     ...over,
   };
-  const reports = { answer: () => ({ kind: 'ok', token: token(7), commands: [] }) };
+  const reports = { answer: () => ({ kind: 'ok', token: fencingToken(7), commands: [] }) };
   const app = buildServer({
     log: pino({ level: 'silent' }),
     jobs: jobs as unknown as Jobs,
--- a/test/worker-reports.test.ts
+++ b/test/worker-reports.test.ts
@@ -8,10 +8,10 @@
   attempt,
   jobId,
   machineName,
-  steady,
+  monotonicMs,
   teamName,
-  token,
-  wallMs,
+  fencingToken,
+  wallClockMs,
   zoneName,
   type JobRecord,
   type MachineRecord,
@@ -22,29 +22,29 @@
 import { jobFromWire } from '../src/io/wire.js';
 import { machine as record, submission, type, types } from './samples.js';
 
-const TOKEN = token(50);
-const OLD = token(40);
+const TOKEN = fencingToken(50);
+const OLD = fencingToken(40);
 const REPORT_MS = 2000;
 const spec = jobFromWire(submission({ vcpus: 8, cards: 1, memoryGb: 16, shards: 4 }) as never);
 const job = (phase: 'active' | 'cancelling'): JobRecord => ({
   spec,
   phase,
   done: { base: 0, bits: '', count: 0 },
-  submitted: wallMs(0),
+  submitted: wallClockMs(0),
 });
 const placed = (tasks: number[], att = 7): Placed => placedOf(spec, attempt(att), tasks);
 const machine = (...p: Placed[]): MachineRecord => record('n-1', p);
 const task = (
   index: number,
   state: ReportedTask['state'],
-  why: ReportedTask['why'] = null,
+  exitReason: ReportedTask['exitReason'] = null,
 ): ReportedTask => ({
   job: spec.id,
   index,
   attempt: attempt(7),
   state,
-  why,
-  saved: false,
+  exitReason,
+  hasCheckpoint: false,
 });
 const report = (seq: number, tok: number, tasks: ReportedTask[] = [], session = 1): Report => ({
   machine: machineName('n-1'),
@@ -54,7 +54,7 @@
   spot: false,
   session,
   seq,
-  token: token(tok),
+  token: fencingToken(tok),
   noticeS: null,
   tasks,
 });
@@ -63,12 +63,12 @@
   ledger: new Ledger([m], types, new Map()),
 });
 const take = (mem: ReturnType<typeof newMemory>, r: Report, atMs: number, posted = true) =>
-  takeReport(mem, r, steady(atMs), posted, REPORT_MS);
+  takeReport(mem, r, monotonicMs(atMs), posted, REPORT_MS);
 
 test('a report under an older token proves nothing: what the last owner sent may still arrive', () => {
   const m = machine(placed([0]));
   const w = wanted(m, job('cancelling'));
-  const mem = newMemory(TOKEN, steady(0));
+  const mem = newMemory(TOKEN, monotonicMs(0));
   assert.ok(take(mem, report(5, OLD), 0));
   assert.deepEqual(exits(m, mem, w), []);
   assert.ok(take(mem, report(6, TOKEN), 500));
@@ -77,10 +77,10 @@
 
 test('a start that is on its way is not taken for gone before a newer report', () => {
   const m = machine(placed([0]));
-  const mem = newMemory(TOKEN, steady(0));
+  const mem = newMemory(TOKEN, monotonicMs(0));
   take(mem, report(5, TOKEN), 0);
   assert.deepEqual(
-    commands(m, mem, wanted(m, job('active')), steady(0), true).map((c) => c.op),
+    commands(m, mem, wanted(m, job('active')), monotonicMs(0), true).map((c) => c.op),
     ['start'],
   );
   // A copy of that report, and an answer to a direct message that overtook it, show nothing of the start.
@@ -93,7 +93,7 @@
 
 test('late copies change nothing and are no sign of life', () => {
   const m = machine(placed([0, 1]));
-  const mem = newMemory(TOKEN, steady(0));
+  const mem = newMemory(TOKEN, monotonicMs(0));
   take(mem, report(9, TOKEN, [task(0, 'running'), task(1, 'running')], 2), 1000);
   for (const late of [
     report(8, TOKEN, [task(0, 'exited', 'done')], 2),
@@ -105,7 +105,7 @@
   assert.equal(mem.report?.tasks.length, 2);
   assert.deepEqual(exits(m, mem, wanted(m, job('active'))), []);
   // After a restart a copy may be the first that comes. Newer ones under the old token do not make it live.
-  const next = newMemory(TOKEN, steady(30_000));
+  const next = newMemory(TOKEN, monotonicMs(30_000));
   take(next, report(3, OLD), 30_100);
   take(next, report(4, OLD), 38_000);
   assert.equal(next.heardAt, 30_100);
@@ -114,7 +114,7 @@
 });
 
 test('a worker that comes back only after waiting for its answer does not hear, though it is heard', () => {
-  const mem = newMemory(TOKEN, steady(0));
+  const mem = newMemory(TOKEN, monotonicMs(0));
   let seq = 0;
   for (let i = 0; i < 4; i++) take(mem, report(++seq, TOKEN), i * 5000);
   assert.equal(mem.heardAt, 0);
@@ -128,13 +128,13 @@
   const m = machine(placed([0, 1]), fresh);
   const w = wanted(m, job('active'));
   const jobs = new Map(w.jobs).set(jobId('wk-2'), { ...job('active'), spec: { ...spec, id: jobId('wk-2') } });
-  const mem = newMemory(TOKEN, steady(0));
+  const mem = newMemory(TOKEN, monotonicMs(0));
   take(mem, report(1, TOKEN, [task(1, 'running')]), 0);
-  const started = commands(m, mem, { ...w, jobs }, steady(0), true);
+  const started = commands(m, mem, { ...w, jobs }, monotonicMs(0), true);
   assert.equal(started.length, 1, 'one runs, one more fits');
-  mem.left.set(`${spec.id}/0@7`, { at: steady(0), why: 'done' });
+  mem.left.set(`${spec.id}/0@7`, { at: monotonicMs(0), why: 'done' });
   mem.started.clear();
-  const again = commands(m, mem, { ...w, jobs }, steady(0), true);
+  const again = commands(m, mem, { ...w, jobs }, monotonicMs(0), true);
   assert.deepEqual(
     again.map((c) => c.job),
     [jobId('wk-2')],
@@ -145,18 +145,18 @@
   const gang = { ...job('active'), spec: { ...spec, kind: 'gang' as const, tasks: 2 } };
   const m = machine({ ...placed([0, 1]), kind: 'gang' });
   const w = wanted(m, gang);
-  const mem = newMemory(TOKEN, steady(0));
+  const mem = newMemory(TOKEN, monotonicMs(0));
   take(mem, report(1, TOKEN, [task(0, 'waiting'), task(1, 'fetching')]), 0);
   take(mem, report(2, TOKEN, [task(0, 'exited', 'incomplete'), task(1, 'fetching')]), 1000);
   assert.deepEqual(exits(m, mem, w), [], 'the attempt is not broken: nothing of it has run');
-  const out = commands(m, mem, w, steady(1000), true).map((c) => [c.op, c.index, c.attempt]);
+  const out = commands(m, mem, w, monotonicMs(1000), true).map((c) => [c.op, c.index, c.attempt]);
   assert.deepEqual(out, [
     ['forget', 0, 7],
     ['start', 0, 7],
   ]);
   // The answer was lost, and the worker's lease with it: it is started again, not taken for lost.
   take(mem, report(3, TOKEN, [], 2), 9000);
-  assert.equal(commands(m, mem, w, steady(9000), true).length, 1);
+  assert.equal(commands(m, mem, w, monotonicMs(9000), true).length, 1);
   // A cancelled one is over.
   take(mem, report(4, TOKEN, [task(0, 'exited', 'incomplete')], 2), 10_000);
   assert.equal(exits(m, mem, wanted(m, { ...gang, phase: 'cancelling' })).length, 2);
@@ -165,10 +165,10 @@
 test('a task that is started once more is not taken for gone by the report that told of its end', () => {
   const gang = { ...job('active'), spec: { ...spec, kind: 'gang' as const, tasks: 2 } };
   const m = machine({ ...placed([0, 1]), kind: 'gang' });
-  const mem = newMemory(TOKEN, steady(0));
+  const mem = newMemory(TOKEN, monotonicMs(0));
   take(mem, report(1, TOKEN, [task(0, 'exited', 'incomplete'), task(1, 'fetching')]), 1000);
   assert.equal(
-    commands(m, mem, wanted(m, gang), steady(1000), true).length,
+    commands(m, mem, wanted(m, gang), monotonicMs(1000), true).length,
     2,
     'forgotten and started again',
   );
@@ -177,7 +177,7 @@
   assert.deepEqual(exits(m, mem, off), []);
   // The answer to a direct command overtakes it, and says no more.
   assert.ok(
-    takeReport(mem, report(2, TOKEN, [task(0, 'exited', 'incomplete')]), steady(1500), false, REPORT_MS),
+    takeReport(mem, report(2, TOKEN, [task(0, 'exited', 'incomplete')]), monotonicMs(1500), false, REPORT_MS),
   );
   assert.deepEqual(
     exits(m, mem, off).filter((e) => e.index === 0),
