--- a/packages/tracing/src/job-spans.ts
+++ b/packages/tracing/src/job-spans.ts
@@ -6,7 +6,7 @@
 import { dropOldest } from '../../../src/core/bounded.js';
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
 import { key } from '../../../src/core/keys.js';
-import type { JobId, MachineName, Report } from '../../../src/core/types.js';
+import type { JobId, MachineName, Heartbeat } from '../../../src/core/types.js';
 import type { SpanTracer } from './span-tracer.js';
 import { isSampled, jobContext } from './trace-ids.js';
 
@@ -53,10 +53,10 @@
       case 'command_sent':
         if (event.command.op === 'start') this.commanded({ ...event.command, machine: event.machine });
         return;
-      case 'worker_heard':
-        this.reported(event.report);
+      case 'heartbeat_recorded':
+        this.reported(event.heartbeat);
         return;
-      case 'task_left':
+      case 'task_exited':
       case 'task_preempted':
       case 'task_ran':
       case 'job_failing':
@@ -111,7 +111,7 @@
     if (start !== undefined && start.step !== 'commanded') this.advance(start, 'commanded', 'task.command');
   }
 
-  private reported(report: Report): void {
+  private reported(report: Heartbeat): void {
     const starts = this.byMachine.get(report.machine);
     if (starts === undefined) return;
     for (const task of report.tasks) {
--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -51,17 +51,17 @@
 const machine = machineName('n-1');
 const task = { job, index: 2, attempt: attempt(5), machine };
 const reportOf = (tasks: readonly { state: 'fetching' }[]): ServiceEvent => ({
-  kind: 'worker_heard',
-  report: {
+  kind: 'heartbeat_recorded',
+  heartbeat: {
     machine,
     address: 'a:1',
     type: typeName('m'),
     zone: zoneName('a'),
     spot: false,
-    session: 1,
-    seq: 1,
+    agentEpoch: 1,
+    sequence: 1,
     token: fencingToken(3),
-    noticeS: null,
+    preemptionNoticeS: null,
     tasks: tasks.map((t) => ({ ...task, ...t, exitReason: null, hasCheckpoint: false })),
   },
 });
--- a/packages/warm-standby/src/decision-log.ts
+++ b/packages/warm-standby/src/decision-log.ts
@@ -30,7 +30,7 @@
   ) {}
 
   append(entry: LogEntry): void {
-    if (entry.kind === 'worker' && this.isKnown(entry)) return;
+    if (entry.kind === 'agent' && this.isKnown(entry)) return;
     this.head++;
     this.memory.apply(entry);
     this.tail.push(entry);
@@ -38,11 +38,11 @@
     if (this.tail.length > 2 * this.tailEntries) this.tail = this.tail.slice(-this.tailEntries);
   }
 
-  private isKnown(entry: Extract<LogEntry, { kind: 'worker' }>): boolean {
+  private isKnown(entry: Extract<LogEntry, { kind: 'agent' }>): boolean {
     const known = this.memory.worker(entry.machine);
     if (known === undefined) return false;
     const isSame =
-      known.address === entry.address && known.session === entry.session && known.token === entry.token;
+      known.address === entry.address && known.agentEpoch === entry.agentEpoch && known.token === entry.token;
     return isSame && entry.heardAt - known.heardAt < WORKER_ENTRY_EVERY_MS;
   }
 
--- a/packages/warm-standby/src/entries.ts
+++ b/packages/warm-standby/src/entries.ts
@@ -4,14 +4,14 @@
 import type { Attempt, ExitReason, JobId, MachineName, WallClockMs } from '../../../src/core/types.js';
 import type { Hint } from '../../../src/packages/api.js';
 
-type WorkerHint = Extract<Hint, { kind: 'worker' }>;
+type AgentHint = Extract<Hint, { kind: 'agent' }>;
 
 /** One entry. Times are times of day: steady clocks of two controllers have nothing in common. */
 export type LogEntry =
   | { readonly kind: 'start' | 'stop' | 'preempt'; readonly task: TaskOnMachine }
   /** A task has left its machine; its result may not be written yet. */
-  | { readonly kind: 'left'; readonly task: TaskOnMachine; readonly why: ExitReason | 'absent' }
-  | (WorkerHint & { readonly heardAt: WallClockMs })
+  | { readonly kind: 'exited'; readonly task: TaskOnMachine; readonly why: ExitReason | 'absent' }
+  | (AgentHint & { readonly heardAt: WallClockMs })
   | {
       readonly kind: 'job_failing';
       readonly job: JobId;
@@ -60,12 +60,12 @@
     }
     case 'task_preempted':
       return ofMachine(event.task.machine, { kind: 'preempt', task: event.task });
-    case 'task_left':
-      return ofMachine(event.task.machine, { kind: 'left', task: event.task, why: event.why ?? 'absent' });
-    case 'worker_heard': {
-      const { machine, address, session, seq, token } = event.report;
+    case 'task_exited':
+      return ofMachine(event.task.machine, { kind: 'exited', task: event.task, why: event.why ?? 'absent' });
+    case 'heartbeat_recorded': {
+      const { machine, address, agentEpoch, sequence, token } = event.heartbeat;
       const heardAt = now.wall as WallClockMs;
-      return ofMachine(machine, { kind: 'worker', machine, address, session, seq, token, heardAt });
+      return ofMachine(machine, { kind: 'agent', machine, address, agentEpoch, sequence, token, heardAt });
     }
     case 'task_ran':
       return ofMachine(event.machine, { kind: 'run', machine: event.machine, run: event.run });
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -84,12 +84,12 @@
         why: { type: 'string', id: 5 },
       },
     },
-    Worker: {
+    Agent: {
       fields: {
         machine: { type: 'string', id: 1 },
         address: { type: 'string', id: 2 },
-        session: { type: 'double', id: 3 },
-        seq: { type: 'double', id: 4 },
+        agentEpoch: { type: 'double', id: 3 },
+        sequence: { type: 'double', id: 4 },
         token: { type: 'double', id: 5 },
         heardAt: { type: 'double', id: 6 },
       },
@@ -113,13 +113,13 @@
       },
     },
     Entry: {
-      oneofs: { body: { oneof: ['start', 'stop', 'preempt', 'left', 'worker', 'failing', 'run'] } },
+      oneofs: { body: { oneof: ['start', 'stop', 'preempt', 'exited', 'agent', 'failing', 'run'] } },
       fields: {
         start: { type: 'Task', id: 1 },
         stop: { type: 'Task', id: 2 },
         preempt: { type: 'Task', id: 3 },
-        left: { type: 'Task', id: 4 },
-        worker: { type: 'Worker', id: 5 },
+        exited: { type: 'Task', id: 4 },
+        agent: { type: 'Agent', id: 5 },
         failing: { type: 'Failing', id: 6 },
         run: { type: 'Run', id: 7 },
       },
@@ -166,7 +166,7 @@
   machine: string;
   why?: string;
 }
-type WorkerFields = Extract<LogEntry, { kind: 'worker' }>;
+type AgentFields = Extract<LogEntry, { kind: 'agent' }>;
 type FailingFields = Extract<LogEntry, { kind: 'job_failing' }>;
 interface RunFields {
   machine: string;
@@ -176,12 +176,12 @@
   estimateS: number;
 }
 interface EntryFields {
-  body?: 'start' | 'stop' | 'preempt' | 'left' | 'worker' | 'failing' | 'run';
+  body?: 'start' | 'stop' | 'preempt' | 'exited' | 'agent' | 'failing' | 'run';
   start?: TaskFields;
   stop?: TaskFields;
   preempt?: TaskFields;
-  left?: TaskFields;
-  worker?: WorkerFields;
+  exited?: TaskFields;
+  agent?: AgentFields;
   failing?: FailingFields;
   run?: RunFields;
 }
@@ -192,10 +192,10 @@
     case 'stop':
     case 'preempt':
       return { [entry.kind]: entry.task };
-    case 'left':
-      return { left: { ...entry.task, why: entry.why } };
-    case 'worker':
-      return { worker: entry };
+    case 'exited':
+      return { exited: { ...entry.task, why: entry.why } };
+    case 'agent':
+      return { agent: entry };
     case 'job_failing':
       return { failing: entry };
     case 'run':
@@ -216,15 +216,15 @@
     case 'stop':
     case 'preempt':
       return { kind: e.body, task: taskFrom(e[e.body]!) };
-    case 'left':
+    case 'exited':
       return {
-        kind: 'left',
-        task: taskFrom(e.left!),
-        why: (e.left!.why ?? 'absent') as ExitReason | 'absent',
+        kind: 'exited',
+        task: taskFrom(e.exited!),
+        why: (e.exited!.why ?? 'absent') as ExitReason | 'absent',
       };
-    case 'worker': {
-      const { machine, address, session, seq, token, heardAt } = e.worker!;
-      return { kind: 'worker', machine, address, session, seq, token, heardAt };
+    case 'agent': {
+      const { machine, address, agentEpoch, sequence, token, heardAt } = e.agent!;
+      return { kind: 'agent', machine, address, agentEpoch, sequence, token, heardAt };
     }
     case 'failing': {
       const { job, rounds, why, machines, retryAt } = e.failing!;
--- a/packages/warm-standby/src/slice-memory.ts
+++ b/packages/warm-standby/src/slice-memory.ts
@@ -7,10 +7,10 @@
 import type { Hint } from '../../../src/packages/api.js';
 import type { LogEntry } from './entries.js';
 
-type WorkerEntry = Extract<LogEntry, { kind: 'worker' }>;
+type AgentEntry = Extract<LogEntry, { kind: 'agent' }>;
 type FailingEntry = Extract<LogEntry, { kind: 'job_failing' }>;
 type RunEntry = Extract<LogEntry, { kind: 'run' }>;
-type LeftEntry = Extract<LogEntry, { kind: 'left' }>;
+type ExitedEntry = Extract<LogEntry, { kind: 'exited' }>;
 
 /** The latest runs that are kept: enough to compare machines by. */
 const MOST_RUNS = 300;
@@ -25,14 +25,14 @@
 
 /** What one slice's log says up to some entry. */
 export class SliceMemory {
-  private readonly workers = new Map<MachineName, WorkerEntry>();
+  private readonly workers = new Map<MachineName, AgentEntry>();
   private readonly failing = new Map<JobId, FailingEntry>();
-  private readonly left = new Map<string, LeftEntry>();
+  private readonly left = new Map<string, ExitedEntry>();
   private runs: RunEntry[] = [];
 
   apply(entry: LogEntry): void {
     switch (entry.kind) {
-      case 'worker':
+      case 'agent':
         this.workers.set(entry.machine, entry);
         return;
       case 'job_failing':
@@ -42,7 +42,7 @@
         this.runs.push(entry);
         if (this.runs.length > 2 * MOST_RUNS) this.runs = this.runs.slice(-MOST_RUNS);
         return;
-      case 'left': {
+      case 'exited': {
         const { job, index, attempt } = entry.task;
         this.left.set(`${job}/${index}@${attempt}`, entry);
         dropOldest(this.left, MOST_LEFT);
@@ -69,7 +69,7 @@
   }
 
   /** The last entry of a worker, if any. */
-  worker(machine: MachineName): WorkerEntry | undefined {
+  worker(machine: MachineName): AgentEntry | undefined {
     return this.workers.get(machine);
   }
 
@@ -85,8 +85,8 @@
   /** What a controller that takes over can learn from it. */
   hints(wallMs: number): Hint[] {
     const out: Hint[] = [];
-    for (const { machine, address, session, seq, token } of this.workers.values())
-      out.push({ kind: 'worker', machine, address, session, seq, token });
+    for (const { machine, address, agentEpoch, sequence, token } of this.workers.values())
+      out.push({ kind: 'agent', machine, address, agentEpoch, sequence, token });
     for (const { job, rounds, why, machines, retryAt } of this.failing.values())
       out.push({ kind: 'job_failing', job, rounds, why, machines, retryInMs: Math.max(0, retryAt - wallMs) });
     for (const { machine, run } of this.runs) out.push({ kind: 'task_ran', machine, run });
--- a/packages/warm-standby/src/takeover-history.ts
+++ b/packages/warm-standby/src/takeover-history.ts
@@ -121,8 +121,8 @@
   private note(event: ServiceEvent): void {
     const { facts, clock } = this.service;
     const machine =
-      event.kind === 'worker_heard'
-        ? event.report.machine
+      event.kind === 'heartbeat_recorded'
+        ? event.heartbeat.machine
         : event.kind === 'command_sent'
           ? event.machine
           : null;
@@ -132,7 +132,7 @@
       if (slice !== owner) continue;
       // The first event of a machine may come before this package has looked at the view again.
       at.view ??= clock.now();
-      if (event.kind === 'worker_heard') {
+      if (event.kind === 'heartbeat_recorded') {
         at.firstReport ??= clock.now();
         missing.delete(machine);
       } else if (event.kind === 'command_sent' && event.command.op === 'start') at.firstStart ??= clock.now();
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -41,16 +41,16 @@
 const entries: fc.Arbitrary<LogEntry> = fc.oneof(
   fc.record({ kind: fc.constantFrom('start' as const, 'stop' as const, 'preempt' as const), task: tasks }),
   fc.record({
-    kind: fc.constant('left' as const),
+    kind: fc.constant('exited' as const),
     task: tasks,
     why: fc.constantFrom('done', 'absent', 'error'),
   }),
   fc.record({
-    kind: fc.constant('worker' as const),
+    kind: fc.constant('agent' as const),
     machine: names,
     address: fc.constantFrom('10.0.0.1:1', '10.0.0.2:1'),
-    session: fc.nat(3),
-    seq: fc.nat(9),
+    agentEpoch: fc.nat(3),
+    sequence: fc.nat(9),
     token: fc.nat(9).map(fencingToken),
     heardAt: fc.nat(9).map(wallClockMs),
   }),
@@ -155,11 +155,11 @@
   const replica = new Replica(slice);
   for (let i = 0; i < 100; i++)
     log.append({
-      kind: 'worker',
+      kind: 'agent',
       machine: machineName(`n-${i % 30}`),
       address: `a:${i}`,
-      session: 1,
-      seq: i,
+      agentEpoch: 1,
+      sequence: i,
       token: fencingToken(7),
       heardAt: wallClockMs(i),
     });
@@ -212,11 +212,11 @@
 test('what is gone is pruned, an unchanged worker is no entry, and memory is bounded', () => {
   const log = new DecisionLog(slice, EPOCH, 50);
   const heard = (machine: string, at: number): LogEntry => ({
-    kind: 'worker',
+    kind: 'agent',
     machine: machineName(machine),
     address: 'a:1',
-    session: 1,
-    seq: at,
+    agentEpoch: 1,
+    sequence: at,
     token: fencingToken(7),
     heardAt: wallClockMs(at),
   });
@@ -227,7 +227,7 @@
   assert.equal(log.head, 2);
   for (let i = 0; i < 5000; i++)
     log.append({
-      kind: 'left',
+      kind: 'exited',
       task: { job: jobId('wk-1'), index: i, attempt: attempt(1), machine: machineName('n-1') },
       why: 'done',
     });
@@ -245,11 +245,11 @@
   const log = new DecisionLog(slice, EPOCH, 4000);
   const report = (i: number, at: number) => {
     log.append({
-      kind: 'worker',
+      kind: 'agent',
       machine: machineName(`n-${String(i).padStart(6, '0')}`),
       address: `10.200.${i >> 8}.${i & 255}:9000`,
-      session: 1,
-      seq: at,
+      agentEpoch: 1,
+      sequence: at,
       token: fencingToken(123_456),
       heardAt: wallClockMs(1_700_000_000_000 + at),
     });
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -264,7 +264,7 @@
   });
   const entries: LogEntry[] = [...Array(10).keys()].flatMap((i) => [
     { kind: 'start', task: task(i) },
-    { kind: 'left', task: task(i), why: 'done' },
+    { kind: 'exited', task: task(i), why: 'done' },
   ]);
   node!.crash();
   const payload = encodeAppend({
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -11,14 +11,14 @@
 import { HttpClient, type Transport } from '../io/http.js';
 import { PeerLink, PeerServer, type Peer } from '../io/peers.js';
 import { buildServer } from '../io/users.js';
-import { WorkerClient, type Workers } from '../io/workers.js';
+import { AgentClient, type AgentGateway } from '../io/workers.js';
 import { Context } from './context.js';
 import { Health } from './health.js';
 import { Jobs } from './jobs.js';
 import { Leader } from './leader/leader.js';
 import { Membership } from './membership.js';
 import { Owner } from './owner/owner.js';
-import { ReportRouter } from './report-router.js';
+import { HeartbeatRouter } from './report-router.js';
 import { Availability } from './availability.js';
 import { status } from './status.js';
 import { SliceTransfer } from './slice-transfer.js';
@@ -37,7 +37,7 @@
   readonly state: Transport;
   readonly watch: Transport;
   readonly cloud: Transport;
-  readonly workers: Workers;
+  readonly agents: AgentGateway;
   readonly peers: ReadonlyMap<string, Peer>;
   /** Links for packages, apart from the others: what is slow there delays nothing else. */
   readonly packageLinks?: ReadonlyMap<string, Peer>;
@@ -50,7 +50,7 @@
   readonly owner: Owner;
   readonly leader: Leader;
   readonly jobs: Jobs;
-  readonly reports: ReportRouter;
+  readonly heartbeats: HeartbeatRouter;
 
   readonly availability: Availability;
   readonly channel: TopicChannel;
@@ -77,14 +77,21 @@
     this.ctx = ctx;
     this.membership = new Membership(ctx);
     this.availability = new Availability(ctx, this.membership, outside.peers);
-    this.owner = new Owner(ctx, outside.workers, health);
+    this.owner = new Owner(ctx, outside.agents, health);
     this.leader = new Leader(
       ctx,
       this.membership,
       new CloudClient(outside.cloud, settings.cloudLimits.rps, outside.clock),
     );
     this.jobs = new Jobs(ctx, this.owner, outside.peers);
-    this.reports = new ReportRouter(ctx, this.owner, this.leader, health, this.membership, this.availability);
+    this.heartbeats = new HeartbeatRouter(
+      ctx,
+      this.owner,
+      this.leader,
+      health,
+      this.membership,
+      this.availability,
+    );
     this.channel = new TopicChannel(outside.packageLinks ?? new Map());
     const tracer = new TracerSwitch();
     const service = (packageLog: Logger): Service => ({
@@ -126,7 +133,7 @@
       this.membership.run(),
       this.owner.run(),
       this.leader.run(),
-      this.reports.run(),
+      this.heartbeats.run(),
       this.availability.run(),
       ...(this.packages === null ? [] : [this.packages.run()]),
       this.logUsage(),
@@ -159,7 +166,7 @@
     state: new HttpClient(settings.state, 8),
     watch: new HttpClient(settings.state, 1),
     cloud: new HttpClient(settings.cloud, 4),
-    workers: new WorkerClient(Math.max(8, Math.floor(sockets / 20))),
+    agents: new AgentClient(Math.max(8, Math.floor(sockets / 20))),
     peers: new Map(settings.peers.map((p) => [p.node as string, new PeerLink(p.address)])),
     ...(packages.length === 0 ? {} : { packageLinks: packageLinks(settings) }),
   };
@@ -174,7 +181,7 @@
   const server = buildServer({
     log,
     jobs: controller.jobs,
-    reports: controller.reports,
+    heartbeats: controller.heartbeats,
     healthy: () => controller.availability.healthy,
     status: () => ({
       ...status(controller.ctx, controller.owner, controller.availability.healthy),
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -7,7 +7,7 @@
   type MachineName,
   type MachineRecord,
   type Placed,
-  type Report,
+  type Heartbeat,
   type MonotonicMs,
 } from '../core/types.js';
 import { dropOldest } from '../core/bounded.js';
@@ -15,7 +15,7 @@
 import type { Hint } from '../packages/api.js';
 import { bytesOf } from '../core/records.js';
 import { Slowness, type Run } from '../core/slowness.js';
-import { newer, taskKey } from '../core/worker-reports.js';
+import { isNewer, taskKey } from '../core/worker-reports.js';
 import type { Context } from './context.js';
 
 /** So many reports, and pauses between a job and a machine, are remembered at least; for larger fleets more. */
@@ -32,7 +32,7 @@
   /** Images that machines were seen to have, the latest used last. */
   private readonly images = new Map<MachineName, Set<string>>();
   private readonly imageGb = new Map<string, number>();
-  private readonly reports = new Map<MachineName, Report>();
+  private readonly lastHeartbeats = new Map<MachineName, Heartbeat>();
 
   private readonly slowness: Slowness;
   /** Since when tasks have been seen running, by machine and task. */
@@ -52,13 +52,13 @@
         this.slowness.gone(name);
         this.runningAt.delete(name);
         this.failures.forgetMachine(name);
-        this.reports.delete(name);
+        this.lastHeartbeats.delete(name);
         this.images.delete(name);
       }
     });
   }
 
-  private sawRunning(r: Report): void {
+  private observeRunningTasks(r: Heartbeat): void {
     const t = this.ctx.clock.now();
     const before = this.runningAt.get(r.machine);
     const now = new Map<string, MonotonicMs>();
@@ -92,21 +92,21 @@
   learn(hint: Hint): void {
     const { view, types, clock } = this.ctx;
     switch (hint.kind) {
-      case 'worker': {
+      case 'agent': {
         const machine = view.machines.get(hint.machine);
         if (machine === undefined || !types.has(machine.type)) return;
         const { type, zone, spot } = machine;
-        const { address, session, seq, token } = hint;
-        this.remember({
+        const { address, agentEpoch, sequence, token } = hint;
+        this.keepIfNewest({
           machine: hint.machine,
           address,
           type,
           zone,
           spot,
-          session,
-          seq,
+          agentEpoch,
+          sequence,
           token,
-          noticeS: null,
+          preemptionNoticeS: null,
           tasks: [],
         });
         return;
@@ -123,19 +123,19 @@
   }
 
   /** Keeps the report if it is the newest of its worker. */
-  private remember(r: Report): boolean {
-    const known = this.reports.get(r.machine);
-    if (known !== undefined && newer(known, r)) return false;
-    this.reports.delete(r.machine);
-    this.reports.set(r.machine, r);
-    dropOldest(this.reports, Math.max(REPORTS_KEPT, 2 * this.ctx.view.machines.size));
+  private keepIfNewest(r: Heartbeat): boolean {
+    const known = this.lastHeartbeats.get(r.machine);
+    if (known !== undefined && isNewer(known, r)) return false;
+    this.lastHeartbeats.delete(r.machine);
+    this.lastHeartbeats.set(r.machine, r);
+    dropOldest(this.lastHeartbeats, Math.max(REPORTS_KEPT, 2 * this.ctx.view.machines.size));
     return true;
   }
 
   /** The newest report that any process of this node got, for the worker's address and session. */
-  saw(r: Report): void {
-    if (!this.remember(r)) return;
-    this.sawRunning(r);
+  observeHeartbeat(r: Heartbeat): void {
+    if (!this.keepIfNewest(r)) return;
+    this.observeRunningTasks(r);
     for (const t of r.tasks) {
       if (t.state === 'fetching' || (t.state === 'exited' && t.exitReason !== 'done')) continue;
       const spec = this.ctx.view.jobs.get(t.job)?.spec;
@@ -149,8 +149,8 @@
     }
   }
 
-  lastReport(m: MachineName): Report | null {
-    return this.reports.get(m) ?? null;
+  lastHeartbeat(m: MachineName): Heartbeat | null {
+    return this.lastHeartbeats.get(m) ?? null;
   }
 
   cached(m: MachineRecord, image: string): boolean {
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -8,7 +8,7 @@
   nodeName,
   type MachineRecord,
   type NodeName,
-  type Report,
+  type Heartbeat,
   type SliceRecord,
   type MonotonicMs,
   type TeamRecord,
@@ -67,8 +67,8 @@
   }
 
   /** A worker that no record knows has reported to this controller. */
-  noteUnknown(report: Report): void {
-    if (this.unknown.noteReport(report)) this.notification.notify();
+  recordUnregistered(report: Heartbeat): void {
+    if (this.unknown.recordHeartbeat(report)) this.notification.notify();
   }
 
   async run(): Promise<never> {
--- a/src/controller/leader/unknown-machines.ts
+++ b/src/controller/leader/unknown-machines.ts
@@ -3,8 +3,8 @@
  * from a machine that was returned long ago, and the list lags, so that either is believed only after a while.
  */
 import type { Settings } from '../../config/settings.js';
-import { newer } from '../../core/worker-reports.js';
-import type { MachineName, Report, MonotonicMs, TypeName, Zone } from '../../core/types.js';
+import { isNewer } from '../../core/worker-reports.js';
+import type { MachineName, Heartbeat, HeartbeatId, MonotonicMs, TypeName, Zone } from '../../core/types.js';
 import type { ListedMachine } from '../../io/wire.js';
 import type { Context } from '../context.js';
 
@@ -37,7 +37,7 @@
 export class UnknownMachines {
   private readonly confirmed = new Map<MachineName, UnknownMachine>();
   /** Workers without a record, as they first reported. */
-  private readonly reporters = new Map<MachineName, { session: number; seq: number; at: MonotonicMs }>();
+  private readonly reporters = new Map<MachineName, HeartbeatId & { at: MonotonicMs }>();
   /** Since when the list shows a machine without a record. */
   private readonly listedSince = new Map<MachineName, MonotonicMs>();
   private readonly released = new Map<MachineName, MonotonicMs>();
@@ -67,15 +67,15 @@
   }
 
   /** A worker without a record has reported. True once it has done so again, later and newer: then it is there. */
-  noteReport(r: Report): boolean {
+  recordHeartbeat(r: Heartbeat): boolean {
     if (this.released.has(r.machine)) return false;
     const now = this.ctx.clock.now();
     const before = this.reporters.get(r.machine);
-    if (before !== undefined && !newer(r, before)) return false;
+    if (before !== undefined && !isNewer(r, before)) return false;
     if (before === undefined || now - before.at > REPORTS_WITHIN_MS) {
       this.makeRoom(now);
       this.reporters.delete(r.machine);
-      this.reporters.set(r.machine, { session: r.session, seq: r.seq, at: now });
+      this.reporters.set(r.machine, { agentEpoch: r.agentEpoch, sequence: r.sequence, at: now });
       return false;
     }
     if (now - before.at < REPORTS_AGAIN_MS) return false;
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -1,5 +1,5 @@
 /** This process's session and, if it gets it, the leadership; both hang on one lease of the state service. */
-import type { SessionRecord, LeadershipRecord, SliceRecord } from '../core/types.js';
+import type { SessionRecord, LeaderRecord, SliceRecord } from '../core/types.js';
 import { key } from '../core/keys.js';
 import type { Op } from '../io/wire.js';
 import { Unavailable } from '../io/state/client.js';
@@ -94,7 +94,7 @@
     await this.writeSession(this.lease);
     await this.takeOwnSlice();
     if (ctx.view.leader === null && this.mayLead) {
-      const value: LeadershipRecord = {
+      const value: LeaderRecord = {
         node: ctx.settings.node,
         incarnation: ctx.incarnation,
         lease: this.lease,
--- a/src/controller/owner/machine-reconciler.ts
+++ b/src/controller/owner/machine-reconciler.ts
@@ -4,18 +4,18 @@
  */
 import { key } from '../../core/keys.js';
 import {
-  exits,
+  confirmedExits,
   taskKey,
-  without,
-  type Exit,
-  type MachineMemory,
-  type Wanted,
+  removeExits,
+  type TaskExit,
+  type AgentSession,
+  type DesiredState,
 } from '../../core/worker-reports.js';
 import type { MachineName, MachineRecord, Placed, Zone } from '../../core/types.js';
 import type { Group } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
-import type { MachineSessions } from './machine-sessions.js';
+import type { AgentSessions } from './machine-sessions.js';
 import type { FoundResults, Results } from './results.js';
 import { EMPTY_STAY_MS, MOST_STAY_MS, SPARE_STAY_MS, SWEEP_MS } from './timing.js';
 import { isUnreachable, presenceByZone, type ZonePresence } from './unreachable.js';
@@ -30,7 +30,7 @@
 export class MachineReconciler {
   constructor(
     private readonly ctx: Context,
-    private readonly sessions: MachineSessions,
+    private readonly sessions: AgentSessions,
     private readonly health: Health,
     private readonly results: Results,
     /** Told when a task has left its machine, so that its room is used again. */
@@ -50,7 +50,7 @@
   }
 
   /** The change that the machine's record needs now, if any; results of its tasks are added to `found`. */
-  reconcile(name: MachineName, wanted: Wanted, found: FoundResults): MachineChange | null {
+  reconcile(name: MachineName, wanted: DesiredState, found: FoundResults): MachineChange | null {
     const { ctx } = this;
     const machine = ctx.view.machines.get(name);
     if (machine === undefined || !ctx.isMine(machine)) {
@@ -59,7 +59,7 @@
       return null;
     }
     const memory = this.sessions.of(machine);
-    const left = exits(machine, memory, wanted);
+    const left = confirmedExits(machine, memory, wanted);
     this.results.remember(machine, memory.token, left);
     for (const exit of left) {
       this.results.collect(exit, found);
@@ -68,36 +68,44 @@
     return this.change(machine, memory, left);
   }
 
-  private noteExit(machine: MachineRecord, memory: MachineMemory, { placed, index, why }: Exit): void {
+  private noteExit(machine: MachineRecord, memory: AgentSession, { placed, index, reason }: TaskExit): void {
     const { ctx } = this;
     const k = taskKey(placed.job, index, placed.attempt);
-    if (memory.left.has(k)) return;
-    memory.left.set(k, { at: ctx.clock.now(), why });
+    if (memory.exitedTasks.has(k)) return;
+    memory.exitedTasks.set(k, { exitedAt: ctx.clock.now(), why: reason });
     this.taskLeft();
-    this.health.exit(machine, placed, why);
+    this.health.exit(machine, placed, reason);
     const { job, attempt } = placed;
     if (ctx.events.isActive)
-      ctx.events.emit({ kind: 'task_left', task: { job, index, attempt, machine: machine.name }, why });
+      ctx.events.emit({
+        kind: 'task_exited',
+        task: { job, index, attempt, machine: machine.name },
+        why: reason,
+      });
     ctx.log.info(
       {
         task: ctx.task(placed.job, index),
         attempt: placed.attempt,
         machine: machine.name,
         token: memory.token,
-        why: why ?? 'absent',
+        why: reason ?? 'absent',
       },
       'task left its machine',
     );
   }
 
-  private change(machine: MachineRecord, memory: MachineMemory, left: readonly Exit[]): MachineChange | null {
+  private change(
+    machine: MachineRecord,
+    memory: AgentSession,
+    left: readonly TaskExit[],
+  ): MachineChange | null {
     const { ctx } = this;
-    const noticed = memory.report?.noticeS != null;
+    const noticed = memory.heartbeat?.preemptionNoticeS != null;
     const drain = machine.drain === true || noticed || this.health.sick(machine);
     const unreachable = isUnreachable(ctx, machine, memory, () => this.presence());
-    const cameUp = machine.phase === 'booting' && memory.report !== null;
+    const cameUp = machine.phase === 'booting' && memory.heartbeat !== null;
     const gone = left.filter((e) => !this.results.mayStay(e) || this.results.isDurable(e));
-    const kept = without(machine.placed, gone);
+    const kept = removeExits(machine.placed, gone);
     const placed = noticed ? this.stopOnNotice(kept) : kept;
     const urgent =
       unreachable ||
@@ -124,8 +132,8 @@
   /** What need not be written by itself goes along with the machine's next start, or is written a little later. */
   private isTidyingDue(
     machine: MachineRecord,
-    memory: MachineMemory,
-    gone: readonly Exit[],
+    memory: AgentSession,
+    gone: readonly TaskExit[],
     kept: readonly Placed[],
     cameUp: boolean,
   ): boolean {
@@ -133,11 +141,12 @@
     const now = clock.now();
     const { spare } = state;
     const stayMs = spare ? SPARE_STAY_MS : kept.length === 0 ? EMPTY_STAY_MS : MOST_STAY_MS;
-    const leftAt = (e: Exit) => memory.left.get(taskKey(e.placed.job, e.index, e.placed.attempt))!.at;
+    const leftAt = (e: TaskExit) =>
+      memory.exitedTasks.get(taskKey(e.placed.job, e.index, e.placed.attempt))!.exitedAt;
     if (gone.some((e) => now - leftAt(e) > stayMs)) return true;
-    const hears = memory.report?.token === memory.token;
+    const hears = memory.heartbeat?.token === memory.token;
     const showsToken = hears && machine.placed.length === 0 && (machine.heard ?? 0) < memory.token;
-    return (showsToken || cameUp) && now - memory.firstAt! > (spare ? SWEEP_MS : EMPTY_STAY_MS);
+    return (showsToken || cameUp) && now - memory.firstHeartbeatAt! > (spare ? SWEEP_MS : EMPTY_STAY_MS);
   }
 
   /** What can save, or is wanted all the time, goes elsewhere before the cloud takes the machine. */
@@ -151,19 +160,19 @@
   }
 
   /** What its reports taught of the machine; written along with whatever is written of it. */
-  learned(machine: MachineRecord, memory: MachineMemory): Partial<MachineRecord> {
-    const address = memory.report?.address ?? machine.address;
+  learned(machine: MachineRecord, memory: AgentSession): Partial<MachineRecord> {
+    const address = memory.heartbeat?.address ?? machine.address;
     const images = this.health.imagesOf(machine);
     return {
       ...(address === undefined ? {} : { address }),
       ...(images.length === 0 ? {} : { images }),
-      ...(memory.report?.token === memory.token ? { heard: memory.token } : {}),
+      ...(memory.heartbeat?.token === memory.token ? { heard: memory.token } : {}),
     };
   }
 
-  private logUnreachable(machine: MachineRecord, memory: MachineMemory): void {
+  private logUnreachable(machine: MachineRecord, memory: AgentSession): void {
     this.ctx.log.info(
-      { machine: machine.name, token: memory.token, heardMs: this.ctx.clock.now() - memory.heardAt },
+      { machine: machine.name, token: memory.token, heardMs: this.ctx.clock.now() - memory.lastContactAt },
       'machine unreachable: given up',
     );
   }
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/owner/machine-sessions.ts
@@ -4,29 +4,29 @@
  * time, never a rule.
  */
 import {
-  commands,
-  exits,
-  newMemory,
-  takeReport,
-  type MachineMemory,
-  type Wanted,
+  agentCommands,
+  confirmedExits,
+  newAgentSession,
+  recordHeartbeat,
+  type AgentSession,
+  type DesiredState,
 } from '../../core/worker-reports.js';
 import type {
-  Command,
+  AgentCommand,
   MachineName,
   MachineRecord,
   NodeName,
-  Report,
+  Heartbeat,
   MonotonicMs,
   FencingToken,
 } from '../../core/types.js';
-import type { Workers } from '../../io/workers.js';
+import type { AgentGateway } from '../../io/workers.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
 
 /** What a worker that has reported is answered. */
-export type ReportAnswer =
-  | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly Command[] }
+export type HeartbeatReply =
+  | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly AgentCommand[] }
   | { readonly kind: 'elsewhere'; readonly node: NodeName | null }
   | { readonly kind: 'busy' };
 
@@ -42,67 +42,68 @@
 const FIRST_SESSION = 1;
 
 /** Remembers the machines of this owner, answers their reports and sends them direct messages. */
-export class MachineSessions {
-  private readonly memories = new Map<MachineName, MachineMemory>();
+export class AgentSessions {
+  private readonly sessions = new Map<MachineName, AgentSession>();
   /** Machines to which a direct message is under way. */
-  private readonly messaged = new Set<MachineName>();
+  private readonly inFlight = new Set<MachineName>();
   /** When a stop was last sent directly, the latest last. */
   private readonly stopSentAt = new Map<string, MonotonicMs>();
-  private readonly reportMs: number;
+  private readonly heartbeatIntervalMs: number;
 
   constructor(
     private readonly ctx: Context,
-    private readonly workers: Workers,
+    private readonly agents: AgentGateway,
     private readonly health: Health,
     private readonly learned: MachineListener,
   ) {
-    this.reportMs = ctx.settings.workers.report_s * 1000;
+    this.heartbeatIntervalMs = ctx.settings.workers.report_s * 1000;
   }
 
   names(): Iterable<MachineName> {
-    return this.memories.keys();
+    return this.sessions.keys();
   }
 
   /** What is remembered under the machine's present token; nothing yet where that is new. */
-  of(machine: MachineRecord): MachineMemory {
+  of(machine: MachineRecord): AgentSession {
     const token = this.ctx.view.tokenOf(machine);
-    let memory = this.memories.get(machine.name);
+    let memory = this.sessions.get(machine.name);
     if (memory?.token !== token) {
-      memory = newMemory(token, this.ctx.clock.now());
-      this.memories.set(machine.name, memory);
+      memory = newAgentSession(token, this.ctx.clock.now());
+      this.sessions.set(machine.name, memory);
     }
     return memory;
   }
 
   /** As `of`, without beginning anything. */
-  known(name: MachineName): MachineMemory | undefined {
-    return this.memories.get(name);
+  get(name: MachineName): AgentSession | undefined {
+    return this.sessions.get(name);
   }
 
   forget(name: MachineName): void {
-    this.memories.delete(name);
+    this.sessions.delete(name);
   }
 
   /** Takes in a report of one of this controller's machines and says what the worker is to do. */
-  report(machine: MachineRecord, report: Report): ReportAnswer {
+  answerHeartbeat(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
     const { ctx } = this;
     const memory = this.of(machine);
     const { token } = memory;
-    if (report.token > token) return { kind: 'elsewhere', node: null };
-    const first = memory.report === null;
+    if (heartbeat.token > token) return { kind: 'elsewhere', node: null };
+    const first = memory.heartbeat === null;
     const now = ctx.clock.now();
     // Overtaken by the answer to a direct command, or late: the worker is kept, and told nothing.
-    if (!takeReport(memory, report, now, true, this.reportMs)) return { kind: 'ok', token, commands: [] };
-    if (ctx.events.isActive) ctx.events.emit({ kind: 'worker_heard', report });
-    const wanted = this.wanted();
-    const tells = first || machine.phase === 'booting' || report.noticeS !== null;
-    if (tells || exits(machine, memory, wanted).length > 0) this.learned(machine.name, first);
-    const answer = commands(machine, memory, wanted, now, machine.phase !== 'releasing');
+    if (!recordHeartbeat(memory, heartbeat, now, true, this.heartbeatIntervalMs))
+      return { kind: 'ok', token, commands: [] };
+    if (ctx.events.isActive) ctx.events.emit({ kind: 'heartbeat_recorded', heartbeat });
+    const wanted = this.desiredState();
+    const tells = first || machine.phase === 'booting' || heartbeat.preemptionNoticeS !== null;
+    if (tells || confirmedExits(machine, memory, wanted).length > 0) this.learned(machine.name, first);
+    const answer = agentCommands(machine, memory, wanted, now, machine.phase !== 'releasing');
     this.noteCommands(machine.name, token, answer);
     return { kind: 'ok', token, commands: answer };
   }
 
-  private noteCommands(machine: MachineName, token: FencingToken, sent: readonly Command[]): void {
+  private noteCommands(machine: MachineName, token: FencingToken, sent: readonly AgentCommand[]): void {
     const { ctx } = this;
     for (const command of sent) {
       const { op, job, index, attempt } = command;
@@ -112,51 +113,51 @@
   }
 
   /** Direct messages: fencing tokens for machines that have not shown theirs, stops that cannot wait. */
-  sendDirect(names: readonly MachineName[]): void {
-    const wanted = this.wanted();
+  sendDirectCommands(names: readonly MachineName[]): void {
+    const wanted = this.desiredState();
     for (const name of names) {
       const machine = this.ctx.view.machines.get(name);
       if (machine !== undefined && this.ctx.isMine(machine)) this.sendTo(machine, wanted);
     }
   }
 
-  private sendTo(machine: MachineRecord, wanted: Wanted): void {
+  private sendTo(machine: MachineRecord, wanted: DesiredState): void {
     const { ctx } = this;
     const { name } = machine;
     const memory = this.of(machine);
-    const report = memory.report ?? this.health.lastReport(name);
+    const report = memory.heartbeat ?? this.health.lastHeartbeat(name);
     const address = report?.address ?? machine.address;
-    if (address === undefined || machine.phase === 'releasing' || this.messaged.has(name)) return;
-    let stops: Command[] = [];
-    if (report?.token === memory.token && memory.report !== null) {
-      stops = commands(machine, memory, wanted, ctx.clock.now(), false).filter(
+    if (address === undefined || machine.phase === 'releasing' || this.inFlight.has(name)) return;
+    let stops: AgentCommand[] = [];
+    if (report?.token === memory.token && memory.heartbeat !== null) {
+      stops = agentCommands(machine, memory, wanted, ctx.clock.now(), false).filter(
         (c) => c.op === 'stop' && !this.stopSentOfLate(name, c),
       );
       if (stops.length === 0) return;
     } else if (report !== null && report.token > memory.token) return;
-    this.messaged.add(name);
+    this.inFlight.add(name);
     this.noteCommands(name, memory.token, stops);
     // Without any report the session is a guess: the refusal brings the report, and the next try has it.
-    const session = report?.session ?? FIRST_SESSION;
-    void this.workers.direct(address, memory.token, session, stops).then((answer) => {
-      if (answer?.machine === name) this.takeAnswer(answer);
-      ctx.clock.after(answer === null ? RETRY_MESSAGE_MS : NEXT_MESSAGE_MS, () => this.messaged.delete(name));
+    const session = report?.agentEpoch ?? FIRST_SESSION;
+    void this.agents.sendCommands(address, memory.token, session, stops).then((answer) => {
+      if (answer?.machine === name) this.recordAnswer(answer);
+      ctx.clock.after(answer === null ? RETRY_MESSAGE_MS : NEXT_MESSAGE_MS, () => this.inFlight.delete(name));
     });
   }
 
-  private takeAnswer(answer: Report): void {
+  private recordAnswer(answer: Heartbeat): void {
     const { ctx } = this;
-    this.health.saw(answer);
+    this.health.observeHeartbeat(answer);
     const machine = ctx.view.machines.get(answer.machine);
     if (machine === undefined || !ctx.isMine(machine)) return;
     if (answer.token > ctx.view.tokenOf(machine)) return;
     const memory = this.of(machine);
-    if (!takeReport(memory, answer, ctx.clock.now(), false, this.reportMs)) return;
-    if (ctx.events.isActive) ctx.events.emit({ kind: 'worker_heard', report: answer });
+    if (!recordHeartbeat(memory, answer, ctx.clock.now(), false, this.heartbeatIntervalMs)) return;
+    if (ctx.events.isActive) ctx.events.emit({ kind: 'heartbeat_recorded', heartbeat: answer });
     this.learned(machine.name, false);
   }
 
-  private stopSentOfLate(machine: MachineName, stop: Command): boolean {
+  private stopSentOfLate(machine: MachineName, stop: AgentCommand): boolean {
     const k = `${machine} ${stop.job}/${stop.index}@${stop.attempt}`;
     const before = this.stopSentAt.get(k);
     const now = this.ctx.clock.now();
@@ -170,7 +171,7 @@
     return false;
   }
 
-  private wanted(): Wanted {
+  private desiredState(): DesiredState {
     return { jobs: this.ctx.view.jobs, ledger: this.ctx.ledger() };
   }
 }
--- a/src/controller/owner/owner.ts
+++ b/src/controller/owner/owner.ts
@@ -4,21 +4,21 @@
  */
 import type { Changes } from '../../core/changes.js';
 import type { WaitReason } from '../../core/placement.js';
-import type { JobId, MachineName, MachineRecord, Report } from '../../core/types.js';
+import type { JobId, MachineName, MachineRecord, Heartbeat } from '../../core/types.js';
 import { URGENCY } from '../../io/rate-limiter.js';
 import { commitAll, type Group } from '../../io/state/transactions.js';
-import type { Workers } from '../../io/workers.js';
+import type { AgentGateway } from '../../io/workers.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
 import { Notification } from '../notification.js';
 import { JobReconciler } from './job-reconciler.js';
 import { MachineReconciler } from './machine-reconciler.js';
-import { MachineSessions, type ReportAnswer } from './machine-sessions.js';
+import { AgentSessions, type HeartbeatReply } from './machine-sessions.js';
 import { Results, type FoundResults } from './results.js';
 import { Starts } from './starts.js';
 import { SWEEP_MS } from './timing.js';
 
-export type { ReportAnswer } from './machine-sessions.js';
+export type { HeartbeatReply as ReportAnswer } from './machine-sessions.js';
 
 /** The loop looks at its work so often without being notified. */
 const IDLE_MS = 200;
@@ -34,7 +34,7 @@
 /** The loop over this controller's machines and teams. */
 export class Owner {
   private readonly notification: Notification;
-  private readonly sessions: MachineSessions;
+  private readonly sessions: AgentSessions;
   private readonly results: Results;
   private readonly machines: MachineReconciler;
   private readonly jobs: JobReconciler;
@@ -49,11 +49,11 @@
 
   constructor(
     private readonly ctx: Context,
-    workers: Workers,
+    workers: AgentGateway,
     health: Health,
   ) {
     this.notification = new Notification(ctx.clock);
-    this.sessions = new MachineSessions(ctx, workers, health, (name, mayPlace) => {
+    this.sessions = new AgentSessions(ctx, workers, health, (name, mayPlace) => {
       this.noteLearned(name, mayPlace);
     });
     this.results = new Results(ctx);
@@ -73,8 +73,8 @@
   }
 
   /** Takes in a report of one of this controller's machines and says what the worker is to do. */
-  report(machine: MachineRecord, report: Report): ReportAnswer {
-    return this.sessions.report(machine, report);
+  answerHeartbeat(machine: MachineRecord, report: Heartbeat): HeartbeatReply {
+    return this.sessions.answerHeartbeat(machine, report);
   }
 
   /** A user asked this controller to cancel a job of its own team. */
@@ -103,7 +103,7 @@
   /** False: not all was committed, and what is left has to be worked out anew. */
   private async pass(work: readonly MachineName[]): Promise<boolean> {
     const { state, follower } = this.ctx;
-    this.sessions.sendDirect(work);
+    this.sessions.sendDirectCommands(work);
     const { now, later } = this.reconcile(work);
     // Starts go before what only tidies up: under a short budget they would wait for seconds behind it.
     let ok = await commitAll(state, follower, now, URGENCY.results);
--- a/src/controller/owner/results.ts
+++ b/src/controller/owner/results.ts
@@ -4,7 +4,7 @@
  */
 import { isDone, markDone } from '../../core/jobs.js';
 import { key } from '../../core/keys.js';
-import type { Exit } from '../../core/worker-reports.js';
+import type { TaskExit } from '../../core/worker-reports.js';
 import type {
   DoneSet,
   JobId,
@@ -48,14 +48,14 @@
    * Tasks that are done and whose entries are still in their machine's record. Their room can be used again at
    * once: the record only says too much. After a crash the next owner sees them exited in the next report.
    */
-  private readonly proven = new Map<MachineName, { token: FencingToken; exits: readonly Exit[] }>();
+  private readonly proven = new Map<MachineName, { token: FencingToken; exits: readonly TaskExit[] }>();
   /** Since when results of unfinished jobs have been gathered. */
   private readonly gatheredSince = new Map<JobId, MonotonicMs>();
 
   constructor(private readonly ctx: Context) {}
 
   /** Remembers which ended tasks of a machine may keep their entries for now. */
-  remember(machine: MachineRecord, token: FencingToken, exits: readonly Exit[]): void {
+  remember(machine: MachineRecord, token: FencingToken, exits: readonly TaskExit[]): void {
     const kept = exits.filter((e) => this.mayStay(e));
     if (kept.length > 0) this.proven.set(machine.name, { token, exits: kept });
     else this.proven.delete(machine.name);
@@ -71,7 +71,7 @@
   }
 
   /** Tasks known to have ended whose entries are still in the record. */
-  provenOn(machine: MachineRecord): Exit[] {
+  provenOn(machine: MachineRecord): TaskExit[] {
     const known = this.proven.get(machine.name);
     if (known?.token !== this.ctx.view.tokenOf(machine)) return [];
     return known.exits.filter((e) =>
@@ -82,19 +82,19 @@
   }
 
   /** The entry of a task that is done harms nobody, except where its job's cancellation waits for it. */
-  mayStay(exit: Exit): boolean {
-    return exit.why === 'done' && this.ctx.view.jobs.get(exit.placed.job)?.phase !== 'cancelling';
+  mayStay(exit: TaskExit): boolean {
+    return exit.reason === 'done' && this.ctx.view.jobs.get(exit.placed.job)?.phase !== 'cancelling';
   }
 
   /** The task's result is in the state service: only then may its machine forget it. */
-  isDurable(exit: Exit): boolean {
+  isDurable(exit: TaskExit): boolean {
     const job = this.ctx.view.jobs.get(exit.placed.job);
     return job === undefined || isDone(job.done, exit.index);
   }
 
   /** Adds what an exit says of its job's results. */
-  collect(exit: Exit, found: FoundResults): void {
-    if (exit.why !== 'done' || this.isDurable(exit)) return;
+  collect(exit: TaskExit, found: FoundResults): void {
+    if (exit.reason !== 'done' || this.isDurable(exit)) return;
     const { job, kind } = exit.placed;
     const indexes = found.get(job) ?? new Set<TaskIndex>();
     found.set(job, indexes);
--- a/src/controller/owner/starts.ts
+++ b/src/controller/owner/starts.ts
@@ -2,7 +2,7 @@
 import { placedOf, withPlaced } from '../../core/placed.js';
 import { BUSY_FETCHING, schedule, type WaitReason, type Placement } from '../../core/placement.js';
 import { key } from '../../core/keys.js';
-import { without } from '../../core/worker-reports.js';
+import { removeExits } from '../../core/worker-reports.js';
 import {
   attempt,
   type JobId,
@@ -18,7 +18,7 @@
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
 import type { MachineReconciler } from './machine-reconciler.js';
-import type { MachineSessions } from './machine-sessions.js';
+import type { AgentSessions } from './machine-sessions.js';
 import { Preemptor } from './preemptor.js';
 import type { Results } from './results.js';
 import { HEARD_INTERVALS } from './unreachable.js';
@@ -52,7 +52,7 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly sessions: MachineSessions,
+    private readonly sessions: AgentSessions,
     private readonly health: Health,
     private readonly results: Results,
     private readonly machines: MachineReconciler,
@@ -80,9 +80,9 @@
     const { ctx } = this;
     const heardMs = ctx.settings.workers.report_s * 1000 * HEARD_INTERVALS;
     return ctx.myMachines().filter((m) => {
-      const memory = this.sessions.known(m.name);
-      if (m.phase === 'releasing' || m.drain === true || memory?.report == null) return false;
-      return ctx.clock.now() - memory.heardAt < heardMs && !this.health.sick(m);
+      const memory = this.sessions.get(m.name);
+      if (m.phase === 'releasing' || m.drain === true || memory?.heartbeat == null) return false;
+      return ctx.clock.now() - memory.lastContactAt < heardMs && !this.health.sick(m);
     });
   }
 
@@ -199,7 +199,7 @@
     const guards = new GuardSet(ctx.state.settings.txnOps * GUARDS_PER_OP);
     guards.add([ctx.guard(k), ctx.guard(key.slice(machine.owner))]);
     const gone = this.results.provenOn(machine).filter((e) => this.results.isDurable(e));
-    let placed: readonly Placed[] = without(machine.placed, gone);
+    let placed: readonly Placed[] = removeExits(machine.placed, gone);
     // Gangs first: of a gang no task may be left out.
     const gangsFirst = [...placements].sort((a, b) => rankOfKind(a.job) - rankOfKind(b.job));
     for (const p of gangsFirst) {
--- a/src/controller/owner/unreachable.ts
+++ b/src/controller/owner/unreachable.ts
@@ -1,14 +1,14 @@
 /** Tells machines that have failed from machines that the network keeps from their owner. */
-import { ANSWER_WAIT_MS } from '../../core/worker-reports.js';
-import type { MachineMemory } from '../../core/worker-reports.js';
+import { AGENT_ANSWER_TIMEOUT_MS } from '../../core/worker-reports.js';
+import type { AgentSession } from '../../core/worker-reports.js';
 import type { MachineRecord, Zone } from '../../core/types.js';
 import type { Context } from '../context.js';
-import type { MachineSessions } from './machine-sessions.js';
+import type { AgentSessions } from './machine-sessions.js';
 
 /** A worker turns to the next controller so long after it got no answer. */
 const NEXT_CONTROLLER_MS = 1000;
 /** What one controller that does not answer costs a worker. */
-const HOP_MS = ANSWER_WAIT_MS + NEXT_CONTROLLER_MS;
+const HOP_MS = AGENT_ANSWER_TIMEOUT_MS + NEXT_CONTROLLER_MS;
 /** Delays of the network and of busy processes, beside one hop and beside several. */
 const SLACK_MS = 1500;
 const LONG_SLACK_MS = 3000;
@@ -28,7 +28,7 @@
 }
 
 /** What is heard of each zone now; worked out once a pass, since a silent zone has many machines to judge. */
-export function presenceByZone(ctx: Context, sessions: MachineSessions): ReadonlyMap<Zone, ZonePresence> {
+export function presenceByZone(ctx: Context, sessions: AgentSessions): ReadonlyMap<Zone, ZonePresence> {
   const zones = new Map<Zone, { machines: number; heard: boolean }>();
   const { report_s } = ctx.settings.workers;
   const now = ctx.clock.now();
@@ -37,9 +37,9 @@
     const zone = zones.get(machine.zone) ?? { machines: 0, heard: false };
     zones.set(machine.zone, zone);
     zone.machines++;
-    const { heardAt, steadySince } = sessions.of(machine);
-    const steady = steadySince !== null && now - steadySince > turnsAwayMs(report_s, 1);
-    zone.heard ||= steady && now - heardAt < report_s * 1000 * HEARD_INTERVALS;
+    const { lastContactAt, uninterruptedSince } = sessions.of(machine);
+    const steady = uninterruptedSince !== null && now - uninterruptedSince > turnsAwayMs(report_s, 1);
+    zone.heard ||= steady && now - lastContactAt < report_s * 1000 * HEARD_INTERVALS;
   }
   return zones;
 }
@@ -56,18 +56,18 @@
 export function isUnreachable(
   ctx: Context,
   machine: MachineRecord,
-  memory: MachineMemory,
+  memory: AgentSession,
   zones: () => ReadonlyMap<Zone, ZonePresence>,
 ): boolean {
   if (machine.phase === 'releasing' || ctx.substituteOf(machine) !== null) return false;
-  if (machine.phase === 'booting' && memory.report === null) return false;
+  if (machine.phase === 'booting' && memory.heartbeat === null) return false;
   if (!ctx.state.reachable(STATE_FRESH_MS)) return false;
   const { report_s, lease_s } = ctx.settings.workers;
   const reportMs = report_s * 1000;
   const now = ctx.clock.now();
-  const quietMs = now - memory.heardAt;
+  const quietMs = now - memory.lastContactAt;
   // A worker that has not reported to this owner yet may have to try every other controller first.
-  const hops = memory.postedAt === null ? ctx.settings.nodes : 1;
+  const hops = memory.lastPushedAt === null ? ctx.settings.nodes : 1;
   if (quietMs < turnsAwayMs(report_s, hops)) return false;
   // Where its whole zone is silent, or it is alone there, the network is the more likely cause: then time is given to
   // try every controller, one after the other, and to be written down by one of them. Only those count that were heard
--- a/src/controller/report-router.ts
+++ b/src/controller/report-router.ts
@@ -8,10 +8,10 @@
  * nobody takes those machines for dead.
  */
 import type {
-  Command,
+  AgentCommand,
   MachineName,
   MachineRecord,
-  Report,
+  Heartbeat,
   MonotonicMs,
   FencingToken,
 } from '../core/types.js';
@@ -42,7 +42,7 @@
 const LIST_EVERY_MS = 500;
 
 /** Answers workers' reports, or tells them which controller does. */
-export class ReportRouter {
+export class HeartbeatRouter {
   private readonly substituted = new Map<MachineName, Substituted>();
   /** Workers that were sent to their owner, and when. */
   private readonly sentOn = new Map<MachineName, { token: FencingToken; at: MonotonicMs }>();
@@ -80,22 +80,22 @@
     if (this.tokens.get(name)?.token !== token) this.tokens.set(name, { token, since: clock.now() });
   }
 
-  answer(r: Report): ReportAnswer {
+  answer(r: Heartbeat): ReportAnswer {
     const { ctx } = this;
     if (!ctx.follower.ready) return { kind: 'busy' };
-    this.health.saw(r);
+    this.health.observeHeartbeat(r);
     const m = ctx.view.machines.get(r.machine);
     if (m === undefined) {
       const leader = leaderOf(ctx);
       if (leader !== ctx.settings.node) return { kind: 'elsewhere', node: leader };
-      this.leader.noteUnknown(r);
+      this.leader.recordUnregistered(r);
       return { kind: 'elsewhere', node: null };
     }
     if (ctx.isMine(m)) {
       if (!this.availability.mayAnswerWorkers) return this.answerIsolated(m, r);
       this.sentOn.delete(m.name);
       this.cameBack.delete(m.name);
-      return this.owner.report(m, r);
+      return this.owner.answerHeartbeat(m, r);
     }
     // Kept, and told nothing, for the moment until the view holds what its former owner has committed.
     if (ctx.isBecomingMine(m)) return { kind: 'ok', token: ctx.view.tokenOf(m), commands: [] };
@@ -113,7 +113,7 @@
    * it does for substitutes. After a lease it is sent on again: another controller may wait for it, and would give its
    * machine up.
    */
-  private answerIsolated(m: MachineRecord, r: Report): ReportAnswer {
+  private answerIsolated(m: MachineRecord, r: Heartbeat): ReportAnswer {
     const { ctx } = this;
     if (!this.availability.isolated)
       return { kind: 'elsewhere', node: ctx.isMine(m) ? null : ctx.holderOf(m) };
@@ -138,13 +138,13 @@
   }
 
   /** It has the present token and has had it for a while: it knew its owner and left it. */
-  private leftOwner(r: Report, token: FencingToken): boolean {
+  private leftOwner(r: Heartbeat, token: FencingToken): boolean {
     const known = this.tokens.get(r.machine);
     const reportMs = this.ctx.settings.workers.report_s * 1000;
     return r.token === token && known !== undefined && this.ctx.clock.now() - known.since >= reportMs * 1.5;
   }
 
-  private substitutes(m: MachineRecord, r: Report, ownerLives: boolean): boolean {
+  private substitutes(m: MachineRecord, r: Heartbeat, ownerLives: boolean): boolean {
     const { ctx } = this;
     const t = ctx.clock.now();
     const reportMs = ctx.settings.workers.report_s * 1000;
@@ -193,13 +193,13 @@
   }
 
   /** Only what the state says is over may be stopped in the owner's place. */
-  private stops(r: Report): Command[] {
-    const out: Command[] = [];
+  private stops(r: Heartbeat): AgentCommand[] {
+    const out: AgentCommand[] = [];
     for (const t of r.tasks) {
       if (t.state === 'exited') continue;
       const job = this.ctx.view.jobs.get(t.job);
       if (job === undefined || job.phase === 'cancelling')
-        out.push({ op: 'stop', job: t.job, index: t.index, attempt: t.attempt, graceS: 0 });
+        out.push({ op: 'stop', job: t.job, index: t.index, attempt: t.attempt, gracePeriodS: 0 });
     }
     return out;
   }
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -6,11 +6,11 @@
 import type { Run } from './slowness.js';
 import type {
   Attempt,
-  Command,
+  AgentCommand,
   ExitReason,
   JobId,
   MachineName,
-  Report,
+  Heartbeat,
   MonotonicMs,
   TaskIndex,
   TeamName,
@@ -39,10 +39,10 @@
   | { readonly kind: 'task_placed'; readonly task: TaskOnMachine; readonly team: TeamName }
   /** Decided, and not yet committed. */
   | { readonly kind: 'task_preempted'; readonly task: TaskOnMachine; readonly inFavourOf: JobId }
-  | { readonly kind: 'command_sent'; readonly machine: MachineName; readonly command: Command }
+  | { readonly kind: 'command_sent'; readonly machine: MachineName; readonly command: AgentCommand }
   /** A report, or the answer to a direct message, was taken in under the machine's present token. */
-  | { readonly kind: 'worker_heard'; readonly report: Report }
-  | { readonly kind: 'task_left'; readonly task: TaskOnMachine; readonly why: ExitReason | null }
+  | { readonly kind: 'heartbeat_recorded'; readonly heartbeat: Heartbeat }
+  | { readonly kind: 'task_exited'; readonly task: TaskOnMachine; readonly why: ExitReason | null }
   | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: Run }
   | { readonly kind: 'job_failing'; readonly job: JobId; readonly failures: JobFailures }
   | {
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -292,7 +292,7 @@
 }
 
 /** The leadership; it goes with its lease. */
-export interface LeadershipRecord {
+export interface LeaderRecord {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
   readonly lease: number;
@@ -330,28 +330,33 @@
   readonly hasCheckpoint: boolean;
 }
 
-/** A worker's report. */
-export interface Report {
+/** Orders the heartbeats of one machine: by agent epoch, then by sequence number. */
+export interface HeartbeatId {
+  /** Raised by the agent whenever it restarts or loses its lease. */
+  readonly agentEpoch: number;
+  readonly sequence: number;
+}
+
+/** A heartbeat with status, as an agent sends it. */
+export interface Heartbeat extends HeartbeatId {
   readonly machine: MachineName;
   readonly address: string;
   readonly type: TypeName;
   readonly zone: Zone;
   readonly spot: boolean;
-  readonly session: number;
-  readonly seq: number;
   readonly token: FencingToken;
-  readonly noticeS: number | null;
+  readonly preemptionNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
 /** A command to a worker. */
-export type Command =
+export type AgentCommand =
   | { readonly op: 'start'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt }
   | {
       readonly op: 'stop';
       readonly job: JobId;
       readonly index: TaskIndex;
       readonly attempt: Attempt;
-      readonly graceS: number;
+      readonly gracePeriodS: number;
     }
   | { readonly op: 'forget'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt };
--- a/src/core/view.ts
+++ b/src/core/view.ts
@@ -13,7 +13,7 @@
   type JobId,
   type JobRecord,
   type SubstitutesRecord,
-  type LeadershipRecord,
+  type LeaderRecord,
   type MachineName,
   type MachineRecord,
   type MachineType,
@@ -58,7 +58,7 @@
     string,
     { readonly node: string; readonly machines: ReadonlySet<MachineName> }
   >();
-  leader: LeadershipRecord | null = null;
+  leader: LeaderRecord | null = null;
   types: readonly MachineType[] | null = null;
   /** Machines whose records changed since somebody last took the set in; see `Context.ledger`. */
   readonly touched = new Set<MachineName>();
@@ -169,7 +169,7 @@
         else this.cancellations.add(parsed.job);
         break;
       case 'leader':
-        this.leader = (value ?? null) as LeadershipRecord | null;
+        this.leader = (value ?? null) as LeaderRecord | null;
         break;
       case 'types':
         this.indexTypes(k, value);
--- a/src/core/worker-reports.ts
+++ b/src/core/worker-reports.ts
@@ -13,13 +13,14 @@
   fitsWithin,
   addResources,
   type Attempt,
-  type Command,
+  type AgentCommand,
   type ExitReason,
   type JobId,
   type JobRecord,
   type MachineRecord,
   type Placed,
-  type Report,
+  type Heartbeat,
+  type HeartbeatId,
   type ReportedTask,
   type MonotonicMs,
   type TaskIndex,
@@ -27,97 +28,97 @@
 } from './types.js';
 
 /** What the present owner remembers of a machine under one token. All of it may be lost at any time. */
-export interface MachineMemory {
+export interface AgentSession {
   readonly token: FencingToken;
-  report: Report | null;
+  heartbeat: Heartbeat | null;
   /**
    * The newest report that the worker sent by itself. An answer to a direct command may be newer and still
    * precede the answer to a report in flight, so only this one shows what became of a start.
    */
-  posted: { session: number; seq: number } | null;
+  lastPushed: HeartbeatId | null;
   /** When the newest of those came. */
-  postedAt: MonotonicMs | null;
+  lastPushedAt: MonotonicMs | null;
   /** Since when they have come without a gap. */
-  steadySince: MonotonicMs | null;
+  uninterruptedSince: MonotonicMs | null;
   /** When the machine last showed that it is there and hears its owner, or when this owner took over. */
-  heardAt: MonotonicMs;
+  lastContactAt: MonotonicMs;
   /** When this owner first got a report. */
-  firstAt: MonotonicMs | null;
+  firstHeartbeatAt: MonotonicMs | null;
   /** The report whose answer carried a start, by task. */
-  readonly started: Map<string, { session: number; seq: number }>;
+  readonly startSentIn: Map<string, HeartbeatId>;
   /** Tasks that were seen on the machine. */
-  readonly seen: Set<string>;
+  readonly observedTasks: Set<string>;
   /** When a task was last told to stop. */
-  readonly stopped: Map<string, MonotonicMs>;
+  readonly stopRequestedAt: Map<string, MonotonicMs>;
   /** Tasks known to be gone: since when and why. */
-  readonly left: Map<string, { at: MonotonicMs; why: ExitReason | null }>;
+  readonly exitedTasks: Map<string, { exitedAt: MonotonicMs; why: ExitReason | null }>;
 }
 
 /** Nothing is known of a machine yet under this token. */
-export const newMemory = (token: FencingToken, now: MonotonicMs): MachineMemory => ({
+export const newAgentSession = (token: FencingToken, now: MonotonicMs): AgentSession => ({
   token,
-  report: null,
-  posted: null,
-  postedAt: null,
-  steadySince: null,
-  heardAt: now,
-  firstAt: null,
-  started: new Map(),
-  seen: new Set(),
-  stopped: new Map(),
-  left: new Map(),
+  heartbeat: null,
+  lastPushed: null,
+  lastPushedAt: null,
+  uninterruptedSince: null,
+  lastContactAt: now,
+  firstHeartbeatAt: null,
+  startSentIn: new Map(),
+  observedTasks: new Set(),
+  stopRequestedAt: new Map(),
+  exitedTasks: new Map(),
 });
 
 /** Names one start of a task. */
 export const taskKey = (job: JobId, index: TaskIndex, attempt: Attempt) => `${job}/${index}@${attempt}`;
 
 /** Whether the first message of a worker is newer than the second. */
-export const newer = (a: { session: number; seq: number }, b: { session: number; seq: number }) =>
-  a.session > b.session || (a.session === b.session && a.seq > b.seq);
+export const isNewer = (a: HeartbeatId, b: HeartbeatId) =>
+  a.agentEpoch > b.agentEpoch || (a.agentEpoch === b.agentEpoch && a.sequence > b.sequence);
 
 /** A worker waits so long for an answer before it turns to the next controller. */
-export const ANSWER_WAIT_MS = 4000;
+export const AGENT_ANSWER_TIMEOUT_MS = 4000;
 
 /**
  * Takes in a report. False if an equally new or newer one is known. Hearing a machine does not show that it hears:
  * one that gets an answer reports here again soon, one that gets none waits for it in vain and tries the others first.
  */
-export function takeReport(
-  mem: MachineMemory,
-  report: Report,
+export function recordHeartbeat(
+  mem: AgentSession,
+  report: Heartbeat,
   now: MonotonicMs,
   posted: boolean,
   reportMs: number,
 ): boolean {
   let gap = false;
-  if (posted && (mem.posted === null || newer(report, mem.posted))) {
-    mem.posted = { session: report.session, seq: report.seq };
-    const soon = Math.max(ANSWER_WAIT_MS, reportMs * 1.25) + 500;
-    gap = mem.postedAt !== null && now - mem.postedAt > soon;
-    if (gap || mem.steadySince === null) mem.steadySince = now;
-    mem.postedAt = now;
+  if (posted && (mem.lastPushed === null || isNewer(report, mem.lastPushed))) {
+    mem.lastPushed = { agentEpoch: report.agentEpoch, sequence: report.sequence };
+    const soon = Math.max(AGENT_ANSWER_TIMEOUT_MS, reportMs * 1.25) + 500;
+    gap = mem.lastPushedAt !== null && now - mem.lastPushedAt > soon;
+    if (gap || mem.uninterruptedSince === null) mem.uninterruptedSince = now;
+    mem.lastPushedAt = now;
   }
-  if (mem.report !== null && !newer(report, mem.report)) return false;
+  if (mem.heartbeat !== null && !isNewer(report, mem.heartbeat)) return false;
   // Under an older token it is a late copy, or its worker has not got this owner's answers; after a gap the next one
   // will tell. Neither is a sign of life.
-  if (mem.report === null || !posted || (report.token === mem.token && !gap)) mem.heardAt = now;
-  mem.report = report;
-  mem.firstAt ??= now;
-  for (const t of report.tasks) mem.seen.add(taskKey(t.job, t.index, t.attempt));
+  if (mem.heartbeat === null || !posted || (report.token === mem.token && !gap)) mem.lastContactAt = now;
+  mem.heartbeat = report;
+  mem.firstHeartbeatAt ??= now;
+  for (const t of report.tasks) mem.observedTasks.add(taskKey(t.job, t.index, t.attempt));
   return true;
 }
 
 /** What should be on machines, by the records. */
-export interface Wanted {
+export interface DesiredState {
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
   readonly ledger: Ledger;
 }
 
 /** Why a task should not be on its machine. */
-export type Unwanted = 'over' | 'cancelled' | 'task_done' | 'stopping' | 'gang_broken';
+export type StopReason = 'over' | 'cancelled' | 'task_done' | 'stopping' | 'gang_broken';
 
 /** Null if the task should be on its machine, else why not. */
-export function unwanted(p: Placed, index: TaskIndex, w: Wanted): Unwanted | null {
+export function stopReasonFor(p: Placed, index: TaskIndex, w: DesiredState): StopReason | null {
   const job = w.jobs.get(p.job);
   if (job === undefined) return 'over';
   if (job.phase === 'cancelling') return 'cancelled';
@@ -132,96 +133,96 @@
 }
 
 /** Time a task is given to save: enough for the slowest save, none for work nobody needs. */
-function graceFor(job: JobRecord | undefined, why: Unwanted): number {
+function gracePeriodFor(job: JobRecord | undefined, why: StopReason): number {
   if (why !== 'stopping' || job === undefined || job.spec.checkpointS <= 0) return 0;
   return job.spec.saveS * 2 + 2;
 }
 
 /** A task that has left its machine. */
-export interface Exit {
+export interface TaskExit {
   readonly placed: Placed;
   readonly index: TaskIndex;
   /** Null: the machine does not know the task and never will. */
-  readonly why: ExitReason | null;
+  readonly reason: ExitReason | null;
 }
 
-const index = (report: Report): Map<string, ReportedTask> =>
+const tasksByKey = (report: Heartbeat): Map<string, ReportedTask> =>
   new Map(report.tasks.map((t) => [taskKey(t.job, t.index, t.attempt), t]));
 
 /** The tasks that the newest report proves to be gone. Nothing is proved before the token was seen. */
-export function exits(record: MachineRecord, mem: MachineMemory, w: Wanted): Exit[] {
-  if (mem.report?.token !== mem.token) return [];
-  const { report } = mem;
-  const listed = index(report);
-  const out: Exit[] = [];
+export function confirmedExits(record: MachineRecord, mem: AgentSession, w: DesiredState): TaskExit[] {
+  if (mem.heartbeat?.token !== mem.token) return [];
+  const { heartbeat } = mem;
+  const listed = tasksByKey(heartbeat);
+  const out: TaskExit[] = [];
   for (const placed of record.placed) {
     for (const i of placed.tasks) {
       const k = taskKey(placed.job, i, placed.attempt);
       // Its start may still be on its way. That goes for a task reported as ended, too: one whose gang was incomplete is
       // started once more under its attempt, by the answer to the very report that tells of its end.
-      const start = mem.started.get(k);
-      if (start !== undefined && (mem.posted === null || !newer(mem.posted, start))) continue;
+      const start = mem.startSentIn.get(k);
+      if (start !== undefined && (mem.lastPushed === null || !isNewer(mem.lastPushed, start))) continue;
       const t = listed.get(k);
       if (t !== undefined) {
         // Its gang never started, and the others still fetch their image: it only has to wait anew.
-        if (t.exitReason === 'incomplete' && unwanted(placed, i, w) === null) continue;
-        if (t.state === 'exited') out.push({ placed, index: i, why: t.exitReason ?? 'error' });
+        if (t.exitReason === 'incomplete' && stopReasonFor(placed, i, w) === null) continue;
+        if (t.state === 'exited') out.push({ placed, index: i, reason: t.exitReason ?? 'error' });
         continue;
       }
       // Its worker has lost its lease since and forgotten the exit; the task is gone all the more.
-      const left = mem.left.get(k);
+      const left = mem.exitedTasks.get(k);
       if (left !== undefined) {
-        out.push({ placed, index: i, why: left.why });
+        out.push({ placed, index: i, reason: left.why });
         continue;
       }
       // A wanted task that is absent is simply started (again); one of a gang that was there before has
       // been lost, and the gang with it.
-      const lost = placed.kind === 'gang' && mem.seen.has(k);
-      if (lost || unwanted(placed, i, w) !== null) out.push({ placed, index: i, why: null });
+      const lost = placed.kind === 'gang' && mem.observedTasks.has(k);
+      if (lost || stopReasonFor(placed, i, w) !== null) out.push({ placed, index: i, reason: null });
     }
   }
   return out;
 }
 
 /** The answer to the newest report. `start` is false where this controller may only stop things. */
-export function commands(
+export function agentCommands(
   record: MachineRecord,
-  mem: MachineMemory,
-  w: Wanted,
+  mem: AgentSession,
+  w: DesiredState,
   now: MonotonicMs,
   start: boolean,
-): Command[] {
-  const { report } = mem;
-  if (report === null) return [];
-  const listed = index(report);
+): AgentCommand[] {
+  const { heartbeat } = mem;
+  if (heartbeat === null) return [];
+  const listed = tasksByKey(heartbeat);
   const known = new Map<string, { placed: Placed; index: TaskIndex }>();
   for (const placed of record.placed)
     for (const i of placed.tasks) known.set(taskKey(placed.job, i, placed.attempt), { placed, index: i });
-  const out: Command[] = [];
+  const out: AgentCommand[] = [];
   for (const [k, t] of listed) {
     const mine = known.get(k);
     const at = { job: t.job, index: t.index, attempt: t.attempt };
     if (t.state === 'exited') {
       // The record's entry goes in one commit with the result, so its absence says the result is durable.
       if (mine === undefined) out.push({ op: 'forget', ...at });
-      else if (start && t.exitReason === 'incomplete' && unwanted(mine.placed, mine.index, w) === null) {
+      else if (start && t.exitReason === 'incomplete' && stopReasonFor(mine.placed, mine.index, w) === null) {
         // Forgotten, the attempt can be started once more; the gang is completed under the number that it has.
         // A new attempt instead would give up every fetch that takes longer than a task may wait.
-        mem.started.set(k, { session: report.session, seq: report.seq });
-        mem.seen.delete(k);
+        mem.startSentIn.set(k, { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence });
+        mem.observedTasks.delete(k);
         out.push({ op: 'forget', ...at }, { op: 'start', ...at });
       }
       continue;
     }
-    const why: Unwanted | null = mine === undefined ? 'over' : unwanted(mine.placed, mine.index, w);
+    const why: StopReason | null = mine === undefined ? 'over' : stopReasonFor(mine.placed, mine.index, w);
     if (why === null) continue;
     const job = w.jobs.get(t.job);
-    const graceS = graceFor(job, why);
-    const before = mem.stopped.get(k);
-    if (before === undefined) mem.stopped.set(k, now);
+    const graceS = gracePeriodFor(job, why);
+    const before = mem.stopRequestedAt.get(k);
+    if (before === undefined) mem.stopRequestedAt.set(k, now);
     // A task that is saving must not be told twice with a grace; one whose time is up is ended.
     if (t.state === 'saving' && graceS > 0 && now - (before ?? now) < graceS * 1000) continue;
-    out.push({ op: 'stop', ...at, graceS: t.state === 'saving' ? 0 : graceS });
+    out.push({ op: 'stop', ...at, gracePeriodS: t.state === 'saving' ? 0 : graceS });
   }
   if (!start) return out;
   // A record may say too much: entries of tasks that are done stay in it for a while, and their room is used again.
@@ -230,18 +231,18 @@
   let room = w.ledger.free.get(record.name) ?? NO_RESOURCES;
   for (const [k, { placed }] of known) if (!alive(k)) room = addResources(room, placed.demand);
   for (const [k, { placed, index: i }] of known) {
-    if (listed.has(k) || mem.left.has(k) || unwanted(placed, i, w) !== null) continue;
-    if (placed.kind === 'gang' && mem.seen.has(k)) continue;
+    if (listed.has(k) || mem.exitedTasks.has(k) || stopReasonFor(placed, i, w) !== null) continue;
+    if (placed.kind === 'gang' && mem.observedTasks.has(k)) continue;
     if (!fitsWithin(placed.demand, room)) continue;
     room = addResources(room, placed.demand, -1);
-    mem.started.set(k, { session: report.session, seq: report.seq });
+    mem.startSentIn.set(k, { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence });
     out.push({ op: 'start', job: placed.job, index: i, attempt: placed.attempt });
   }
   return out;
 }
 
 /** The record without the given tasks. */
-export function without(placed: readonly Placed[], gone: readonly Exit[]): Placed[] {
+export function removeExits(placed: readonly Placed[], gone: readonly TaskExit[]): Placed[] {
   const keys = new Set(gone.map((g) => taskKey(g.placed.job, g.index, g.placed.attempt)));
   const out: Placed[] = [];
   for (const p of placed) {
--- a/src/io/users.ts
+++ b/src/io/users.ts
@@ -4,7 +4,7 @@
 import { Admission } from '../core/admission.js';
 import { jobId, monotonicMs } from '../core/types.js';
 import type { Cancelled, Jobs } from '../controller/jobs.js';
-import type { ReportRouter } from '../controller/report-router.js';
+import type { HeartbeatRouter } from '../controller/report-router.js';
 import type { PackageHost } from '../packages/host.js';
 import { Unavailable } from './state/client.js';
 import * as wire from './wire.js';
@@ -13,7 +13,7 @@
 export interface ServerOptions {
   readonly log: Logger;
   readonly jobs: Jobs;
-  readonly reports: ReportRouter;
+  readonly heartbeats: HeartbeatRouter;
   readonly healthy: () => boolean;
   readonly status: () => object;
   readonly maxConnections: number;
@@ -113,13 +113,13 @@
 
   app.get(wire.paths.status, async (_req, reply) => reply.send(o.status()));
 
-  app.post(wire.paths.report, async (req, reply) => {
-    const report = wire.reportFromWire(req.body);
+  app.post(wire.paths.heartbeat, async (req, reply) => {
+    const report = wire.heartbeatFromWire(req.body);
     if (report === null) return reply.code(400).send({ error: 'not a report' });
-    const a = o.reports.answer(report);
+    const a = o.heartbeats.answer(report);
     if (a.kind === 'ok') return reply.send(wire.commandsToWire(a.token, a.commands));
     if (a.kind === 'busy') return reply.code(503).send(later);
-    return reply.code(421).send(wire.elsewhereToWire(a.node));
+    return reply.code(421).send(wire.redirectToWire(a.node));
   });
   if (o.packages !== undefined) servePackages(app, o.packages);
   return app;
--- a/src/io/wire.ts
+++ b/src/io/wire.ts
@@ -12,7 +12,7 @@
   typeName,
   version,
   zoneName,
-  type Command,
+  type AgentCommand,
   type ExitReason,
   type JobId,
   type JobSpec,
@@ -22,7 +22,7 @@
   type MachineName,
   type MachineType,
   type Priority,
-  type Report,
+  type Heartbeat,
   type ReportedTask,
   type Revision,
   type TaskState,
@@ -43,8 +43,8 @@
   status: '/v1/status',
   packageCommand: '/v1/packages/:name/:command',
   metrics: '/metrics',
-  report: '/v1/report',
-  direct: '/do',
+  heartbeat: '/v1/report',
+  directCommands: '/do',
   show: '/show',
   types: '/machine_types',
   machines: '/machines',
@@ -188,7 +188,7 @@
 }
 
 /** Null if it is no report. */
-export function reportFromWire(b: unknown): Report | null {
+export function heartbeatFromWire(b: unknown): Heartbeat | null {
   if (!isObject(b)) return null;
   if (typeof b['teller'] !== 'string' || !/^[\w.:-]{1,150}$/.test(b['teller'])) return null;
   if (typeof b['flavor'] !== 'string' || typeof b['vault'] !== 'string') return null;
@@ -218,32 +218,36 @@
     type: typeName(b['flavor']),
     zone: zoneName(b['vault']),
     spot: b['loaner'] === true,
-    session: b['shift'],
-    seq: b['tally'],
+    agentEpoch: b['shift'],
+    sequence: b['tally'],
     token: fencingToken((b['mandate'] ?? 0) as number),
-    noticeS: typeof notice === 'number' ? notice : null,
+    preemptionNoticeS: typeof notice === 'number' ? notice : null,
     tasks,
   };
 }
 
 const OP = { start: 'run', stop: 'stop', forget: 'forget' };
-const commandToWire = (c: Command) => ({
+const commandToWire = (c: AgentCommand) => ({
   orderKind: OP[c.op],
   shard: `${c.job}/${c.index}`,
   tryNo: c.attempt,
-  ...(c.op === 'stop' ? { windDownS: c.graceS } : {}),
+  ...(c.op === 'stop' ? { windDownS: c.gracePeriodS } : {}),
 });
 /** No line may exceed 64 KiB, so what does not fit waits for the next report. */
-export function commandsToWire(tok: FencingToken, commands: readonly Command[]) {
+export function commandsToWire(tok: FencingToken, commands: readonly AgentCommand[]) {
   return { mandate: tok, orders: commands.slice(0, 400).map(commandToWire) };
 }
 /** The body of a direct command to a worker. */
-export const directToWire = (tok: FencingToken, session: number, commands: readonly Command[]) => ({
+export const directCommandsToWire = (
+  tok: FencingToken,
+  session: number,
+  commands: readonly AgentCommand[],
+) => ({
   ...commandsToWire(tok, commands),
   shift: session,
 });
 /** The answer to a worker that should report to another controller. */
-export const elsewhereToWire = (node: string | null) => (node === null ? {} : { answersTo: node });
+export const redirectToWire = (node: string | null) => (node === null ? {} : { answersTo: node });
 
 // Cloud.
 
--- a/src/io/workers.ts
+++ b/src/io/workers.ts
@@ -3,22 +3,22 @@
  * carried out minutes late.
  */
 import { Agent, request } from 'undici';
-import type { Command, Report, FencingToken } from '../core/types.js';
+import type { AgentCommand, Heartbeat, FencingToken } from '../core/types.js';
 import * as wire from './wire.js';
 
 /** Sends direct commands to workers. */
-export interface Workers {
+export interface AgentGateway {
   /** The worker's report after the commands, or null where no answer came or too many are under way. */
-  direct(
+  sendCommands(
     address: string,
     tok: FencingToken,
     session: number,
-    commands: readonly Command[],
-  ): Promise<Report | null>;
+    commands: readonly AgentCommand[],
+  ): Promise<Heartbeat | null>;
 }
 
 /** Direct commands over HTTP, with a bounded number of connections. */
-export class WorkerClient implements Workers {
+export class AgentClient implements AgentGateway {
   private readonly agent = new Agent({
     connections: 1,
     pipelining: 1,
@@ -31,12 +31,12 @@
 
   constructor(private readonly most: number) {}
 
-  async direct(
+  async sendCommands(
     address: string,
     tok: FencingToken,
     session: number,
-    commands: readonly Command[],
-  ): Promise<Report | null> {
+    commands: readonly AgentCommand[],
+  ): Promise<Heartbeat | null> {
     if (address === '' || this.open >= this.most) return null;
     this.open++;
     const abort = new AbortController();
@@ -44,14 +44,14 @@
       abort.abort();
     }, 1500);
     try {
-      const r = await request(`http://${address}${wire.paths.direct}`, {
+      const r = await request(`http://${address}${wire.paths.directCommands}`, {
         dispatcher: this.agent,
         method: 'POST',
         signal: abort.signal,
         headers: { 'content-type': 'application/json' },
-        body: JSON.stringify(wire.directToWire(tok, session, commands)),
+        body: JSON.stringify(wire.directCommandsToWire(tok, session, commands)),
       });
-      return wire.reportFromWire(await r.body.json());
+      return wire.heartbeatFromWire(await r.body.json());
     } catch {
       return null;
     } finally {
--- a/src/packages/api.ts
+++ b/src/packages/api.ts
@@ -97,11 +97,11 @@
 /** What another controller has learned; it costs time where it is missing, and breaks nothing where it is wrong. */
 export type Hint =
   | {
-      readonly kind: 'worker';
+      readonly kind: 'agent';
       readonly machine: MachineName;
       readonly address: string;
-      readonly session: number;
-      readonly seq: number;
+      readonly agentEpoch: number;
+      readonly sequence: number;
       readonly token: FencingToken;
     }
   | {
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -4,10 +4,10 @@
 import { readOperator } from '../src/config/operator.js';
 import type { Context } from '../src/controller/context.js';
 import { Health } from '../src/controller/health.js';
-import { jobId, version, type Placed, type Report } from '../src/core/types.js';
+import { jobId, version, type Placed, type Heartbeat } from '../src/core/types.js';
 import { key } from '../src/core/keys.js';
 import { View } from '../src/core/view.js';
-import { jobFromWire, reportFromWire } from '../src/io/wire.js';
+import { jobFromWire, heartbeatFromWire } from '../src/io/wire.js';
 import { machine, submission, type } from './samples.js';
 
 const record = machine('n-1', []);
@@ -29,8 +29,8 @@
   };
   return new Health(ctx as unknown as Context, () => 0.5);
 }
-const report = (seq: number, tasks: [id: string, state: string][]): Report =>
-  reportFromWire({
+const report = (seq: number, tasks: [id: string, state: string][]): Heartbeat =>
+  heartbeatFromWire({
     teller: 'n-1',
     flavor: 'm',
     vault: 'a',
@@ -56,14 +56,14 @@
     ['wk-3', 'img-c', 40],
   ];
   const first = setUp(100, jobs);
-  first.saw(
+  first.observeHeartbeat(
     report(1, [
       ['wk-1', 'running'],
       ['wk-2', 'pulling'],
     ]),
   );
   assert.deepEqual(first.imagesOf(record), ['img-a'], 'one that is being fetched is not there yet');
-  first.saw(
+  first.observeHeartbeat(
     report(2, [
       ['wk-1', 'running'],
       ['wk-2', 'running'],
@@ -76,7 +76,7 @@
   assert.equal(next.cached(kept, 'img-a'), true);
   assert.equal(next.cached(kept, 'img-c'), false);
   assert.equal(next.cached(record, 'img-a'), false);
-  first.saw(
+  first.observeHeartbeat(
     report(3, [
       ['wk-2', 'running'],
       ['wk-3', 'running'],
@@ -90,7 +90,7 @@
     1,
   ]);
   const long = setUp(1000, many);
-  long.saw(
+  long.observeHeartbeat(
     report(
       1,
       many.map(([id]) => [id, 'running']),
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -20,8 +20,8 @@
   type MachineRecord,
 } from '../src/core/types.js';
 import { View } from '../src/core/view.js';
-import { newMemory, takeReport } from '../src/core/worker-reports.js';
-import { jobFromWire, reportFromWire, type Guard, type Op } from '../src/io/wire.js';
+import { newAgentSession, recordHeartbeat } from '../src/core/worker-reports.js';
+import { jobFromWire, heartbeatFromWire, type Guard, type Op } from '../src/io/wire.js';
 import { HUGE, Sim } from './sim/run.js';
 import { all, leads, wait } from './sim/meeting.js';
 import { machine, submission, types } from './samples.js';
@@ -107,8 +107,8 @@
     const text = JSON.stringify(machine(name, [placedOf(spec, attempt(7), tasks)]));
     const value: unknown = JSON.parse(text);
     view.apply({ key: key.machine(machineName(name)), value, version: version(i + 10) });
-    const memory = newMemory(view.tokenOf(value as MachineRecord), monotonicMs(0));
-    const report = reportFromWire(
+    const memory = newAgentSession(view.tokenOf(value as MachineRecord), monotonicMs(0));
+    const report = heartbeatFromWire(
       JSON.parse(
         JSON.stringify({
           teller: name,
@@ -121,7 +121,7 @@
         }),
       ),
     );
-    takeReport(memory, report!, monotonicMs(1), true, 2000);
+    recordHeartbeat(memory, report!, monotonicMs(1), true, 2000);
     memories.push(memory);
   }
   const ledger = new Ledger(view.machines.values(), types, new Map());
@@ -207,7 +207,7 @@
   for (const tally of [1, 2])
     for (let i = 0; i < MACHINES; i++) {
       now += 0.6;
-      const report = reportFromWire({
+      const report = heartbeatFromWire({
         teller: `n-${i}`,
         flavor: 'm',
         vault: 'a',
@@ -215,7 +215,7 @@
         tally,
         shards: [],
       });
-      unknown.noteReport(report!);
+      unknown.recordHeartbeat(report!);
     }
   assert.equal(unknown.size, MACHINES);
 });
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -7,7 +7,12 @@
 import { placedOf, withPlaced } from '../src/core/placed.js';
 import { stopped } from '../src/core/preemption.js';
 import { TASK_BYTES, bytesOf, entryBytes, partsWithin, slim } from '../src/core/records.js';
-import { commands, exits, newMemory, takeReport } from '../src/core/worker-reports.js';
+import {
+  agentCommands,
+  confirmedExits,
+  newAgentSession,
+  recordHeartbeat,
+} from '../src/core/worker-reports.js';
 import {
   attempt,
   jobId,
@@ -19,7 +24,7 @@
 } from '../src/core/types.js';
 import { key } from '../src/core/keys.js';
 import { View } from '../src/core/view.js';
-import { jobFromWire, reportFromWire } from '../src/io/wire.js';
+import { jobFromWire, heartbeatFromWire } from '../src/io/wire.js';
 import { machine, submission, type, types } from './samples.js';
 
 /** As the version before wrote them, text and all. */
@@ -96,8 +101,8 @@
       [[1], true],
     ],
   );
-  const mem = newMemory(5 as never, monotonicMs(0));
-  const report = reportFromWire({
+  const mem = newAgentSession(5 as never, monotonicMs(0));
+  const report = heartbeatFromWire({
     teller: 'n-1',
     flavor: 'm',
     vault: 'a',
@@ -109,14 +114,14 @@
       { shard: `${spec.id}/1`, tryNo: 9, standing: 'running' },
     ],
   })!;
-  takeReport(mem, report, monotonicMs(10), true, 2000);
+  recordHeartbeat(mem, report, monotonicMs(10), true, 2000);
   const w = { jobs: new Map([[spec.id, job]]), ledger: new Ledger([m], types, new Map()) };
   assert.deepEqual(
-    exits(m, mem, w).map((e) => [e.index, e.why]),
+    confirmedExits(m, mem, w).map((e) => [e.index, e.reason]),
     [[0, 'done']],
   );
   assert.deepEqual(
-    commands(m, mem, w, monotonicMs(10), true).map((c) => [c.op, c.index]),
+    agentCommands(m, mem, w, monotonicMs(10), true).map((c) => [c.op, c.index]),
     [
       ['stop', 1],
       ['start', 2],
--- a/test/sim/node.ts
+++ b/test/sim/node.ts
@@ -7,7 +7,7 @@
 import type { Reply, Transport } from '../../src/io/http.js';
 import type { Peer } from '../../src/io/peers.js';
 import * as wire from '../../src/io/wire.js';
-import type { Workers } from '../../src/io/workers.js';
+import type { AgentGateway } from '../../src/io/workers.js';
 import type { LoadedPackage } from '../../src/packages/api.js';
 import type { Sim } from './run.js';
 import { LIMITS, NODES, TEAMS, ZONES, type Json } from './sizes.js';
@@ -63,7 +63,7 @@
       state: this.stateService(this.clock, false),
       watch: this.stateService(this.clock, true),
       cloud: this.cloud(this.clock),
-      workers: this.workers(this.clock),
+      agents: this.workers(this.clock),
       peers: this.peers(),
       packageLinks: this.peers(),
     };
@@ -212,16 +212,16 @@
     };
   }
 
-  private workers(clock: ProcessClock): Workers {
+  private workers(clock: ProcessClock): AgentGateway {
     const { sim } = this;
     const { world } = sim;
     return {
-      direct: (address, tok, session, commands) =>
+      sendCommands: (address, tok, session, commands) =>
         new Promise((resolve) => {
           clock.after(1500, () => {
             resolve(null);
           });
-          const body = JSON.parse(JSON.stringify(wire.directToWire(tok, session, commands))) as Json;
+          const body = JSON.parse(JSON.stringify(wire.directCommandsToWire(tok, session, commands))) as Json;
           sim.observe(this.name, `agent ${address}`, body);
           const arrive = () => {
             const w = sim.fleet.machines.get(address)?.worker;
@@ -232,7 +232,7 @@
             }
             w.direct(body, (r) => {
               clock.run(() => {
-                resolve(wire.reportFromWire(r));
+                resolve(wire.heartbeatFromWire(r));
               });
             });
           };
--- a/test/sim/run.ts
+++ b/test/sim/run.ts
@@ -202,10 +202,10 @@
   /** A copy of a report, from seconds to well over a lease old, whoever runs there by then; nobody gets the answer. */
   private copyLate(node: string, body: Json): void {
     this.world.after(this.world.int(1000, LIMITS.leaseS * 2500), () => {
-      const report = wire.reportFromWire(structuredClone(body));
+      const report = wire.heartbeatFromWire(structuredClone(body));
       assert.ok(report !== null);
       const { controller, clock } = this.nodes.get(node)!;
-      clock.run(() => controller?.reports.answer(report));
+      clock.run(() => controller?.heartbeats.answer(report));
     });
   }
 
@@ -493,11 +493,11 @@
 
 /** What a controller answers a worker's report, as it goes over the wire. */
 function replyTo(controller: Controller, body: Json): Reply {
-  const report = wire.reportFromWire(body);
+  const report = wire.heartbeatFromWire(body);
   assert.ok(report !== null);
-  const a = controller.reports.answer(report);
+  const a = controller.heartbeats.answer(report);
   if (a.kind === 'busy') return { status: 503, body: null };
-  if (a.kind === 'elsewhere') return { status: 421, body: wire.elsewhereToWire(a.node) };
+  if (a.kind === 'elsewhere') return { status: 421, body: wire.redirectToWire(a.node) };
   const commands = JSON.parse(JSON.stringify(wire.commandsToWire(a.token, a.commands))) as Json;
   return { status: 200, body: commands };
 }
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import type { Jobs, Submitted } from '../src/controller/jobs.js';
-import type { ReportRouter } from '../src/controller/report-router.js';
+import type { HeartbeatRouter } from '../src/controller/report-router.js';
 import { fencingToken } from '../src/core/types.js';
 import { Unavailable } from '../src/io/state/client.js';
 import { buildServer } from '../src/io/users.js';
@@ -25,7 +25,7 @@
   const app = buildServer({
     log: pino({ level: 'silent' }),
     jobs: jobs as unknown as Jobs,
-    reports: reports as unknown as ReportRouter,
+    heartbeats: reports as unknown as HeartbeatRouter,
     healthy: () => true,
     status: () => ({}),
     maxConnections: 10,
--- a/test/worker-reports.test.ts
+++ b/test/worker-reports.test.ts
@@ -3,7 +3,12 @@
 import { test } from 'node:test';
 import { Ledger } from '../src/core/ledger.js';
 import { placedOf } from '../src/core/placed.js';
-import { commands, exits, newMemory, takeReport } from '../src/core/worker-reports.js';
+import {
+  agentCommands,
+  confirmedExits,
+  newAgentSession,
+  recordHeartbeat,
+} from '../src/core/worker-reports.js';
 import {
   attempt,
   jobId,
@@ -16,7 +21,7 @@
   type JobRecord,
   type MachineRecord,
   type Placed,
-  type Report,
+  type Heartbeat,
   type ReportedTask,
 } from '../src/core/types.js';
 import { jobFromWire } from '../src/io/wire.js';
@@ -46,54 +51,54 @@
   exitReason,
   hasCheckpoint: false,
 });
-const report = (seq: number, tok: number, tasks: ReportedTask[] = [], session = 1): Report => ({
+const report = (sequence: number, tok: number, tasks: ReportedTask[] = [], agentEpoch = 1): Heartbeat => ({
   machine: machineName('n-1'),
   address: '10.0.0.9:1',
   type: type.name,
   zone: zoneName('a'),
   spot: false,
-  session,
-  seq,
+  agentEpoch,
+  sequence,
   token: fencingToken(tok),
-  noticeS: null,
+  preemptionNoticeS: null,
   tasks,
 });
 const wanted = (m: MachineRecord, j: JobRecord) => ({
   jobs: new Map([[spec.id, j]]),
   ledger: new Ledger([m], types, new Map()),
 });
-const take = (mem: ReturnType<typeof newMemory>, r: Report, atMs: number, posted = true) =>
-  takeReport(mem, r, monotonicMs(atMs), posted, REPORT_MS);
+const take = (mem: ReturnType<typeof newAgentSession>, r: Heartbeat, atMs: number, posted = true) =>
+  recordHeartbeat(mem, r, monotonicMs(atMs), posted, REPORT_MS);
 
 test('a report under an older token proves nothing: what the last owner sent may still arrive', () => {
   const m = machine(placed([0]));
   const w = wanted(m, job('cancelling'));
-  const mem = newMemory(TOKEN, monotonicMs(0));
+  const mem = newAgentSession(TOKEN, monotonicMs(0));
   assert.ok(take(mem, report(5, OLD), 0));
-  assert.deepEqual(exits(m, mem, w), []);
+  assert.deepEqual(confirmedExits(m, mem, w), []);
   assert.ok(take(mem, report(6, TOKEN), 500));
-  assert.equal(exits(m, mem, w).length, 1);
+  assert.equal(confirmedExits(m, mem, w).length, 1);
 });
 
 test('a start that is on its way is not taken for gone before a newer report', () => {
   const m = machine(placed([0]));
-  const mem = newMemory(TOKEN, monotonicMs(0));
+  const mem = newAgentSession(TOKEN, monotonicMs(0));
   take(mem, report(5, TOKEN), 0);
   assert.deepEqual(
-    commands(m, mem, wanted(m, job('active')), monotonicMs(0), true).map((c) => c.op),
+    agentCommands(m, mem, wanted(m, job('active')), monotonicMs(0), true).map((c) => c.op),
     ['start'],
   );
   // A copy of that report, and an answer to a direct message that overtook it, show nothing of the start.
   assert.equal(take(mem, report(5, TOKEN), 100), false);
   take(mem, report(6, TOKEN), 200, false);
-  assert.deepEqual(exits(m, mem, wanted(m, job('cancelling'))), []);
+  assert.deepEqual(confirmedExits(m, mem, wanted(m, job('cancelling'))), []);
   take(mem, report(7, TOKEN), 2000);
-  assert.equal(exits(m, mem, wanted(m, job('cancelling'))).length, 1);
+  assert.equal(confirmedExits(m, mem, wanted(m, job('cancelling'))).length, 1);
 });
 
 test('late copies change nothing and are no sign of life', () => {
   const m = machine(placed([0, 1]));
-  const mem = newMemory(TOKEN, monotonicMs(0));
+  const mem = newAgentSession(TOKEN, monotonicMs(0));
   take(mem, report(9, TOKEN, [task(0, 'running'), task(1, 'running')], 2), 1000);
   for (const late of [
     report(8, TOKEN, [task(0, 'exited', 'done')], 2),
@@ -101,25 +106,25 @@
     report(9, TOKEN, [task(0, 'running'), task(1, 'running')], 2),
   ])
     assert.equal(take(mem, late, 20_000), false);
-  assert.equal(mem.heardAt, 1000);
-  assert.equal(mem.report?.tasks.length, 2);
-  assert.deepEqual(exits(m, mem, wanted(m, job('active'))), []);
+  assert.equal(mem.lastContactAt, 1000);
+  assert.equal(mem.heartbeat?.tasks.length, 2);
+  assert.deepEqual(confirmedExits(m, mem, wanted(m, job('active'))), []);
   // After a restart a copy may be the first that comes. Newer ones under the old token do not make it live.
-  const next = newMemory(TOKEN, monotonicMs(30_000));
+  const next = newAgentSession(TOKEN, monotonicMs(30_000));
   take(next, report(3, OLD), 30_100);
   take(next, report(4, OLD), 38_000);
-  assert.equal(next.heardAt, 30_100);
+  assert.equal(next.lastContactAt, 30_100);
   take(next, report(5, TOKEN), 39_000);
-  assert.equal(next.heardAt, 39_000);
+  assert.equal(next.lastContactAt, 39_000);
 });
 
 test('a worker that comes back only after waiting for its answer does not hear, though it is heard', () => {
-  const mem = newMemory(TOKEN, monotonicMs(0));
+  const mem = newAgentSession(TOKEN, monotonicMs(0));
   let seq = 0;
   for (let i = 0; i < 4; i++) take(mem, report(++seq, TOKEN), i * 5000);
-  assert.equal(mem.heardAt, 0);
+  assert.equal(mem.lastContactAt, 0);
   take(mem, report(++seq, TOKEN), 17_000);
-  assert.equal(mem.heardAt, 17_000, 'it got the last answer');
+  assert.equal(mem.lastContactAt, 17_000, 'it got the last answer');
 });
 
 test('a task that is known to be gone is not started again, and not more than there is room for', () => {
@@ -128,13 +133,13 @@
   const m = machine(placed([0, 1]), fresh);
   const w = wanted(m, job('active'));
   const jobs = new Map(w.jobs).set(jobId('wk-2'), { ...job('active'), spec: { ...spec, id: jobId('wk-2') } });
-  const mem = newMemory(TOKEN, monotonicMs(0));
+  const mem = newAgentSession(TOKEN, monotonicMs(0));
   take(mem, report(1, TOKEN, [task(1, 'running')]), 0);
-  const started = commands(m, mem, { ...w, jobs }, monotonicMs(0), true);
+  const started = agentCommands(m, mem, { ...w, jobs }, monotonicMs(0), true);
   assert.equal(started.length, 1, 'one runs, one more fits');
-  mem.left.set(`${spec.id}/0@7`, { at: monotonicMs(0), why: 'done' });
-  mem.started.clear();
-  const again = commands(m, mem, { ...w, jobs }, monotonicMs(0), true);
+  mem.exitedTasks.set(`${spec.id}/0@7`, { exitedAt: monotonicMs(0), why: 'done' });
+  mem.startSentIn.clear();
+  const again = agentCommands(m, mem, { ...w, jobs }, monotonicMs(0), true);
   assert.deepEqual(
     again.map((c) => c.job),
     [jobId('wk-2')],
@@ -145,47 +150,53 @@
   const gang = { ...job('active'), spec: { ...spec, kind: 'gang' as const, tasks: 2 } };
   const m = machine({ ...placed([0, 1]), kind: 'gang' });
   const w = wanted(m, gang);
-  const mem = newMemory(TOKEN, monotonicMs(0));
+  const mem = newAgentSession(TOKEN, monotonicMs(0));
   take(mem, report(1, TOKEN, [task(0, 'waiting'), task(1, 'fetching')]), 0);
   take(mem, report(2, TOKEN, [task(0, 'exited', 'incomplete'), task(1, 'fetching')]), 1000);
-  assert.deepEqual(exits(m, mem, w), [], 'the attempt is not broken: nothing of it has run');
-  const out = commands(m, mem, w, monotonicMs(1000), true).map((c) => [c.op, c.index, c.attempt]);
+  assert.deepEqual(confirmedExits(m, mem, w), [], 'the attempt is not broken: nothing of it has run');
+  const out = agentCommands(m, mem, w, monotonicMs(1000), true).map((c) => [c.op, c.index, c.attempt]);
   assert.deepEqual(out, [
     ['forget', 0, 7],
     ['start', 0, 7],
   ]);
   // The answer was lost, and the worker's lease with it: it is started again, not taken for lost.
   take(mem, report(3, TOKEN, [], 2), 9000);
-  assert.equal(commands(m, mem, w, monotonicMs(9000), true).length, 1);
+  assert.equal(agentCommands(m, mem, w, monotonicMs(9000), true).length, 1);
   // A cancelled one is over.
   take(mem, report(4, TOKEN, [task(0, 'exited', 'incomplete')], 2), 10_000);
-  assert.equal(exits(m, mem, wanted(m, { ...gang, phase: 'cancelling' })).length, 2);
+  assert.equal(confirmedExits(m, mem, wanted(m, { ...gang, phase: 'cancelling' })).length, 2);
 });
 
 test('a task that is started once more is not taken for gone by the report that told of its end', () => {
   const gang = { ...job('active'), spec: { ...spec, kind: 'gang' as const, tasks: 2 } };
   const m = machine({ ...placed([0, 1]), kind: 'gang' });
-  const mem = newMemory(TOKEN, monotonicMs(0));
+  const mem = newAgentSession(TOKEN, monotonicMs(0));
   take(mem, report(1, TOKEN, [task(0, 'exited', 'incomplete'), task(1, 'fetching')]), 1000);
   assert.equal(
-    commands(m, mem, wanted(m, gang), monotonicMs(1000), true).length,
+    agentCommands(m, mem, wanted(m, gang), monotonicMs(1000), true).length,
     2,
     'forgotten and started again',
   );
   // The answer is under way for seconds; meanwhile the job is called off.
   const off = wanted(m, { ...gang, phase: 'cancelling' });
-  assert.deepEqual(exits(m, mem, off), []);
+  assert.deepEqual(confirmedExits(m, mem, off), []);
   // The answer to a direct command overtakes it, and says no more.
   assert.ok(
-    takeReport(mem, report(2, TOKEN, [task(0, 'exited', 'incomplete')]), monotonicMs(1500), false, REPORT_MS),
+    recordHeartbeat(
+      mem,
+      report(2, TOKEN, [task(0, 'exited', 'incomplete')]),
+      monotonicMs(1500),
+      false,
+      REPORT_MS,
+    ),
   );
   assert.deepEqual(
-    exits(m, mem, off).filter((e) => e.index === 0),
+    confirmedExits(m, mem, off).filter((e) => e.index === 0),
     [],
   );
   // The worker's next report is made after it took the answer, or gave it up.
   take(mem, report(3, TOKEN, [task(0, 'exited', 'incomplete')]), 3000);
-  assert.equal(exits(m, mem, off).filter((e) => e.index === 0).length, 1);
+  assert.equal(confirmedExits(m, mem, off).filter((e) => e.index === 0).length, 1);
 });
 
 test('a task that is done frees its machine at once, and its part of the limit only once its result is durable', () => {
