--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -5,9 +5,9 @@
 import type { Clock } from '../core/clock.js';
 import type { OrderContext } from '../core/job-order.js';
 import { EventBus } from '../core/events.js';
-import { Ledger } from '../core/ledger.js';
+import { AllocationTotals } from '../core/ledger.js';
 import { key } from '../core/keys.js';
-import { bytesOf, storedJob, type StoredJob } from '../core/records.js';
+import { jsonBytes, toStoredJob, type StoredJob } from '../core/records.js';
 import { FinalStates } from './final-states.js';
 import { DependencyTracker } from './dependency-tracker.js';
 import {
@@ -52,8 +52,8 @@
   readonly listeners: ((changes: Changes) => void)[] = [];
   /** What this controller does and learns, for packages. */
   readonly events = new EventBus();
-  private ledgerNow: Ledger | null = null;
-  private ledgerTypes: ReadonlyMap<TypeName, MachineType> | null = null;
+  private allocationTotals: AllocationTotals | null = null;
+  private allocationTypes: ReadonlyMap<TypeName, MachineType> | null = null;
   private typesFrom: readonly MachineType[] | null = null;
   private typeMap: ReadonlyMap<TypeName, MachineType> = new Map();
 
@@ -119,14 +119,14 @@
   }
 
   /** Sums over the present view; they take in what changed since the last call. */
-  ledger(): Ledger {
+  allocations(): AllocationTotals {
     const { view, types } = this;
-    if (this.ledgerNow === null || this.ledgerTypes !== types) {
-      this.ledgerTypes = types;
-      this.ledgerNow = new Ledger(view.machines.values(), types, this.teams);
-    } else for (const name of view.touched) this.ledgerNow.set(name, view.machines.get(name));
+    if (this.allocationTotals === null || this.allocationTypes !== types) {
+      this.allocationTypes = types;
+      this.allocationTotals = new AllocationTotals(view.machines.values(), types, this.teams);
+    } else for (const name of view.touched) this.allocationTotals.setMachine(name, view.machines.get(name));
     view.touched.clear();
-    return this.ledgerNow;
+    return this.allocationTotals;
   }
 
   /** Whether this process holds the slice that a machine or a team belongs to, and may act for it. */
@@ -177,7 +177,7 @@
    * for long, since spot machines may be refused.
    */
   yielding(): (job: JobRecord) => boolean {
-    const ledger = this.ledger();
+    const ledger = this.allocations();
     const wanted = this.dependencies
       .all()
       .startable.some(
@@ -200,7 +200,7 @@
     let size = this.recordSizes.get(m);
     if (size === undefined) {
       // Records are never changed in place. The images are counted with the most that they may take.
-      size = bytesOf({ ...m, images: undefined }) + MARK_BYTES * m.placed.length;
+      size = jsonBytes({ ...m, images: undefined }) + MARK_BYTES * m.placed.length;
       this.recordSizes.set(m, size);
     }
     return Math.max(0, valueBytes - size - this.imagesBytes - LATER_BYTES);
@@ -227,7 +227,7 @@
   /** The job's record as it is written, within the limit for a value where that is possible. */
   storedJob(job: JobRecord): StoredJob {
     const limit = this.state.settings.valueBytes;
-    return storedJob(job, limit) ?? storedJob({ ...job, failing: undefined }, limit) ?? job;
+    return toStoredJob(job, limit) ?? toStoredJob({ ...job, failing: undefined }, limit) ?? job;
   }
 
   commit(guards: readonly Guard[], ops: readonly Op[], urgency: Urgency) {
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -39,7 +39,7 @@
 
   private get input() {
     const { ctx } = this;
-    const ledger = ctx.ledger();
+    const ledger = ctx.allocations();
     return {
       jobs: ctx.view.jobs,
       final: (id: JobId) => this.finalStates.cached(id),
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -6,14 +6,14 @@
   type JobRecord,
   type MachineName,
   type MachineRecord,
-  type Placed,
+  type Allocation,
   type Heartbeat,
   type MonotonicMs,
 } from '../core/types.js';
 import { dropOldest } from '../core/bounded.js';
 import { Failures, RUNS_WELL_MS } from '../core/failures.js';
 import type { Hint } from '../packages/api.js';
-import { bytesOf } from '../core/records.js';
+import { jsonBytes } from '../core/records.js';
 import { Slowness, type Run } from '../core/slowness.js';
 import { isNewer, taskKey } from '../core/worker-reports.js';
 import type { Context } from './context.js';
@@ -172,7 +172,7 @@
     let room = this.ctx.imagesBytes - 12;
     for (const image of [...set].reverse()) {
       gb -= this.imageGb.get(image) ?? 0;
-      room -= bytesOf(image) + 1;
+      room -= jsonBytes(image) + 1;
       if (gb < 0 || room < 0) break;
       out.push(image);
     }
@@ -180,7 +180,7 @@
   }
 
   /** A task left a machine; some reasons say something about one or the other. */
-  exit(m: MachineRecord, placed: Placed, why: ExitReason | null): void {
+  exit(m: MachineRecord, placed: Allocation, why: ExitReason | null): void {
     const { job } = placed;
     if (!this.ctx.view.jobs.has(job)) {
       if (why === 'done') this.failures.forgetMachine(m.name);
--- a/src/controller/jobs.ts
+++ b/src/controller/jobs.ts
@@ -1,6 +1,6 @@
 /** Submitting, showing and cancelling jobs: what users are told, and only after it is committed. */
 import { NONE_DONE, judge } from '../core/jobs.js';
-import { storedJob } from '../core/records.js';
+import { toStoredJob } from '../core/records.js';
 import {
   NO_VERSION,
   type FinalRecord,
@@ -59,7 +59,7 @@
   }
 
   private statusOf(job: JobRecord): JobStatus {
-    const running = this.ctx.ledger().jobs.get(job.spec.id)?.tasks.size ?? 0;
+    const running = this.ctx.allocations().jobs.get(job.spec.id)?.tasks.size ?? 0;
     return { state: running > 0 ? 'running' : 'pending', done: job.done.count, running };
   }
 
@@ -98,7 +98,7 @@
       submitted: ctx.clock.wallClock(),
     };
     // One that does not fit is refused with its status: its change would be refused for ever.
-    const stored = storedJob(record, ctx.state.settings.valueBytes);
+    const stored = toStoredJob(record, ctx.state.settings.valueBytes);
     if (stored === null) return this.knownOrImpossible(spec.id, 'too_large');
     return this.accept(spec, { key: key.job(spec.id), value: stored, reason: 'submission' }, 'pending');
   }
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,6 +1,6 @@
 /** Keeps the records in step with the cloud: machine types, machines that failed, are unknown, or are to be returned. */
 import { key } from '../../core/keys.js';
-import { partsWithin } from '../../core/records.js';
+import { splitBySize } from '../../core/records.js';
 import type { MachineName, MachineRecord, MachineType, NodeName, MonotonicMs } from '../../core/types.js';
 import type { CloudClient } from '../../io/cloud.js';
 import { URGENCY } from '../../io/rate-limiter.js';
@@ -58,7 +58,7 @@
     const types = await this.cloud.types();
     if (types === null) return;
     if (JSON.stringify(ctx.view.types) === JSON.stringify(types)) return;
-    const parts = partsWithin(types, ctx.state.settings.valueBytes);
+    const parts = splitBySize(types, ctx.state.settings.valueBytes);
     const names = (list: readonly MachineType[] | null) => JSON.stringify(list?.map((t) => t.name));
     // A longer list that stands in one value, from before the limit fell, is left: only its prices are a little old, and
     // a process of the version before would miss what it can't find there.
--- a/src/controller/leader/fleet-planner.ts
+++ b/src/controller/leader/fleet-planner.ts
@@ -48,7 +48,7 @@
       jobs: ctx.dependencies.all().startable.filter((j) => this.deservesRoom(j)),
       machines,
       rentals: view.rentals.values(),
-      ledger: ctx.ledger(),
+      ledger: ctx.allocations(),
       types: view.types ?? [],
       owners: new Map([...view.teams].map(([team, r]) => [team, r.owner])),
       order: ctx.order(),
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -1,7 +1,7 @@
 /** Rents machines: each request is committed before the cloud is asked, so that nothing is ever rented twice. */
 import { key } from '../../core/keys.js';
 import type { RentalNeed } from '../../core/fleet.js';
-import { bytesOf } from '../../core/records.js';
+import { jsonBytes } from '../../core/records.js';
 import {
   NO_VERSION,
   type MachineName,
@@ -110,7 +110,7 @@
 
   /** The rental's record names a slice for each machine, and has to fit the limit for a value. */
   private mostAtOnce(slices: readonly NodeName[]): number {
-    const longest = Math.max(...slices.map((s) => bytesOf(s))) + 1;
+    const longest = Math.max(...slices.map((s) => jsonBytes(s))) + 1;
     return Math.min(MOST_RENTED, Math.floor((this.ctx.state.settings.valueBytes - RENTAL_BYTES) / longest));
   }
 
--- a/src/controller/owner/job-reconciler.ts
+++ b/src/controller/owner/job-reconciler.ts
@@ -114,7 +114,7 @@
 
   private withdrawDependents(): Group[] {
     const { ctx } = this;
-    const ledger = ctx.ledger();
+    const ledger = ctx.allocations();
     const groups: Group[] = [];
     for (const [id, dependency] of ctx.dependencies.all().of) {
       if (groups.length >= MOST_WITHDRAWN) break;
@@ -129,7 +129,7 @@
 
   private endCancelled(ended: ResultsByJob, open: ResultsByJob): Group[] {
     const { ctx } = this;
-    const ledger = ctx.ledger();
+    const ledger = ctx.allocations();
     const dependencies = ctx.dependencies.all().of;
     const groups: Group[] = [];
     for (const job of ctx.view.jobs.values()) {
--- a/src/controller/owner/machine-reconciler.ts
+++ b/src/controller/owner/machine-reconciler.ts
@@ -11,7 +11,7 @@
   type AgentSession,
   type DesiredState,
 } from '../../core/worker-reports.js';
-import type { MachineName, MachineRecord, Placed, Zone } from '../../core/types.js';
+import type { MachineName, MachineRecord, Allocation, Zone } from '../../core/types.js';
 import type { Group } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
@@ -134,7 +134,7 @@
     machine: MachineRecord,
     memory: AgentSession,
     gone: readonly TaskExit[],
-    kept: readonly Placed[],
+    kept: readonly Allocation[],
     cameUp: boolean,
   ): boolean {
     const { clock, state } = this.ctx;
@@ -150,11 +150,11 @@
   }
 
   /** What can save, or is wanted all the time, goes elsewhere before the cloud takes the machine. */
-  private stopOnNotice(placed: readonly Placed[]): Placed[] {
+  private stopOnNotice(placed: readonly Allocation[]): Allocation[] {
     return placed.map((p) => (p.stop === true || !this.leavesOnNotice(p) ? p : { ...p, stop: true }));
   }
 
-  private leavesOnNotice(placed: Placed): boolean {
+  private leavesOnNotice(placed: Allocation): boolean {
     const job = this.ctx.view.jobs.get(placed.job);
     return job !== undefined && (job.spec.kind === 'service' || job.spec.checkpointS > 0);
   }
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/owner/machine-sessions.ts
@@ -172,6 +172,6 @@
   }
 
   private desiredState(): DesiredState {
-    return { jobs: this.ctx.view.jobs, ledger: this.ctx.ledger() };
+    return { jobs: this.ctx.view.jobs, ledger: this.ctx.allocations() };
   }
 }
--- a/src/controller/owner/owner.ts
+++ b/src/controller/owner/owner.ts
@@ -114,7 +114,7 @@
   /** Results, proofs of absence, cancellations and machines that came up; what can wait for starts stands apart. */
   private reconcile(work: readonly MachineName[]): { now: Group[]; later: Group[] } {
     const { ctx } = this;
-    const wanted = { jobs: ctx.view.jobs, ledger: ctx.ledger() };
+    const wanted = { jobs: ctx.view.jobs, ledger: ctx.allocations() };
     const found: FoundResults = new Map();
     this.machines.beginPass();
     const urgent: Group[] = [];
@@ -193,7 +193,7 @@
       this.placeDue = true;
       return true;
     }
-    for (const at of ctx.ledger().jobs.get(id)?.tasks.values() ?? []) this.dirty.add(at.machine);
+    for (const at of ctx.allocations().jobs.get(id)?.tasks.values() ?? []) this.dirty.add(at.machine);
     return true;
   }
 }
--- a/src/controller/owner/preemptor.ts
+++ b/src/controller/owner/preemptor.ts
@@ -11,7 +11,14 @@
   withinGuarantee,
   type PreemptInput,
 } from '../../core/preemption.js';
-import type { JobId, JobRecord, MachineName, MachineRecord, Placed, MonotonicMs } from '../../core/types.js';
+import type {
+  JobId,
+  JobRecord,
+  MachineName,
+  MachineRecord,
+  Allocation,
+  MonotonicMs,
+} from '../../core/types.js';
 import type { Group } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 
@@ -71,7 +78,7 @@
   }
 
   private isEntitled({ spec }: JobRecord): boolean {
-    return withinGuarantee(this.ctx.teams.get(spec.team), this.ctx.ledger(), spec, 1);
+    return withinGuarantee(this.ctx.teams.get(spec.team), this.ctx.allocations(), spec, 1);
   }
 
   private mayPreempt(job: JobRecord): boolean {
@@ -79,7 +86,7 @@
     // Nothing is stopped for what fails wherever it runs.
     if (job.failing !== undefined) return false;
     if (isSeveral(job)) return [...this.claims.values()].every((claim) => claim.job !== spec.id);
-    const placed = this.ctx.ledger().jobs.get(spec.id)?.tasks.size ?? 0;
+    const placed = this.ctx.allocations().jobs.get(spec.id)?.tasks.size ?? 0;
     let claimed = 0;
     for (const claim of this.claims.values()) if (claim.job === spec.id) claimed++;
     if (claimed >= spec.tasks - job.done.count - placed) return false;
@@ -106,7 +113,7 @@
   private input({ spec }: JobRecord, slice: readonly MachineRecord[]): PreemptInput {
     const { ctx } = this;
     const taken = (m: MachineRecord) => this.claims.has(m.name);
-    return { job: spec, jobs: ctx.view.jobs, slice, ledger: ctx.ledger(), teams: ctx.teams, taken };
+    return { job: spec, jobs: ctx.view.jobs, slice, ledger: ctx.allocations(), teams: ctx.teams, taken };
   }
 
   private claim({ spec }: JobRecord, machine: MachineRecord): void {
@@ -116,7 +123,7 @@
   }
 
   /** The change that stops the victims; the room that they leave is kept for the job. */
-  private stop(job: JobRecord, machine: MachineRecord, victims: readonly Placed[]): Group {
+  private stop(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): Group {
     const { ctx } = this;
     this.claim(job, machine);
     const entitled = this.isEntitled(job);
--- a/src/controller/owner/results.ts
+++ b/src/controller/owner/results.ts
@@ -153,12 +153,12 @@
     const { ctx } = this;
     if (!ctx.ownsTeam(job.spec.team)) return 0;
     // The team waits for its limit: a task counts against it until its result is written.
-    if (!ctx.ledger().withinLimit(job.spec.team, job.spec.demand, 1)) return 0;
+    if (!ctx.allocations().isWithinQuota(job.spec.team, job.spec.demand, 1)) return 0;
     const runsHere = ([index, at]: [TaskIndex, { machine: MachineName }]) => {
       const machine = ctx.view.machines.get(at.machine);
       return machine !== undefined && ctx.isMine(machine) && !isDone(done, index);
     };
-    const tasks = ctx.ledger().jobs.get(job.spec.id)?.tasks ?? [];
+    const tasks = ctx.allocations().jobs.get(job.spec.id)?.tasks ?? [];
     return [...tasks].some(runsHere) ? Math.min(job.spec.estimateS * 1000, MOST_GATHER_MS) : 0;
   }
 
--- a/src/controller/owner/starts.ts
+++ b/src/controller/owner/starts.ts
@@ -1,5 +1,5 @@
 /** Plans which waiting tasks start on which of this controller's machines, and commits the starts. */
-import { placedOf, withPlaced } from '../../core/placed.js';
+import { allocationFor, addAllocation } from '../../core/placed.js';
 import { BUSY_FETCHING, schedule, type WaitReason, type Placement } from '../../core/placement.js';
 import { key } from '../../core/keys.js';
 import { removeExits } from '../../core/worker-reports.js';
@@ -10,7 +10,7 @@
   type JobSpec,
   type MachineName,
   type MachineRecord,
-  type Placed,
+  type Allocation,
   type TeamName,
 } from '../../core/types.js';
 import { URGENCY } from '../../io/rate-limiter.js';
@@ -91,7 +91,7 @@
     const { placement } = ctx.operator;
     const mine = ctx.dependencies.all().startable.filter((j) => ctx.ownsTeam(j.spec.team));
     const ended = this.endedTasks();
-    const ledger = ctx.ledger();
+    const ledger = ctx.allocations();
     for (const { machine, placed, isDurable } of ended) ledger.vacate(machine, placed, false, isDurable);
     const { placements, waitReasons } = schedule({
       jobs: mine.filter((j) => !this.health.backedOff(j)),
@@ -199,7 +199,7 @@
     const guards = new GuardSet(ctx.state.settings.txnOps * GUARDS_PER_OP);
     guards.add([ctx.guard(k), ctx.guard(key.slice(machine.owner))]);
     const gone = this.results.provenOn(machine).filter((e) => this.results.isDurable(e));
-    let placed: readonly Placed[] = removeExits(machine.placed, gone);
+    let placed: readonly Allocation[] = removeExits(machine.placed, gone);
     // Gangs first: of a gang no task may be left out.
     const gangsFirst = [...placements].sort((a, b) => rankOfKind(a.job) - rankOfKind(b.job));
     for (const p of gangsFirst) {
@@ -207,7 +207,7 @@
       // ever, and the machine get nothing more. What does not fit is left to the next pass.
       if (!guards.add([...ctx.teamGuards(p.job.team), ctx.guard(key.job(p.job.id))])) continue;
       const full = attempt(this.epochOf(p.job.team) * ATTEMPT_COUNTER + (p.attempt % ATTEMPT_COUNTER));
-      placed = withPlaced(placed, placedOf(p.job, full, [p.index]));
+      placed = addAllocation(placed, allocationFor(p.job, full, [p.index]));
       this.logPlacement(p, full);
     }
     const value: MachineRecord = {
@@ -249,7 +249,7 @@
 /** A task that has ended and whose entry is still in its machine's record. */
 interface EndedTask {
   readonly machine: MachineRecord;
-  readonly placed: Placed;
+  readonly placed: Allocation;
   readonly isDurable: boolean;
 }
 
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -21,7 +21,7 @@
 /** The state of the fleet as this controller sees it, for operators. */
 export function status(ctx: Context, owner: Owner, healthy: boolean) {
   const { view } = ctx;
-  const ledger = ctx.ledger();
+  const ledger = ctx.allocations();
   const wall = ctx.clock.wallClock();
   const waiting = [...view.jobs.values()].flatMap((j) => {
     const placed = ledger.jobs.get(j.spec.id)?.tasks.size ?? 0;
@@ -51,8 +51,8 @@
     teams: [...ctx.teams.values()].map((t) => ({
       team: t.name,
       slice: view.teams.get(t.name)?.owner ?? null,
-      share: Number(ledger.share(t.name).toPrecision(5)),
-      uses: amounts(ledger.used(t.name)),
+      share: Number(ledger.dominantShareOf(t.name).toPrecision(5)),
+      uses: amounts(ledger.usedBy(t.name)),
       guaranteed: amounts(t.guarantee),
       limit: {
         cpus: t.limitCpu === null ? null : t.limitCpu / MICRO_UNITS,
@@ -68,7 +68,7 @@
       phase: m.phase,
       drain: m.drain === true,
       answeredBy: ctx.substituteOf(m) ?? ctx.holderOf(m),
-      free: amounts(ledger.free.get(m.name) ?? NO_RESOURCES),
+      free: amounts(ledger.freeByMachine.get(m.name) ?? NO_RESOURCES),
       tasks: m.placed.flatMap((p) => p.tasks.map((i) => ctx.task(p.job, i))),
     })),
     waiting: waiting.sort((a, b) => b.waitsS - a.waitsS).slice(0, MOST),
--- a/src/controller/substitute-list.ts
+++ b/src/controller/substitute-list.ts
@@ -3,7 +3,7 @@
  * nobody takes them for dead. It goes on in further records where it does not fit one value.
  */
 import { key } from '../core/keys.js';
-import { partsWithin } from '../core/records.js';
+import { splitBySize } from '../core/records.js';
 import type { MachineName, SubstitutesRecord } from '../core/types.js';
 import { URGENCY } from '../io/rate-limiter.js';
 import type { Op } from '../io/wire.js';
@@ -25,7 +25,7 @@
   }
 
   async publish(names: Iterable<MachineName>, lease: number): Promise<void> {
-    const parts = partsWithin([...names].sort(), this.ctx.state.settings.valueBytes - RECORD_BYTES);
+    const parts = splitBySize([...names].sort(), this.ctx.state.settings.valueBytes - RECORD_BYTES);
     const last = Math.max(parts.length, this.written.length);
     for (let part = 0; part < last; part++) await this.publishPart(part, parts[part] ?? [], lease);
     // A record whose removal was refused stands until its lease ends: it is removed with the next list.
--- a/src/core/fleet-reclaim.ts
+++ b/src/core/fleet-reclaim.ts
@@ -1,7 +1,7 @@
 /** Which machines change slice with low-priority work on them, for work of higher priority that the cloud has no room for. */
 import type { Bin, FleetInput, Want } from './fleet.js';
 import { typeAllowed } from './jobs.js';
-import { PRIORITY_RANK, tasksThatFit, type NodeName, type Placed, type Zone } from './types.js';
+import { PRIORITY_RANK, tasksThatFit, type NodeName, type Allocation, type Zone } from './types.js';
 
 /** Moves cost changes of the state service, and a plan is made every second or so. */
 const MOST_RECLAIMED = 6;
@@ -13,7 +13,7 @@
 }
 
 /** Whether the machine runs nothing but low-priority tasks that end by themselves: whoever owns it may stop them. */
-const isReclaimable = (placed: readonly Placed[]): boolean =>
+const isReclaimable = (placed: readonly Allocation[]): boolean =>
   placed.length > 0 && placed.every((p) => p.kind === 'array' && p.priority === 'low');
 
 /**
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -4,7 +4,7 @@
  * result errs by a machine now and then; the next plan, a second later, sees what really happened.
  */
 import { WINDOW, typeAllowed, zoneCap } from './jobs.js';
-import type { JobPlacement, Ledger } from './ledger.js';
+import type { JobAllocations, AllocationTotals } from './ledger.js';
 import { levelled } from './fleet-levelling.js';
 import { reclaimed, type RefusedWant } from './fleet-reclaim.js';
 import { jobOrder, type OrderContext } from './job-order.js';
@@ -39,7 +39,7 @@
   readonly jobs: Iterable<JobRecord>;
   readonly machines: readonly MachineRecord[];
   readonly rentals: Iterable<RentalRecord>;
-  readonly ledger: Ledger;
+  readonly ledger: AllocationTotals;
   readonly types: readonly MachineType[];
   readonly owners: ReadonlyMap<TeamName, NodeName>;
   readonly order: Omit<OrderContext, 'hasTasks'>;
@@ -128,7 +128,7 @@
       spot: m.spot,
       empty: m.placed.length === 0,
       owner: m.owner,
-      free: ledger.free.get(m.name)!,
+      free: ledger.freeByMachine.get(m.name)!,
       taken: 0,
     });
   }
@@ -287,7 +287,7 @@
 
   const headroom = new Map<TeamName, ResourceVector>();
   const fitsLimit = (spec: JobSpec) =>
-    ledger.timesWithinLimit(spec.team, spec.demand, headroom.get(spec.team) ?? NO_RESOURCES);
+    ledger.tasksWithinQuota(spec.team, spec.demand, headroom.get(spec.team) ?? NO_RESOURCES);
   const count = (spec: JobSpec, n: number) =>
     headroom.set(spec.team, addResources(headroom.get(spec.team) ?? NO_RESOURCES, spec.demand, n));
 
@@ -300,7 +300,7 @@
     const { spec } = j;
     const node = input.owners.get(spec.team)!;
     const placement = ledger.jobs.get(spec.id);
-    const zones = new Map<Zone, number>(placement?.zones);
+    const zones = new Map<Zone, number>(placement?.tasksPerZone);
     const w: Want = {
       spec,
       node,
@@ -332,7 +332,9 @@
   }
   // What is to spare goes to the team with the lowest share first, as it does within a slice; what has priority before.
   const rank = (w: Want) => PRIORITY_RANK[w.spec.priority];
-  rest.sort((a, b) => rank(a) - rank(b) || ledger.share(a.spec.team) - ledger.share(b.spec.team));
+  rest.sort(
+    (a, b) => rank(a) - rank(b) || ledger.dominantShareOf(a.spec.team) - ledger.dominantShareOf(b.spec.team),
+  );
   for (const w of rest) {
     if (w.spec.kind === 'gang' && !keeping.has(w)) {
       const at = gangZone(w.spec, (b) => b.owner === w.node || spare(b));
@@ -361,7 +363,7 @@
 }
 
 /** Tasks that could be started now, as far as the job tells; of one that fails everywhere, one at a time. */
-function openCount(j: JobRecord, placement: JobPlacement | undefined): number {
+function openCount(j: JobRecord, placement: JobAllocations | undefined): number {
   const placed = placement?.tasks.size ?? 0;
   const open = Math.max(0, Math.min(j.spec.tasks, j.done.base + WINDOW) - j.done.count - placed);
   return j.failing === undefined ? open : Math.min(open, Math.max(0, 1 - placed));
--- a/src/core/placed.ts
+++ b/src/core/placed.ts
@@ -1,8 +1,8 @@
 /** Entries of machine records: tasks of one job and one attempt. */
-import type { Attempt, JobSpec, Placed, TaskIndex } from './types.js';
+import type { Attempt, JobSpec, Allocation, TaskIndex } from './types.js';
 
 /** The entry of a machine's record for tasks of a job. */
-export function placedOf(spec: JobSpec, attempt: Attempt, tasks: readonly TaskIndex[]): Placed {
+export function allocationFor(spec: JobSpec, attempt: Attempt, tasks: readonly TaskIndex[]): Allocation {
   return {
     job: spec.id,
     team: spec.team,
@@ -15,7 +15,7 @@
 }
 
 /** Adds tasks to what a machine holds; those of one job and attempt stand together. */
-export function withPlaced(placed: readonly Placed[], add: Placed): Placed[] {
+export function addAllocation(placed: readonly Allocation[], add: Allocation): Allocation[] {
   const out = [...placed];
   const at = out.findIndex((p) => p.job === add.job && p.attempt === add.attempt && p.stop === add.stop);
   if (at < 0) out.push(add);
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -5,9 +5,9 @@
 import { fitness } from './drfh.js';
 import { openTasks, typeAllowed, zoneCap } from './jobs.js';
 import { jobOrder, type OrderContext } from './job-order.js';
-import type { Ledger } from './ledger.js';
-import { placedOf } from './placed.js';
-import { TASK_BYTES, entryBytes } from './records.js';
+import type { AllocationTotals } from './ledger.js';
+import { allocationFor } from './placed.js';
+import { TASK_INDEX_BYTES, allocationBytes } from './records.js';
 import {
   PRIORITY_RANK,
   fitsWithin,
@@ -47,7 +47,7 @@
   readonly jobs: Iterable<JobRecord>;
   /** Machines that new work may be put on; the ledger covers every machine. */
   readonly slice: readonly MachineRecord[];
-  readonly ledger: Ledger;
+  readonly ledger: AllocationTotals;
   readonly newAttempt: () => Attempt;
   /** How long the machine would need for the image, as a rank: 0 where it has it. Only a tie-break beside H. */
   readonly fetchRank: (machine: MachineRecord, image: string) => number;
@@ -126,7 +126,7 @@
 /** Most machines are full most of the time: only those are looked at that can take the least of the demands. */
 function openRooms({ slice, ledger, recordRoom }: ScheduleInput, least: ResourceVector | null): Room[] {
   if (least === null) return [];
-  const open = slice.filter((m) => fitsWithin(least, ledger.free.get(m.name)!));
+  const open = slice.filter((m) => fitsWithin(least, ledger.freeByMachine.get(m.name)!));
   return open.map((m) => ({
     m,
     bytes: recordRoom(m.name),
@@ -151,7 +151,7 @@
 
   /** For how many more of the job's tasks the record has room: those of one pass share an entry. */
   const slots = ({ bytes, entries }: Room, spec: JobSpec): number =>
-    Math.floor((bytes - (entries.has(spec.id) ? 0 : entryBytes(spec))) / TASK_BYTES);
+    Math.floor((bytes - (entries.has(spec.id) ? 0 : allocationBytes(spec))) / TASK_INDEX_BYTES);
 
   const rankOf = (room: Room, image: string): number => {
     const rank = input.fetchRank(room.m, image);
@@ -179,9 +179,9 @@
       if ((zones.get(m.zone) ?? 0) >= cap) continue;
       const n = taken.get(m.name) ?? 0;
       if (slots(room, spec) <= n) continue;
-      const free: ResourceVector = addResources(ledger.free.get(m.name)!, spec.demand, -n);
+      const free: ResourceVector = addResources(ledger.freeByMachine.get(m.name)!, spec.demand, -n);
       if (!fitsWithin(spec.demand, free) || input.avoid(spec.id, m.name)) continue;
-      const h = fitness(spec.demand, free, ledger.total);
+      const h = fitness(spec.demand, free, ledger.fleetCapacity);
       // H decides among the machines in use. An empty one is opened only when nothing in use fits: H looks at
       // shape and not at size, and would else put something small on every machine that a gang needs whole.
       // Of the empty ones, those go first that fewer jobs may use.
@@ -228,7 +228,7 @@
     const { m } = room;
     if (kept(room, spec) || !typeAllowed(spec, m.type) || (m.spot && !spec.spot)) return 0;
     if ((zone ?? spec.zone ?? m.zone) !== m.zone) return 0;
-    return Math.min(slots(room, spec), tasksThatFit(spec.demand, ledger.free.get(m.name)!));
+    return Math.min(slots(room, spec), tasksThatFit(spec.demand, ledger.freeByMachine.get(m.name)!));
   };
 
   /** Kept for a gang of at least the same priority. */
@@ -259,16 +259,16 @@
     if (fetch > 0) room.fetches.add(spec.image);
     machines.add(room.m.name);
     placements.push({ job: spec, index, machine: room.m, attempt: att, share, h, fetch });
-    room.bytes -= TASK_BYTES + (room.entries.has(spec.id) ? 0 : entryBytes(spec));
+    room.bytes -= TASK_INDEX_BYTES + (room.entries.has(spec.id) ? 0 : allocationBytes(spec));
     room.entries.add(spec.id);
     room.used++;
-    ledger.add(room.m, placedOf(spec, att, [index]));
+    ledger.addAllocation(room.m, allocationFor(spec, att, [index]));
   };
 
   const tryGang = (j: JobRecord, share: number): WaitReason | null => {
     const { spec } = j;
     if (ledger.jobs.has(spec.id)) return 'old_attempt';
-    if (!ledger.withinLimit(spec.team, spec.demand, spec.tasks)) return 'team_limit';
+    if (!ledger.isWithinQuota(spec.team, spec.demand, spec.tasks)) return 'team_limit';
     const zones: (Zone | null)[] = spec.oneZone ? [...new Set(rooms.map((r) => r.m.zone))].sort() : [null];
     let best: { room: Room; h: number }[] | null = null;
     let bestH = 0;
@@ -318,8 +318,8 @@
       }
     }
     if (placement !== undefined && input.fails(j)) return 'failing';
-    if (!ledger.withinLimit(spec.team, spec.demand, 1)) return 'team_limit';
-    const zones = placement?.zones ?? new Map<Zone, number>();
+    if (!ledger.isWithinQuota(spec.team, spec.demand, 1)) return 'team_limit';
+    const zones = placement?.tasksPerZone ?? new Map<Zone, number>();
     const only = spec.oneZone ? ([...zones].find(([, n]) => n > 0)?.[0] ?? null) : null;
     const c = pick(spec, new Map(), only, zones, input.yields(j));
     if (c === null) return 'no_room';
@@ -336,7 +336,7 @@
     let team: TeamName | null = null;
     let share = Number.POSITIVE_INFINITY;
     for (const name of queues.keys()) {
-      const s = ledger.share(name);
+      const s = ledger.dominantShareOf(name);
       if (s < share || (s === share && team !== null && name < team)) {
         team = name;
         share = s;
@@ -363,7 +363,7 @@
         if (
           why === 'team_limit' &&
           spec.kind === 'gang' &&
-          ledger.willFitLimit(spec.team, spec.demand, spec.tasks)
+          ledger.willFitQuota(spec.team, spec.demand, spec.tasks)
         ) {
           const behind = queue.splice(0);
           for (const later of behind) {
@@ -376,6 +376,6 @@
     if (queue.length === 0) queues.delete(team);
   }
   // The ledger is everybody's: what was put on paper here counts once it is committed.
-  for (const p of placements) ledger.remove(p.machine, placedOf(p.job, p.attempt, [p.index]));
+  for (const p of placements) ledger.removeAllocation(p.machine, allocationFor(p.job, p.attempt, [p.index]));
   return { placements, waitReasons };
 }
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -3,7 +3,7 @@
  * team's guarantee, work that another team runs beyond its own. What loses least goes first.
  */
 import { typeAllowed, zoneCap } from './jobs.js';
-import type { Ledger } from './ledger.js';
+import type { AllocationTotals } from './ledger.js';
 import {
   CPU,
   GPU,
@@ -15,7 +15,7 @@
   type JobRecord,
   type JobSpec,
   type MachineRecord,
-  type Placed,
+  type Allocation,
   type Team,
   type TeamName,
 } from './types.js';
@@ -23,19 +23,19 @@
 /** Whether the team, with so much more, stays within what it is guaranteed. */
 export function withinGuarantee(
   team: Team | undefined,
-  ledger: Ledger,
+  ledger: AllocationTotals,
   spec: JobSpec,
   tasks: number,
 ): boolean {
   if (team === undefined) return false;
-  const used = addResources(ledger.used(team.name), spec.demand, tasks);
+  const used = addResources(ledger.usedBy(team.name), spec.demand, tasks);
   const asked = [CPU, GPU].filter((r) => team.guarantee[r as 0 | 2] > 0 && spec.demand[r as 0 | 2] > 0);
   return asked.length > 0 && asked.every((r) => used[r as 0 | 2] <= team.guarantee[r as 0 | 2]);
 }
 
-function beyondGuarantee(team: Team | undefined, ledger: Ledger): boolean {
+function beyondGuarantee(team: Team | undefined, ledger: AllocationTotals): boolean {
   if (team === undefined) return true;
-  const used = ledger.used(team.name);
+  const used = ledger.usedBy(team.name);
   // All that a team without any guarantee runs is beyond it.
   if (team.guarantee.every((amount) => amount === 0)) return used.some((amount) => amount > 0);
   return [CPU, GPU].some(
@@ -44,7 +44,7 @@
 }
 
 /** What stopping loses, roughly in seconds of one task's run. */
-function loss(p: Placed, job: JobRecord | undefined): number {
+function loss(p: Allocation, job: JobRecord | undefined): number {
   if (job === undefined) return 0;
   const { spec } = job;
   const each = spec.checkpointS > 0 ? spec.saveS + 5 : Math.max(30, spec.estimateS / 2);
@@ -57,22 +57,22 @@
   readonly job: JobSpec;
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
   readonly slice: readonly MachineRecord[];
-  readonly ledger: Ledger;
+  readonly ledger: AllocationTotals;
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly taken: (m: MachineRecord) => boolean;
 }
 
 /** One machine on which one task of the job fits once the victims are gone. */
-export function pickVictims(input: PreemptInput): { machine: MachineRecord; victims: Placed[] } | null {
+export function pickVictims(input: PreemptInput): { machine: MachineRecord; victims: Allocation[] } | null {
   const { job, jobs, ledger, teams } = input;
   const entitled = withinGuarantee(teams.get(job.team), ledger, job, 1);
-  const zones = ledger.jobs.get(job.id)?.zones;
-  const may = (p: Placed): boolean => {
+  const zones = ledger.jobs.get(job.id)?.tasksPerZone;
+  const may = (p: Allocation): boolean => {
     if (p.stop === true || p.kind === 'service' || p.job === job.id) return false;
     if (PRIORITY_RANK[p.priority] > PRIORITY_RANK[job.priority]) return true;
     return entitled && p.team !== job.team && beyondGuarantee(teams.get(p.team), ledger);
   };
-  let best: { machine: MachineRecord; victims: Placed[] } | null = null;
+  let best: { machine: MachineRecord; victims: Allocation[] } | null = null;
   let bestLoss = Number.POSITIVE_INFINITY;
   for (const machine of input.slice) {
     if (!typeAllowed(job, machine.type) || (machine.spot && !job.spot) || input.taken(machine)) continue;
@@ -85,9 +85,9 @@
       .flatMap((p) => (p.kind === 'array' ? p.tasks.map((i) => ({ ...p, tasks: [i] })) : [p]))
       .map((p) => ({ p, cost: loss(p, jobs.get(p.job)) }))
       .sort((a, b) => a.cost - b.cost);
-    let free = ledger.free.get(machine.name)!;
+    let free = ledger.freeByMachine.get(machine.name)!;
     let cost = 0;
-    const victims: Placed[] = [];
+    const victims: Allocation[] = [];
     for (const { p, cost: c } of order) {
       if (fitsWithin(job.demand, free)) break;
       free = addResources(free, p.demand, p.tasks.length);
@@ -104,12 +104,12 @@
 /** A machine on which tasks of a gang are to start, and what has to go for them. */
 export interface GangPlace {
   readonly machine: MachineRecord;
-  readonly victims: readonly Placed[];
+  readonly victims: readonly Allocation[];
 }
 
 /** Tasks that the machine can take of a gang, now or once its low-priority work is gone, and what that loses. */
 function gangPlaceOn(machine: MachineRecord, { job, jobs, ledger }: PreemptInput) {
-  const free = ledger.free.get(machine.name)!;
+  const free = ledger.freeByMachine.get(machine.name)!;
   const victims = machine.placed.filter((p) => p.priority === 'low' && p.kind === 'array' && p.stop !== true);
   const now = tasksThatFit(job.demand, free);
   const all = victims.reduce((room, p) => addResources(room, p.demand, p.tasks.length), free);
@@ -153,7 +153,7 @@
 }
 
 /** What a machine holds once the victims are marked to go; entries of which only a part goes are split. */
-export function stopped(placed: readonly Placed[], victims: readonly Placed[]): Placed[] {
+export function stopped(placed: readonly Allocation[], victims: readonly Allocation[]): Allocation[] {
   return placed.flatMap((p) => {
     const go = new Set(victims.flatMap((v) => (v.job === p.job && v.attempt === p.attempt ? v.tasks : [])));
     const stay = p.tasks.filter((i) => !go.has(i));
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,34 +1,35 @@
 /** How records are stored: the state service takes values up to a limit, which may fall while we run. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { WINDOW } from './jobs.js';
-import type { JobId, JobRecord, JobSpec, MachineRecord, Placed } from './types.js';
+import type { JobId, JobRecord, JobSpec, MachineRecord, Allocation } from './types.js';
 
 /** How many bytes a value has in the state service. */
-export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /** What a further entry of the job adds to a machine's record, and a further task in the same entry; at most. */
-export const entryBytes = (spec: JobSpec): number => bytesOf([spec.id, spec.team, spec.demand]) + ENTRY_NAMES;
-const ENTRY_NAMES = 135;
+export const allocationBytes = (spec: JobSpec): number =>
+  jsonBytes([spec.id, spec.team, spec.demand]) + ALLOCATION_FIELD_NAMES_BYTES;
+const ALLOCATION_FIELD_NAMES_BYTES = 135;
 /** What a further task in the same entry adds, at most. */
-export const TASK_BYTES = 7;
+export const TASK_INDEX_BYTES = 7;
 
 /**
  * A smaller record that says the same about what is placed: without the images that are known to be there; and where the
  * machine is given up, with the tasks of a job in one entry, since nobody commands them any more. Null where neither is
  * enough.
  */
-export function slim(m: MachineRecord, limit: number): MachineRecord | null {
+export function shrinkMachineRecord(m: MachineRecord, limit: number): MachineRecord | null {
   const { images, ...rest } = m;
-  if (images !== undefined && bytesOf(rest) <= limit) return rest;
+  if (images !== undefined && jsonBytes(rest) <= limit) return rest;
   if (m.phase !== 'releasing') return null;
-  const placed: Placed[] = [];
+  const placed: Allocation[] = [];
   for (const p of m.placed) {
     const at = placed.findIndex((o) => o.job === p.job);
     if (at < 0) placed.push(p);
     else placed[at] = { ...placed[at]!, tasks: [...placed[at]!.tasks, ...p.tasks] };
   }
   const merged = { ...rest, placed };
-  return bytesOf(merged) <= limit ? merged : null;
+  return jsonBytes(merged) <= limit ? merged : null;
 }
 
 /**
@@ -43,20 +44,20 @@
 const resultBytes = (tasks: number): number => Math.ceil(Math.min(tasks, WINDOW) / 6) + 30;
 
 /** Null where the record could come to exceed the limit, whatever is done. */
-export function storedJob(record: JobRecord, limit: number): StoredJob | null {
+export function toStoredJob(record: JobRecord, limit: number): StoredJob | null {
   const room = limit - resultBytes(record.spec.tasks);
   const bare = { ...record, done: { ...record.done, bits: '' } };
-  if (bytesOf(bare) <= room) return record;
+  if (jsonBytes(bare) <= room) return record;
   const { needs, ...spec } = record.spec;
   if (needs === undefined) return null;
   const packedNeeds = deflateRawSync(needs.join(' ')).toString('base64');
-  return bytesOf({ ...bare, spec: { ...spec, packedNeeds } }) <= room
+  return jsonBytes({ ...bare, spec: { ...spec, packedNeeds } }) <= room
     ? { ...record, spec: { ...spec, packedNeeds } }
     : null;
 }
 
 /** The record as the scheduler uses it, whichever version wrote it. */
-export function jobFromStored(stored: StoredJob): JobRecord {
+export function fromStoredJob(stored: StoredJob): JobRecord {
   const known = stored.spec as StoredJob['spec'] | undefined;
   if (known?.packedNeeds === undefined) return stored;
   const { packedNeeds, ...spec } = known;
@@ -65,11 +66,11 @@
 }
 
 /** A list in parts that each stay within the limit, in order. */
-export function partsWithin<T>(list: readonly T[], limit: number): T[][] {
+export function splitBySize<T>(list: readonly T[], limit: number): T[][] {
   const parts: T[][] = [[]];
   let size = 2;
   for (const x of list) {
-    const more = bytesOf(x) + 1;
+    const more = jsonBytes(x) + 1;
     if (size + more > limit && parts.at(-1)!.length > 0) {
       parts.push([]);
       size = 2;
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -230,7 +230,7 @@
 }
 
 /** Some tasks of one job and one attempt on one machine. */
-export interface Placed {
+export interface Allocation {
   readonly job: JobId;
   readonly team: TeamName;
   readonly kind: JobKind;
@@ -258,7 +258,7 @@
   readonly phase: MachinePhase;
   /** Where the worker takes direct commands; known from its first report on. */
   readonly address?: string;
-  readonly placed: readonly Placed[];
+  readonly placed: readonly Allocation[];
   /** When the record was made, for judging a boot that takes too long. */
   readonly since: WallClockMs;
   /** No new work is put here. */
--- a/src/core/view.ts
+++ b/src/core/view.ts
@@ -4,7 +4,7 @@
  * exactly what was committed up to R, plus this process's own newer writes.
  */
 import { parseKey } from './keys.js';
-import { jobFromStored, type StoredJob } from './records.js';
+import { fromStoredJob, type StoredJob } from './records.js';
 import {
   fencingToken,
   version,
@@ -136,7 +136,7 @@
     switch (parsed.kind) {
       case 'job':
         if (value === undefined) this.jobs.delete(parsed.job);
-        else this.jobs.set(parsed.job, jobFromStored(value as StoredJob));
+        else this.jobs.set(parsed.job, fromStoredJob(value as StoredJob));
         this.jobChanges++;
         break;
       case 'machine':
--- a/src/core/worker-reports.ts
+++ b/src/core/worker-reports.ts
@@ -7,7 +7,7 @@
  * and attempts are never used twice, so a late stop harms nobody. A start is never sent directly.
  */
 import { isDone } from './jobs.js';
-import type { Ledger } from './ledger.js';
+import type { AllocationTotals } from './ledger.js';
 import {
   NO_RESOURCES,
   fitsWithin,
@@ -18,7 +18,7 @@
   type JobId,
   type JobRecord,
   type MachineRecord,
-  type Placed,
+  type Allocation,
   type Heartbeat,
   type HeartbeatId,
   type ReportedTask,
@@ -111,14 +111,14 @@
 /** What should be on machines, by the records. */
 export interface DesiredState {
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
-  readonly ledger: Ledger;
+  readonly ledger: AllocationTotals;
 }
 
 /** Why a task should not be on its machine. */
 export type StopReason = 'over' | 'cancelled' | 'task_done' | 'stopping' | 'gang_broken';
 
 /** Null if the task should be on its machine, else why not. */
-export function stopReasonFor(p: Placed, index: TaskIndex, w: DesiredState): StopReason | null {
+export function stopReasonFor(p: Allocation, index: TaskIndex, w: DesiredState): StopReason | null {
   const job = w.jobs.get(p.job);
   if (job === undefined) return 'over';
   if (job.phase === 'cancelling') return 'cancelled';
@@ -126,8 +126,8 @@
   const placement = w.ledger.jobs.get(p.job);
   if (p.kind === 'gang') {
     // One attempt of a gang is on its machines as a whole or must go: what is left of it would only wait.
-    if ((placement?.perAttempt.get(p.attempt) ?? 0) < job.spec.tasks) return 'gang_broken';
-    if ((placement?.stopping ?? 0) > 0) return 'stopping';
+    if ((placement?.tasksPerAttempt.get(p.attempt) ?? 0) < job.spec.tasks) return 'gang_broken';
+    if ((placement?.stoppingAllocations ?? 0) > 0) return 'stopping';
   }
   return p.stop === true ? 'stopping' : null;
 }
@@ -140,7 +140,7 @@
 
 /** A task that has left its machine. */
 export interface TaskExit {
-  readonly placed: Placed;
+  readonly placed: Allocation;
   readonly index: TaskIndex;
   /** Null: the machine does not know the task and never will. */
   readonly reason: ExitReason | null;
@@ -195,7 +195,7 @@
   const { heartbeat } = mem;
   if (heartbeat === null) return [];
   const listed = tasksByKey(heartbeat);
-  const known = new Map<string, { placed: Placed; index: TaskIndex }>();
+  const known = new Map<string, { placed: Allocation; index: TaskIndex }>();
   for (const placed of record.placed)
     for (const i of placed.tasks) known.set(taskKey(placed.job, i, placed.attempt), { placed, index: i });
   const out: AgentCommand[] = [];
@@ -228,7 +228,7 @@
   // A record may say too much: entries of tasks that are done stay in it for a while, and their room is used again.
   // So only as much is started as there is room for beside what is known to be there.
   const alive = (k: string) => listed.get(k)?.state !== 'exited' && listed.has(k);
-  let room = w.ledger.free.get(record.name) ?? NO_RESOURCES;
+  let room = w.ledger.freeByMachine.get(record.name) ?? NO_RESOURCES;
   for (const [k, { placed }] of known) if (!alive(k)) room = addResources(room, placed.demand);
   for (const [k, { placed, index: i }] of known) {
     if (listed.has(k) || mem.exitedTasks.has(k) || stopReasonFor(placed, i, w) !== null) continue;
@@ -242,9 +242,9 @@
 }
 
 /** The record without the given tasks. */
-export function removeExits(placed: readonly Placed[], gone: readonly TaskExit[]): Placed[] {
+export function removeExits(placed: readonly Allocation[], gone: readonly TaskExit[]): Allocation[] {
   const keys = new Set(gone.map((g) => taskKey(g.placed.job, g.index, g.placed.attempt)));
-  const out: Placed[] = [];
+  const out: Allocation[] = [];
   for (const p of placed) {
     const tasks = p.tasks.filter((i) => !keys.has(taskKey(p.job, i, p.attempt)));
     if (tasks.length === p.tasks.length) out.push(p);
--- a/src/io/state/transactions.ts
+++ b/src/io/state/transactions.ts
@@ -1,6 +1,6 @@
 /** Transactions: filled up to the limits of the state service, and committed until their outcome is known. */
 import { key, parseKey } from '../../core/keys.js';
-import { bytesOf, slim } from '../../core/records.js';
+import { jsonBytes, shrinkMachineRecord } from '../../core/records.js';
 import type { MachineRecord } from '../../core/types.js';
 import type { View } from '../../core/view.js';
 import { URGENCY, type Urgency } from '../rate-limiter.js';
@@ -60,9 +60,9 @@
 }
 
 function fittedOp(op: Op, valueBytes: number): Op | null {
-  if (op.value === undefined || bytesOf(op.value) <= valueBytes) return op;
+  if (op.value === undefined || jsonBytes(op.value) <= valueBytes) return op;
   if (parseKey(op.key).kind !== 'machine') return null;
-  const value = slim(op.value as MachineRecord, valueBytes);
+  const value = shrinkMachineRecord(op.value as MachineRecord, valueBytes);
   return value === null ? null : { ...op, value };
 }
 
@@ -155,7 +155,7 @@
  */
 function pivotOf(client: StateClient, view: View, guards: readonly Guard[], ops: readonly Op[]): Guard {
   const fitsLimit = (g: Guard) =>
-    bytesOf(view.entries.get(g.key)?.value ?? null) <= client.settings.valueBytes;
+    jsonBytes(view.entries.get(g.key)?.value ?? null) <= client.settings.valueBytes;
   const existing = guards.filter((g) => g.version > 0 && fitsLimit(g));
   const pivot =
     existing.find((g) => ops.some((o) => o.key === g.key)) ??
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { bytesOf } from '../src/core/records.js';
+import { jsonBytes } from '../src/core/records.js';
 import { jobId } from '../src/core/types.js';
 import { key } from '../src/core/keys.js';
 import {
@@ -151,7 +151,7 @@
   await until(sim, () => waiting.every((id) => job(sim, id).accepted), 90_000);
   const last = await accepted(sim, [...many, ...waiting, first], 1, {}, 20_000);
   const record = sim.state.rows.get(key.job(jobId(last)))!.value;
-  assert.ok(bytesOf(record) <= 2048, `${bytesOf(record)} bytes`);
+  assert.ok(jsonBytes(record) <= 2048, `${jsonBytes(record)} bytes`);
   // The other controllers learn of it by their watches, which leave most of the requests to others.
   await wait(sim, 500);
   for (const n of sim.nodes.values()) {
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -4,7 +4,7 @@
 import { readOperator } from '../src/config/operator.js';
 import type { Context } from '../src/controller/context.js';
 import { Health } from '../src/controller/health.js';
-import { jobId, version, type Placed, type Heartbeat } from '../src/core/types.js';
+import { jobId, version, type Allocation, type Heartbeat } from '../src/core/types.js';
 import { key } from '../src/core/keys.js';
 import { View } from '../src/core/view.js';
 import { jobFromWire, heartbeatFromWire } from '../src/io/wire.js';
@@ -41,7 +41,7 @@
 
 test('a late report about a job that is over leaves nothing behind', () => {
   const health = setUp(100, []);
-  const gone = { job: jobId('wk-over') } as Placed;
+  const gone = { job: jobId('wk-over') } as Allocation;
   // Two machines on which it fails would say that it is the job.
   for (const m of [record, machine('n-2', [])]) health.exit(m, gone, 'error');
   assert.equal(health.failures.failuresOf(gone.job), null);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -6,10 +6,10 @@
 import type { Context } from '../src/controller/context.js';
 import { UnknownMachines } from '../src/controller/leader/unknown-machines.js';
 import { SubstituteList } from '../src/controller/substitute-list.js';
-import { Ledger } from '../src/core/ledger.js';
+import { AllocationTotals } from '../src/core/ledger.js';
 import { key, parseKey } from '../src/core/keys.js';
-import { placedOf } from '../src/core/placed.js';
-import { bytesOf } from '../src/core/records.js';
+import { allocationFor } from '../src/core/placed.js';
+import { jsonBytes } from '../src/core/records.js';
 import {
   attempt,
   machineName,
@@ -83,7 +83,7 @@
       });
   await until(sim, 40_000, 'the burst', () => sim.fleet.starts - starts >= 1200);
   assert.equal(sim.state.tooLarge, 0, 'changes above a limit');
-  for (const [k, r] of sim.state.rows) assert.ok(bytesOf(r.value) <= sim.state.valueBytes, k);
+  for (const [k, r] of sim.state.rows) assert.ok(jsonBytes(r.value) <= sim.state.valueBytes, k);
 });
 
 test('what a controller keeps of 4,000 machines fits into its heap', () => {
@@ -104,7 +104,7 @@
     const name = `n-${String(i).padStart(6, '0')}`;
     const tasks = [...Array(TASKS).keys()].map((k) => i * TASKS + k);
     // As they come over the wire: nothing is shared between them.
-    const text = JSON.stringify(machine(name, [placedOf(spec, attempt(7), tasks)]));
+    const text = JSON.stringify(machine(name, [allocationFor(spec, attempt(7), tasks)]));
     const value: unknown = JSON.parse(text);
     view.apply({ key: key.machine(machineName(name)), value, version: version(i + 10) });
     const memory = newAgentSession(view.tokenOf(value as MachineRecord), monotonicMs(0));
@@ -124,9 +124,9 @@
     recordHeartbeat(memory, report!, monotonicMs(1), true, 2000);
     memories.push(memory);
   }
-  const ledger = new Ledger(view.machines.values(), types, new Map());
+  const ledger = new AllocationTotals(view.machines.values(), types, new Map());
   const used = heap() - before;
-  assert.equal(ledger.free.size, MACHINES);
+  assert.equal(ledger.freeByMachine.size, MACHINES);
   assert.equal(memories.length, MACHINES);
   // `deploy/service.toml` allows 72 MB, of which the program takes about 20 without any machine.
   assert.ok(used < 45, `${used.toFixed(1)} MB`);
@@ -167,7 +167,7 @@
         if (refuses) return Promise.resolve({ kind: 'refused' });
         rev++;
         for (const { key: k, value } of ops) {
-          assert.ok(value === undefined || bytesOf(value) <= 2048);
+          assert.ok(value === undefined || jsonBytes(value) <= 2048);
           view.apply({ key: k, value, version: version(rev) });
         }
         return Promise.resolve({ kind: 'ok', rev: revision(rev) });
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobId } from '../src/core/types.js';
-import { bytesOf } from '../src/core/records.js';
+import { jsonBytes } from '../src/core/records.js';
 import { key } from '../src/core/keys.js';
 import { jobFromWire } from '../src/io/wire.js';
 import { submission } from './samples.js';
@@ -161,7 +161,7 @@
   for (let i = 0; i < 150; i++) {
     await wait(sim, 100);
     for (const [k, row] of sim.state.rows)
-      if (k.startsWith('p/')) largest = Math.max(largest, bytesOf(row.value));
+      if (k.startsWith('p/')) largest = Math.max(largest, jsonBytes(row.value));
     for (const w of sim.fleet.live())
       most = Math.max(most, [...w.tasks.values()].filter((t) => t.state !== 'ended').length);
   }
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -1,7 +1,7 @@
 /** Jobs, teams and plans as several tests of scheduling use them. */
 import { planFleet, type FleetInput } from '../src/core/fleet.js';
-import { Ledger } from '../src/core/ledger.js';
-import { placedOf } from '../src/core/placed.js';
+import { AllocationTotals } from '../src/core/ledger.js';
+import { allocationFor } from '../src/core/placed.js';
 import {
   attempt,
   nodeName,
@@ -36,14 +36,14 @@
   done: { base: 0, bits: '', count: 0 },
   submitted: wallClockMs(0),
 });
-export const on = (j: JobRecord, ...tasks: number[]) => placedOf(j.spec, attempt(1), tasks);
+export const on = (j: JobRecord, ...tasks: number[]) => allocationFor(j.spec, attempt(1), tasks);
 
 export const planned = (jobs: JobRecord[], machines: MachineRecord[], over: Partial<FleetInput> = {}) =>
   planFleet({
     jobs,
     machines,
     rentals: [],
-    ledger: new Ledger(machines, types, teams),
+    ledger: new AllocationTotals(machines, types, teams),
     types: [type],
     owners: new Map([
       [teamName('red'), nodeName('c-0')],
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { FleetInput } from '../src/core/fleet.js';
-import { Ledger } from '../src/core/ledger.js';
+import { AllocationTotals } from '../src/core/ledger.js';
 import { schedule, type ScheduleInput } from '../src/core/placement.js';
 import { pickVictims } from '../src/core/preemption.js';
 import {
@@ -23,7 +23,7 @@
     job: wanted.spec,
     jobs: new Map([wanted, ...others].map((j) => [j.spec.id, j])),
     slice,
-    ledger: new Ledger(slice, types, teams),
+    ledger: new AllocationTotals(slice, types, teams),
     teams,
     taken: () => false,
   });
@@ -39,7 +39,7 @@
   return schedule({
     jobs,
     slice,
-    ledger: new Ledger(slice, types, known),
+    ledger: new AllocationTotals(slice, types, known),
     newAttempt: () => attempt(++n),
     fetchRank: () => 2,
     avoid: () => false,
--- a/test/reclaim.test.ts
+++ b/test/reclaim.test.ts
@@ -1,7 +1,7 @@
 /** Background work and teams without a guarantee give way to what has priority or a guarantee. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Ledger } from '../src/core/ledger.js';
+import { AllocationTotals } from '../src/core/ledger.js';
 import { pickGangVictims, pickVictims } from '../src/core/preemption.js';
 import { nodeName, teamName, type JobRecord, type MachineRecord } from '../src/core/types.js';
 import { job, on, planned, team, teams } from './planning.js';
@@ -14,7 +14,7 @@
   const wanted = job('wk-1', { shape: 'daemon', tier: 'low', shards: 1 });
   const guest = job('wk-2', { tier: 'urgent', tenant: GUEST, shards: 4 });
   const slice = [machine('n-1', [on(guest, 0, 1, 2, 3)])];
-  const ledger = new Ledger(slice, types, withGuest);
+  const ledger = new AllocationTotals(slice, types, withGuest);
   const found = pickVictims({
     job: wanted.spec,
     jobs: new Map([wanted, guest].map((j) => [j.spec.id, j])),
@@ -24,8 +24,10 @@
     taken: () => false,
   });
   assert.equal(found?.victims.length, 1);
-  assert.ok(Number.isFinite(ledger.share(teamName(GUEST))) && ledger.share(teamName(GUEST)) > 0);
-  assert.equal(ledger.share(teamName('red')), 0);
+  assert.ok(
+    Number.isFinite(ledger.dominantShareOf(teamName(GUEST))) && ledger.dominantShareOf(teamName(GUEST)) > 0,
+  );
+  assert.equal(ledger.dominantShareOf(teamName('red')), 0);
 });
 
 test('low-priority work gives whole machines to a gang of higher priority, the cheapest of one zone', () => {
@@ -38,7 +40,7 @@
       job: wanted.spec,
       jobs: new Map([gang, low, costly, normal].map((j) => [j.spec.id, j])),
       slice,
-      ledger: new Ledger(slice, types, teams),
+      ledger: new AllocationTotals(slice, types, teams),
       teams,
       taken: () => false,
     })?.map((p) => [p.machine.name, p.victims.length]);
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -2,11 +2,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { markDone } from '../src/core/jobs.js';
-import { Ledger } from '../src/core/ledger.js';
+import { AllocationTotals } from '../src/core/ledger.js';
 import { judgeDependencies } from '../src/core/dependencies.js';
-import { placedOf, withPlaced } from '../src/core/placed.js';
+import { allocationFor, addAllocation } from '../src/core/placed.js';
 import { stopped } from '../src/core/preemption.js';
-import { TASK_BYTES, bytesOf, entryBytes, partsWithin, slim } from '../src/core/records.js';
+import {
+  TASK_INDEX_BYTES,
+  jsonBytes,
+  allocationBytes,
+  splitBySize,
+  shrinkMachineRecord,
+} from '../src/core/records.js';
 import {
   agentCommands,
   confirmedExits,
@@ -58,7 +64,7 @@
     [key.machine(machineName('n-000001'))]: MACHINE_BEFORE,
     [key.slice('c-0')]: '{"holder":"c-0","incarnation":"x"}',
   });
-  const ledger = new Ledger(view.machines.values(), types, new Map());
+  const ledger = new AllocationTotals(view.machines.values(), types, new Map());
   assert.equal(ledger.jobs.get(id)?.tasks.size, 3);
   const d = judgeDependencies({
     jobs: view.jobs,
@@ -92,7 +98,7 @@
     done: { base: 0, bits: '', count: 0 },
     submitted: 0 as never,
   };
-  const shared = placedOf(spec, attempt(9), [0, 1, 2]);
+  const shared = allocationFor(spec, attempt(9), [0, 1, 2]);
   const m: MachineRecord = machine('n-1', stopped([shared], [{ ...shared, tasks: [1] }]));
   assert.deepEqual(
     m.placed.map((p) => [p.tasks, p.stop]),
@@ -115,7 +121,7 @@
     ],
   })!;
   recordHeartbeat(mem, report, monotonicMs(10), true, 2000);
-  const w = { jobs: new Map([[spec.id, job]]), ledger: new Ledger([m], types, new Map()) };
+  const w = { jobs: new Map([[spec.id, job]]), ledger: new AllocationTotals([m], types, new Map()) };
   assert.deepEqual(
     confirmedExits(m, mem, w).map((e) => [e.index, e.reason]),
     [[0, 'done']],
@@ -145,11 +151,11 @@
       );
       const att = attempt(2 ** 52);
       const empty = machine('n-1', []);
-      const one = withPlaced([], placedOf(spec, att, [99_999]));
-      const two = withPlaced(one, placedOf(spec, att, [99_998]));
-      const size = (placed: MachineRecord['placed']) => bytesOf({ ...empty, placed });
-      assert.ok(size(one) - size([]) <= entryBytes(spec) + TASK_BYTES);
-      assert.ok(size(two) - size(one) <= TASK_BYTES);
+      const one = addAllocation([], allocationFor(spec, att, [99_999]));
+      const two = addAllocation(one, allocationFor(spec, att, [99_998]));
+      const size = (placed: MachineRecord['placed']) => jsonBytes({ ...empty, placed });
+      assert.ok(size(one) - size([]) <= allocationBytes(spec) + TASK_INDEX_BYTES);
+      assert.ok(size(two) - size(one) <= TASK_INDEX_BYTES);
     }
 });
 
@@ -158,28 +164,28 @@
   const m: MachineRecord = {
     ...machine(
       'n-1',
-      [...Array(12).keys()].map((i) => placedOf(spec, attempt(i + 1), [i])),
+      [...Array(12).keys()].map((i) => allocationFor(spec, attempt(i + 1), [i])),
     ),
     images: [...Array(30).keys()].map((i) => `image-${i}`),
   };
-  const bare = bytesOf({ ...m, images: undefined });
-  assert.equal(slim(m, bare)?.images, undefined);
-  assert.ok(bytesOf(slim(m, bare)) <= bare);
-  assert.equal(slim(m, bare - 1), null, 'left until some of it has ended');
-  const given = slim({ ...m, phase: 'releasing' }, 700);
+  const bare = jsonBytes({ ...m, images: undefined });
+  assert.equal(shrinkMachineRecord(m, bare)?.images, undefined);
+  assert.ok(jsonBytes(shrinkMachineRecord(m, bare)) <= bare);
+  assert.equal(shrinkMachineRecord(m, bare - 1), null, 'left until some of it has ended');
+  const given = shrinkMachineRecord({ ...m, phase: 'releasing' }, 700);
   assert.deepEqual(
     given?.placed.flatMap((p) => p.tasks),
     [...Array(12).keys()],
   );
   // It counts as before.
-  const sums = (x: MachineRecord) => new Ledger([x], types, new Map()).used(teamName('vision'));
+  const sums = (x: MachineRecord) => new AllocationTotals([x], types, new Map()).usedBy(teamName('vision'));
   assert.deepEqual(sums(given), sums(m));
 });
 
 test('a list of machine types that does not fit one value goes on in others, and is read as one', () => {
   const many = [...Array(30).keys()].map((i) => ({ ...type, name: `type-${i}` }));
-  const parts = partsWithin(many, 2048);
-  assert.ok(parts.length > 1 && parts.every((p) => bytesOf(p) <= 2048));
+  const parts = splitBySize(many, 2048);
+  assert.ok(parts.length > 1 && parts.every((p) => jsonBytes(p) <= 2048));
   const view = viewOf(
     Object.fromEntries(parts.map((p, i) => [i === 0 ? key.types : key.moreTypes(i), JSON.stringify(p)])),
   );
--- a/test/samples.ts
+++ b/test/samples.ts
@@ -8,7 +8,7 @@
   zoneName,
   type MachineRecord,
   type MachineType,
-  type Placed,
+  type Allocation,
 } from '../src/core/types.js';
 
 /** A valid submission as a user would send it. */
@@ -49,7 +49,7 @@
 export const types = new Map([[type.name, type]]);
 
 /** A machine of that type which is up. */
-export const machine = (name: string, placed: readonly Placed[], zone = 'a'): MachineRecord => ({
+export const machine = (name: string, placed: readonly Allocation[], zone = 'a'): MachineRecord => ({
   name: machineName(name),
   type: type.name,
   zone: zoneName(zone),
--- a/test/worker-reports.test.ts
+++ b/test/worker-reports.test.ts
@@ -1,8 +1,8 @@
 /** What an owner may conclude from reports that are late, copied, or from a worker that does not hear it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Ledger } from '../src/core/ledger.js';
-import { placedOf } from '../src/core/placed.js';
+import { AllocationTotals } from '../src/core/ledger.js';
+import { allocationFor } from '../src/core/placed.js';
 import {
   agentCommands,
   confirmedExits,
@@ -20,7 +20,7 @@
   zoneName,
   type JobRecord,
   type MachineRecord,
-  type Placed,
+  type Allocation,
   type Heartbeat,
   type ReportedTask,
 } from '../src/core/types.js';
@@ -37,8 +37,8 @@
   done: { base: 0, bits: '', count: 0 },
   submitted: wallClockMs(0),
 });
-const placed = (tasks: number[], att = 7): Placed => placedOf(spec, attempt(att), tasks);
-const machine = (...p: Placed[]): MachineRecord => record('n-1', p);
+const placed = (tasks: number[], att = 7): Allocation => allocationFor(spec, attempt(att), tasks);
+const machine = (...p: Allocation[]): MachineRecord => record('n-1', p);
 const task = (
   index: number,
   state: ReportedTask['state'],
@@ -65,7 +65,7 @@
 });
 const wanted = (m: MachineRecord, j: JobRecord) => ({
   jobs: new Map([[spec.id, j]]),
-  ledger: new Ledger([m], types, new Map()),
+  ledger: new AllocationTotals([m], types, new Map()),
 });
 const take = (mem: ReturnType<typeof newAgentSession>, r: Heartbeat, atMs: number, posted = true) =>
   recordHeartbeat(mem, r, monotonicMs(atMs), posted, REPORT_MS);
@@ -129,7 +129,7 @@
 
 test('a task that is known to be gone is not started again, and not more than there is room for', () => {
   // Two old tasks whose entries are still there, and a new one that uses the room of one of them.
-  const fresh: Placed = { ...placed([2]), job: jobId('wk-2') };
+  const fresh: Allocation = { ...placed([2]), job: jobId('wk-2') };
   const m = machine(placed([0, 1]), fresh);
   const w = wanted(m, job('active'));
   const jobs = new Map(w.jobs).set(jobId('wk-2'), { ...job('active'), spec: { ...spec, id: jobId('wk-2') } });
@@ -202,17 +202,17 @@
 test('a task that is done frees its machine at once, and its part of the limit only once its result is durable', () => {
   const team = spec.team;
   const m = machine(placed([0, 1]));
-  const ledger = new Ledger([m], types, new Map());
-  const used = ledger.used(team);
-  const free = ledger.free.get(m.name)!;
+  const ledger = new AllocationTotals([m], types, new Map());
+  const used = ledger.usedBy(team);
+  const free = ledger.freeByMachine.get(m.name)!;
   ledger.vacate(m, placed([0]), false, false);
-  assert.deepEqual(ledger.used(team), used);
-  assert.notDeepEqual(ledger.free.get(m.name), free);
+  assert.deepEqual(ledger.usedBy(team), used);
+  assert.notDeepEqual(ledger.freeByMachine.get(m.name), free);
   ledger.vacate(m, placed([0]), true, false);
   ledger.vacate(m, placed([0]), false, true);
-  assert.equal(ledger.used(team)[0], used[0] / 2);
+  assert.equal(ledger.usedBy(team)[0], used[0] / 2);
   ledger.vacate(m, placed([0]), true, true);
-  assert.deepEqual([ledger.used(team), ledger.free.get(m.name)], [used, free]);
+  assert.deepEqual([ledger.usedBy(team), ledger.freeByMachine.get(m.name)], [used, free]);
 });
 
 test('sums that follow the records are the sums over the records', () => {
@@ -224,7 +224,7 @@
   ]);
   let seed = 7;
   const int = (n: number) => (seed = (seed * 48_271) % 2_147_483_647) % n;
-  const ledger = new Ledger([], types, teams);
+  const ledger = new AllocationTotals([], types, teams);
   const records = new Map<string, MachineRecord>();
   for (let step = 0; step < 400; step++) {
     const name = machineName(`n-${int(8)}`);
@@ -237,19 +237,21 @@
       }));
       records.set(name, { ...machine(...list), name, phase: int(6) === 0 ? 'releasing' : 'up' });
     }
-    ledger.set(name, records.get(name));
-    const anew = new Ledger(records.values(), types, teams);
-    assert.deepEqual(ledger.free, anew.free);
-    assert.deepEqual(ledger.total, anew.total);
-    assert.deepEqual(ledger.used(teamName('vision')), anew.used(teamName('vision')));
-    assert.ok(Math.abs(ledger.share(teamName('vision')) - anew.share(teamName('vision'))) < 1e-9);
+    ledger.setMachine(name, records.get(name));
+    const anew = new AllocationTotals(records.values(), types, teams);
+    assert.deepEqual(ledger.freeByMachine, anew.freeByMachine);
+    assert.deepEqual(ledger.fleetCapacity, anew.fleetCapacity);
+    assert.deepEqual(ledger.usedBy(teamName('vision')), anew.usedBy(teamName('vision')));
+    assert.ok(
+      Math.abs(ledger.dominantShareOf(teamName('vision')) - anew.dominantShareOf(teamName('vision'))) < 1e-9,
+    );
     assert.deepEqual(new Set(ledger.jobs.keys()), new Set(anew.jobs.keys()));
     for (const [id, j] of anew.jobs) {
       const mine = ledger.jobs.get(id)!;
       assert.deepEqual(new Set(mine.tasks.keys()), new Set(j.tasks.keys()));
-      assert.deepEqual(mine.zones, j.zones);
-      assert.deepEqual(mine.perAttempt, j.perAttempt);
-      assert.equal(mine.stopping, j.stopping);
+      assert.deepEqual(mine.tasksPerZone, j.tasksPerZone);
+      assert.deepEqual(mine.tasksPerAttempt, j.tasksPerAttempt);
+      assert.equal(mine.stoppingAllocations, j.stoppingAllocations);
     }
   }
 });
