--- a/packages/tracing/src/job-spans.ts
+++ b/packages/tracing/src/job-spans.ts
@@ -111,10 +111,10 @@
     if (start !== undefined && start.step !== 'commanded') this.advance(start, 'commanded', 'task.command');
   }
 
-  private reported(report: Heartbeat): void {
-    const starts = this.byMachine.get(report.machine);
+  private reported(heartbeat: Heartbeat): void {
+    const starts = this.byMachine.get(heartbeat.machine);
     if (starts === undefined) return;
-    for (const task of report.tasks) {
+    for (const task of heartbeat.tasks) {
       const k = startKey(task);
       const start = starts.get(k);
       if (start?.step !== 'commanded') continue;
@@ -122,7 +122,7 @@
       starts.delete(k);
       this.open--;
     }
-    if (starts.size === 0) this.byMachine.delete(report.machine);
+    if (starts.size === 0) this.byMachine.delete(heartbeat.machine);
   }
 
   /** Records the span of a step, from the end of the one before it. */
--- a/packages/warm-standby/src/cluster.ts
+++ b/packages/warm-standby/src/cluster.ts
@@ -1,6 +1,6 @@
 /** Which controllers stand by for which slice, by what is committed now. */
 import type { NodeName } from '../../../src/core/types.js';
-import type { Service, SliceFact } from '../../../src/packages/api.js';
+import type { Service, ShardFact } from '../../../src/packages/api.js';
 import type { FailureDomains } from './failure-domains.js';
 import { placeStandbys } from './placement.js';
 
@@ -14,12 +14,12 @@
   ) {}
 
   /** The standbys of a slice, the first in order first. */
-  standbysOf({ slice, holder }: SliceFact): NodeName[] {
+  standbysOf({ shard, holder }: ShardFact): NodeName[] {
     const candidates = this.service.facts
       .sessions()
       .filter((s) => !s.isDraining && this.domainOf.has(s.node))
       .map((s) => s.node);
-    return placeStandbys({ slice, holder, candidates, domainOf: this.domainOf, degree: this.degree });
+    return placeStandbys({ slice: shard, holder, candidates, domainOf: this.domainOf, degree: this.degree });
   }
 
   /** Whether the settings name a controller, and so a slice, like this. */
@@ -28,9 +28,9 @@
   }
 
   /** Slices that this process holds and knows all about. */
-  heldSlices(): SliceFact[] {
+  heldShards(): ShardFact[] {
     const { facts, incarnation } = this.service;
-    return facts.slices().filter((s) => s.incarnation === incarnation && facts.isHeldCompletely(s.slice));
+    return facts.shards().filter((s) => s.incarnation === incarnation && facts.isHeldCompletely(s.shard));
   }
 
   /** All controllers but this one and the one given. */
--- a/packages/warm-standby/src/decision-log.ts
+++ b/packages/warm-standby/src/decision-log.ts
@@ -4,7 +4,7 @@
  */
 import type { NodeName, Version } from '../../../src/core/types.js';
 import type { LogEntry } from './entries.js';
-import { SliceMemory } from './slice-memory.js';
+import { ReplicatedState } from './slice-memory.js';
 
 /** Workers report every few seconds: without a change theirs is an entry only so often. */
 const WORKER_ENTRY_EVERY_MS = 10_000;
@@ -18,13 +18,13 @@
 
 /** The log of one slice under one epoch. */
 export class DecisionLog {
-  readonly memory = new SliceMemory();
+  readonly state = new ReplicatedState();
   /** Number of the newest entry; 0: none. */
   head = 0;
   private tail: LogEntry[] = [];
 
   constructor(
-    readonly slice: NodeName,
+    readonly shard: NodeName,
     readonly epoch: Version,
     private readonly tailEntries: number,
   ) {}
@@ -32,14 +32,14 @@
   append(entry: LogEntry): void {
     if (entry.kind === 'agent' && this.isKnown(entry)) return;
     this.head++;
-    this.memory.apply(entry);
+    this.state.apply(entry);
     this.tail.push(entry);
     // Cut in one go now and then, rather than shifted with each entry.
     if (this.tail.length > 2 * this.tailEntries) this.tail = this.tail.slice(-this.tailEntries);
   }
 
   private isKnown(entry: Extract<LogEntry, { kind: 'agent' }>): boolean {
-    const known = this.memory.worker(entry.machine);
+    const known = this.state.worker(entry.machine);
     if (known === undefined) return false;
     const isSame =
       known.address === entry.address && known.agentEpoch === entry.agentEpoch && known.token === entry.token;
--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -2,7 +2,7 @@
 import { Type } from '@sinclair/typebox';
 import { check } from '../../../src/config/settings.js';
 import type { NodeName } from '../../../src/core/types.js';
-import type { CommandReply, Service, SliceFact } from '../../../src/packages/api.js';
+import type { CommandReply, Service, ShardFact } from '../../../src/packages/api.js';
 import type { Cluster } from './cluster.js';
 import { TOPIC, decodePrepareAnswer, encodePrepare, readAnswer } from './messages.js';
 import type { Options } from './options.js';
@@ -21,7 +21,7 @@
 
 /** A slice that goes. */
 interface Move {
-  readonly fact: SliceFact;
+  readonly fact: ShardFact;
   readonly to: NodeName;
 }
 
@@ -60,9 +60,9 @@
     const span = tracer.reserve();
     const refused: Refusal[] = [];
     const moves: Move[] = [];
-    for (const fact of this.cluster.heldSlices()) {
+    for (const fact of this.cluster.heldShards()) {
       const prepared = await this.prepare(fact, to, span);
-      if (typeof prepared === 'string') refused.push({ slice: fact.slice, reason: prepared });
+      if (typeof prepared === 'string') refused.push({ slice: fact.shard, reason: prepared });
       else moves.push(prepared);
     }
     const handedOver = await this.commit(moves, refused);
@@ -72,7 +72,7 @@
   }
 
   /** A warm standby that is ready for the slice, or why there is none. */
-  private async prepare(fact: SliceFact, to: NodeName | undefined, span: string): Promise<Move | string> {
+  private async prepare(fact: ShardFact, to: NodeName | undefined, span: string): Promise<Move | string> {
     const standbys = this.cluster.standbysOf(fact);
     if (to !== undefined && !standbys.includes(to)) return `${to} is no standby of this slice`;
     let reason = 'it has no standby in another failure domain';
@@ -88,10 +88,10 @@
     return reason;
   }
 
-  private async ask(fact: SliceFact, node: NodeName, traceParent: string): Promise<string | null> {
-    const { slice, epoch } = fact;
-    const head = this.publisher.slices.get(slice)?.followers.get(node)?.acknowledged ?? 0;
-    const payload = encodePrepare({ slice, epoch, head, traceParent });
+  private async ask(fact: ShardFact, node: NodeName, traceParent: string): Promise<string | null> {
+    const { shard, epoch } = fact;
+    const head = this.publisher.shards.get(shard)?.followers.get(node)?.acknowledged ?? 0;
+    const payload = encodePrepare({ shard, epoch, head, traceParent });
     const reply = await this.service.channel.ask(
       node,
       TOPIC.prepare,
@@ -112,10 +112,10 @@
     const targets = new Set(moves.map((m) => m.to));
     for (const to of targets) {
       const facts = moves.filter((m) => m.to === to).map((m) => m.fact);
-      const outcome = await this.service.slices.handOver(facts, to, this.options.handover.hold_ms);
-      for (const { slice } of facts) {
-        if (outcome.kind === 'committed') out.push({ slice, to });
-        else refused.push({ slice, reason: `the change was not committed: ${outcome.kind}` });
+      const outcome = await this.service.shardControl.handOver(facts, to, this.options.handover.hold_ms);
+      for (const { shard } of facts) {
+        if (outcome.kind === 'committed') out.push({ slice: shard, to });
+        else refused.push({ slice: shard, reason: `the change was not committed: ${outcome.kind}` });
       }
     }
     return out;
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -17,7 +17,7 @@
 
 /** Records the spans of a takeover and of its phases. */
 function trace({ tracer }: Service, takeover: Takeover): void {
-  const { at, traceParent, slice, from, cause } = takeover;
+  const { at, traceParent, shard, from, cause } = takeover;
   const moments = Object.values(at).filter((t): t is number => t !== null);
   tracer.record({
     name: 'takeover',
@@ -25,7 +25,7 @@
     endMs: Math.max(...moments),
     parent: takeover.handoverTrace,
     self: traceParent,
-    attributes: { slice, from, cause, epoch: takeover.epoch, warm: takeover.wasWarm },
+    attributes: { slice: shard, from, cause, epoch: takeover.epoch, warm: takeover.wasWarm },
   });
   for (const [phase, start, end] of PHASES) {
     const [startMs, endMs] = [at[start], at[end]];
@@ -35,7 +35,7 @@
         startMs,
         endMs,
         parent: traceParent,
-        attributes: { slice },
+        attributes: { slice: shard },
       });
   }
 }
@@ -50,8 +50,8 @@
     metrics.noteTakeover(takeover);
     trace(service, takeover);
   });
-  const receiver = new Receiver(service, cluster, monitor, options, (slice, traceParent) => {
-    takeovers.expect(slice, traceParent);
+  const receiver = new Receiver(service, cluster, monitor, options, (shard, traceParent) => {
+    takeovers.expect(shard, traceParent);
   });
   const takeovers = new TakeoverLoop(service, cluster, monitor, receiver, publisher, history, options);
   const handover = new Handover(service, cluster, publisher, options);
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -28,7 +28,7 @@
 /** Who sends about which slice. */
 interface Sender {
   readonly node: NodeName;
-  readonly slice: NodeName;
+  readonly shard: NodeName;
 }
 
 /** An append, with its sender. */
@@ -46,7 +46,7 @@
 /** Asks whether the receiver reaches a holder, and how far it is with a slice. */
 export interface Probe {
   readonly holder: NodeName;
-  readonly slice: NodeName;
+  readonly shard: NodeName;
   readonly epoch: Version;
 }
 
@@ -59,7 +59,7 @@
 
 /** Asks a standby whether it takes a slice in a planned handover. */
 export interface Prepare {
-  readonly slice: NodeName;
+  readonly shard: NodeName;
   readonly epoch: Version;
   readonly head: number;
   /** Context of the handover's span. */
@@ -128,7 +128,7 @@
       fields: {
         version: { type: 'uint32', id: 1 },
         node: { type: 'string', id: 2 },
-        slice: { type: 'string', id: 3 },
+        shard: { type: 'string', id: 3 },
         epoch: { type: 'double', id: 4 },
         number: { type: 'double', id: 5 },
         head: { type: 'double', id: 6 },
@@ -148,7 +148,7 @@
 interface Fields {
   version: number;
   node: string;
-  slice: string;
+  shard: string;
   epoch: number;
   number: number;
   head: number;
@@ -274,7 +274,7 @@
 }
 
 const epochOf = (f: Fields): Version => whole(f.epoch, 'epoch') as Version;
-const senderOf = (f: Fields): Sender => ({ node: f.node as NodeName, slice: f.slice as NodeName });
+const senderOf = (f: Fields): Sender => ({ node: f.node as NodeName, shard: f.shard as NodeName });
 
 /** About how many bytes an entry takes in a message. */
 export const entrySize = (entry: LogEntry): number =>
@@ -284,7 +284,7 @@
 export const encodeAppend = (m: Append): Uint8Array =>
   encode({
     node: m.node,
-    slice: m.slice,
+    shard: m.shard,
     epoch: m.epoch,
     number: m.first,
     head: m.head,
@@ -309,7 +309,7 @@
 export const encodeSnapshot = (m: Snapshot): Uint8Array =>
   encode({
     node: m.node,
-    slice: m.slice,
+    shard: m.shard,
     epoch: m.epoch,
     number: m.upTo,
     part: m.part,
@@ -343,13 +343,13 @@
 
 /** Writes a probe. */
 export const encodeProbe = (m: Probe): Uint8Array =>
-  encode({ node: m.holder, slice: m.slice, epoch: m.epoch });
+  encode({ node: m.holder, shard: m.shard, epoch: m.epoch });
 
 /** Reads a probe. Throws `MessageError`. */
 export function decodeProbe(bytes: Uint8Array): Probe {
   const f = decode(bytes);
-  const { node, slice } = senderOf(f);
-  return { holder: node, slice, epoch: epochOf(f) };
+  const { node, shard } = senderOf(f);
+  return { holder: node, shard, epoch: epochOf(f) };
 }
 
 /** Writes the answer to a probe. */
@@ -364,12 +364,12 @@
 
 /** Writes the question before a handover. */
 export const encodePrepare = (m: Prepare): Uint8Array =>
-  encode({ slice: m.slice, epoch: m.epoch, head: m.head, text: m.traceParent });
+  encode({ shard: m.shard, epoch: m.epoch, head: m.head, text: m.traceParent });
 
 /** Reads the question before a handover. Throws `MessageError`. */
 export function decodePrepare(bytes: Uint8Array): Prepare {
   const f = decode(bytes);
-  return { slice: f.slice as NodeName, epoch: epochOf(f), head: whole(f.head, 'head'), traceParent: f.text };
+  return { shard: f.shard as NodeName, epoch: epochOf(f), head: whole(f.head, 'head'), traceParent: f.text };
 }
 
 /** Writes the answer to that. */
--- a/packages/warm-standby/src/metrics.ts
+++ b/packages/warm-standby/src/metrics.ts
@@ -68,8 +68,9 @@
       registers: [this.registry],
       collect() {
         this.reset();
-        for (const [slice, { log, followers }] of publisher.slices)
-          for (const f of followers.values()) this.set({ slice, standby: f.node }, log.head - f.acknowledged);
+        for (const [shard, { log, followers }] of publisher.shards)
+          for (const f of followers.values())
+            this.set({ slice: shard, standby: f.node }, log.head - f.acknowledged);
       },
     });
   }
--- a/packages/warm-standby/src/placement.ts
+++ b/packages/warm-standby/src/placement.ts
@@ -18,8 +18,8 @@
 /** Weights are asked for many times a second, and there is one for each pair of controllers. */
 const weights = new Map<string, string>();
 
-function weightOf(slice: NodeName, node: NodeName): string {
-  const pair = `${slice}\n${node}`;
+function weightOf(shard: NodeName, node: NodeName): string {
+  const pair = `${shard}\n${node}`;
   let weight = weights.get(pair);
   if (weight === undefined) {
     weight = createHash('sha256').update(pair).digest('hex');
@@ -33,10 +33,10 @@
  * are domains left no two of them share one.
  */
 export function placeStandbys(input: PlacementInput): NodeName[] {
-  const { slice, holder, candidates, domainOf, degree } = input;
+  const { slice: shard, holder, candidates, domainOf, degree } = input;
   const ranked = candidates
     .filter((node) => node !== holder && domainOf.get(node) !== domainOf.get(holder))
-    .map((node) => ({ node, weight: weightOf(slice, node) }))
+    .map((node) => ({ node, weight: weightOf(shard, node) }))
     .sort((a, b) => (a.weight < b.weight ? 1 : -1))
     .map(({ node }) => node);
   const seen = new Set<string | undefined>();
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -3,7 +3,7 @@
  * is slow or away falls behind; nothing here ever waits for it.
  */
 import type { NodeName, MonotonicMs } from '../../../src/core/types.js';
-import type { Service, SliceFact } from '../../../src/packages/api.js';
+import type { Service, ShardFact } from '../../../src/packages/api.js';
 import { ByteBudget } from './byte-budget.js';
 import type { Cluster } from './cluster.js';
 import { DecisionLog } from './decision-log.js';
@@ -68,7 +68,7 @@
 }
 
 /** One slice's log and who follows it. */
-export interface PublishedSlice {
+export interface PublishedShard {
   readonly log: DecisionLog;
   readonly followers: Map<NodeName, Follower>;
 }
@@ -98,7 +98,7 @@
 
 /** Sends decision logs to standbys. */
 export class Publisher {
-  readonly slices = new Map<NodeName, PublishedSlice>();
+  readonly shards = new Map<NodeName, PublishedShard>();
   /** Bytes of messages sent, and snapshots, since the start. */
   bytesSent = 0;
   snapshotsSent = 0;
@@ -124,19 +124,19 @@
   }
 
   /** A slice that was just taken over: what its former holder had told goes on in the new log. */
-  continueWith(slice: SliceFact, entries: readonly LogEntry[]): void {
-    const { log } = this.publish(slice);
+  continueWith(shard: ShardFact, entries: readonly LogEntry[]): void {
+    const { log } = this.publish(shard);
     for (const entry of entries) log.append(entry);
   }
 
   /** Waits until the standby has all of the slice's log, or the time is over. */
-  async drain(slice: SliceFact, node: NodeName, forMs: number): Promise<boolean> {
+  async drain(shard: ShardFact, node: NodeName, forMs: number): Promise<boolean> {
     const { clock } = this.service;
     const until = clock.now() + forMs;
     for (;;) {
-      const published = this.slices.get(slice.slice);
+      const published = this.shards.get(shard.shard);
       const follower = published?.followers.get(node);
-      if (published?.log.epoch !== slice.epoch || follower === undefined) return false;
+      if (published?.log.epoch !== shard.epoch || follower === undefined) return false;
       if (follower.status === 'following' && follower.acknowledged === published.log.head) return true;
       if (clock.now() >= until) return false;
       this.send(published, follower);
@@ -146,27 +146,27 @@
 
   private step(): void {
     if (!this.service.facts.isReady) return;
-    const held = this.cluster.heldSlices();
-    const names = new Set(held.map((s) => s.slice));
-    for (const slice of this.slices.keys()) if (!names.has(slice)) this.slices.delete(slice);
-    for (const slice of held) this.updateFollowers(this.publish(slice), slice);
+    const held = this.cluster.heldShards();
+    const names = new Set(held.map((s) => s.shard));
+    for (const shard of this.shards.keys()) if (!names.has(shard)) this.shards.delete(shard);
+    for (const shard of held) this.updateFollowers(this.publish(shard), shard);
     this.prune();
   }
 
-  private publish(slice: SliceFact): PublishedSlice {
-    let published = this.slices.get(slice.slice);
-    if (published?.log.epoch !== slice.epoch) {
-      const log = new DecisionLog(slice.slice, slice.epoch, this.options.tail_entries);
+  private publish(shard: ShardFact): PublishedShard {
+    let published = this.shards.get(shard.shard);
+    if (published?.log.epoch !== shard.epoch) {
+      const log = new DecisionLog(shard.shard, shard.epoch, this.options.tail_entries);
       // The record may be written anew while the holder stays: what was learned goes on under the new epoch.
-      for (const entry of published?.log.memory.entries() ?? []) log.append(entry);
+      for (const entry of published?.log.state.entries() ?? []) log.append(entry);
       published = { log, followers: new Map() };
-      this.slices.set(slice.slice, published);
+      this.shards.set(shard.shard, published);
     }
     return published;
   }
 
-  private updateFollowers(published: PublishedSlice, slice: SliceFact): void {
-    const standbys = this.cluster.standbysOf(slice);
+  private updateFollowers(published: PublishedShard, shard: ShardFact): void {
+    const standbys = this.cluster.standbysOf(shard);
     for (const node of published.followers.keys())
       if (!standbys.includes(node)) published.followers.delete(node);
     for (const node of standbys) {
@@ -178,26 +178,26 @@
 
   private record({ subject, entry }: Recorded): void {
     if (subject.kind === 'job') {
-      for (const { log } of this.slices.values()) log.append(entry);
+      for (const { log } of this.shards.values()) log.append(entry);
       return;
     }
     const owner = this.service.facts.machine(subject.machine)?.owner;
-    if (owner !== undefined) this.slices.get(owner)?.log.append(entry);
+    if (owner !== undefined) this.shards.get(owner)?.log.append(entry);
   }
 
   private prune(): void {
     const { facts, clock } = this.service;
     if (clock.now() - this.prunedAt < PRUNE_EVERY_MS) return;
     this.prunedAt = clock.now();
-    for (const [slice, { log }] of this.slices)
-      log.memory.prune({
-        hasMachine: (name) => facts.machine(name)?.owner === slice,
+    for (const [shard, { log }] of this.shards)
+      log.state.prune({
+        hasMachine: (name) => facts.machine(name)?.owner === shard,
         hasJob: (job) => facts.hasJob(job),
       });
   }
 
   /** Sends what the standby lacks, or a heartbeat; one message at a time. */
-  private send(published: PublishedSlice, follower: Follower): void {
+  private send(published: PublishedShard, follower: Follower): void {
     const { clock, log } = this.service;
     if (follower.isBusy || clock.now() < follower.notBefore) return;
     follower.isBusy = true;
@@ -212,7 +212,7 @@
       .finally(() => {
         follower.isBusy = false;
         const isBehind = follower.status === 'following' && follower.acknowledged < published.log.head;
-        const isCurrent = this.slices.get(published.log.slice) === published;
+        const isCurrent = this.shards.get(published.log.shard) === published;
         // The rest at once, as long as the budget lasts; then with the next heartbeat.
         if (isBehind && isCurrent && follower.budget.available(clock.now()) > 0)
           this.send(published, follower);
@@ -229,18 +229,18 @@
     // Without budget only a heartbeat goes: the standby sees by it that it is behind.
     const room = Math.min(MESSAGE_BYTES, follower.budget.available(clock.now()));
     const entries = room > 0 ? firstPart(batch.entries, room) : [];
-    const { slice, epoch, head } = log;
-    const payload = encodeAppend({ node, slice, epoch, first: batch.first, entries, head });
+    const { shard, epoch, head } = log;
+    const payload = encodeAppend({ node, shard, epoch, first: batch.first, entries, head });
     await this.exchange(follower, TOPIC.append, payload);
   }
 
   private async sendSnapshot(log: DecisionLog, follower: Follower): Promise<void> {
     const { node } = this.service;
-    const { slice, epoch, head: upTo } = log;
-    const parts = [...partsOf(log.memory.entries(), MESSAGE_BYTES)];
+    const { shard, epoch, head: upTo } = log;
+    const parts = [...partsOf(log.state.entries(), MESSAGE_BYTES)];
     this.snapshotsSent++;
     for (const [part, entries] of parts.entries()) {
-      const message = { node, slice, epoch, upTo, part, parts: parts.length, entries };
+      const message = { node, shard, epoch, upTo, part, parts: parts.length, entries };
       const answer = await this.exchange(follower, TOPIC.snapshot, encodeSnapshot(message));
       if (answer?.status !== 'applied') return;
     }
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -1,6 +1,6 @@
 /** The standby's side of the messages: follows the logs of slices, answers probes and the question before a handover. */
 import type { NodeName } from '../../../src/core/types.js';
-import type { Service, SliceFact } from '../../../src/packages/api.js';
+import type { Service, ShardFact } from '../../../src/packages/api.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import {
@@ -26,7 +26,7 @@
 const WITNESS_PART = 0.6;
 
 /** Told that a planned handover of a slice was accepted, and where its span belongs. */
-export type PreparedListener = (slice: NodeName, traceParent: string) => void;
+export type PreparedListener = (shard: NodeName, traceParent: string) => void;
 
 /** Serves the topics of the package. */
 export class Receiver {
@@ -54,14 +54,14 @@
   }
 
   /** Whether this controller may claim to be warm for the slice. */
-  isWarm(slice: SliceFact): boolean {
+  isWarm(shard: ShardFact): boolean {
     const { max_lag_entries, max_lag_ms } = this.options.replication;
-    return this.replicas.get(slice.slice)?.isWarm(slice.epoch, max_lag_entries, max_lag_ms) === true;
+    return this.replicas.get(shard.shard)?.isWarm(shard.epoch, max_lag_entries, max_lag_ms) === true;
   }
 
   /** The slice is this controller's now: it has no use for a replica of it. */
-  forget(slice: NodeName): void {
-    this.replicas.delete(slice);
+  forget(shard: NodeName): void {
+    this.replicas.delete(shard);
   }
 
   private follow<M extends Append | Snapshot>(
@@ -83,15 +83,15 @@
     if (!this.cluster.domains.accepts(from)) return this.reject('refused');
     try {
       const message = decode(bytes);
-      if (!this.cluster.isController(message.node) || !this.cluster.isController(message.slice))
+      if (!this.cluster.isController(message.node) || !this.cluster.isController(message.shard))
         return this.reject('refused');
-      const fact = this.service.facts.slice(message.slice);
+      const fact = this.service.facts.shard(message.shard);
       // A view that is behind does not know the sender's epoch yet: it is not the message that is old then.
       if (fact !== null && message.epoch < fact.epoch) return this.reject('stale');
       const status = take(message);
       if (status === 'stale') return this.reject('stale');
       this.monitor.heard(message.node, this.service.clock.now());
-      return { status, applied: this.replicas.get(message.slice)?.applied ?? 0 };
+      return { status, applied: this.replicas.get(message.shard)?.applied ?? 0 };
     } catch (e) {
       if (!(e instanceof MessageError)) throw e;
       this.service.log.info({ from, code: e.code, why: e.message }, 'standby message rejected');
@@ -104,30 +104,30 @@
     return { status, applied: 0 };
   }
 
-  private replicaOf(slice: NodeName): Replica {
-    const replica = this.replicas.get(slice) ?? new Replica(slice);
-    this.replicas.set(slice, replica);
+  private replicaOf(shard: NodeName): Replica {
+    const replica = this.replicas.get(shard) ?? new Replica(shard);
+    this.replicas.set(shard, replica);
     return replica;
   }
 
   private append(message: Append): ReplicaOutcome {
-    return this.replicaOf(message.slice).append(message, this.service.clock.now());
+    return this.replicaOf(message.shard).append(message, this.service.clock.now());
   }
 
   private snapshot(message: Snapshot): ReplicaOutcome {
-    return this.replicaOf(message.slice).snapshot(message, this.service.clock.now());
+    return this.replicaOf(message.shard).snapshot(message, this.service.clock.now());
   }
 
   private async probe(bytes: Uint8Array, from: string): Promise<Uint8Array | null> {
     if (!this.cluster.domains.accepts(from)) return null;
     const { node, channel, facts } = this.service;
-    const { holder, slice, epoch } = decodeProbe(bytes);
+    const { holder, shard, epoch } = decodeProbe(bytes);
     const { probe_ms } = this.options.detection;
     const reaches = holder === node || (await channel.isAnswering(holder, probe_ms * WITNESS_PART));
-    const fact = facts.slice(slice);
+    const fact = facts.shard(shard);
     const competes = fact !== null && fact.epoch === epoch && this.isWarm(fact);
     const isStandby = competes && this.cluster.standbysOf(fact).includes(node);
-    const applied = isStandby ? (this.replicas.get(slice)?.applied ?? null) : null;
+    const applied = isStandby ? (this.replicas.get(shard)?.applied ?? null) : null;
     return encodeProbeAnswer({ reaches, applied });
   }
 
@@ -135,13 +135,13 @@
     if (!this.cluster.domains.accepts(from)) return null;
     const message = decodePrepare(bytes);
     const answer = this.judge(message);
-    if (answer.accepted) this.prepared(message.slice, message.traceParent);
+    if (answer.accepted) this.prepared(message.shard, message.traceParent);
     return encodePrepareAnswer(answer);
   }
 
-  private judge({ slice, epoch, head }: Prepare): PrepareAnswer {
+  private judge({ shard, epoch, head }: Prepare): PrepareAnswer {
     const { facts, node } = this.service;
-    const replica = this.replicas.get(slice);
+    const replica = this.replicas.get(shard);
     if (replica?.epoch !== epoch) return { accepted: false, reason: 'does not follow this slice' };
     if ((replica.applied ?? 0) < head) return { accepted: false, reason: 'is behind' };
     const session = facts.sessions().find((s) => s.node === node);
--- a/packages/warm-standby/src/replica.ts
+++ b/packages/warm-standby/src/replica.ts
@@ -4,7 +4,7 @@
  */
 import type { NodeName, MonotonicMs, Version } from '../../../src/core/types.js';
 import type { LogEntry } from './entries.js';
-import { SliceMemory } from './slice-memory.js';
+import { ReplicatedState } from './slice-memory.js';
 
 /** What became of a message. */
 export type ReplicaOutcome =
@@ -43,7 +43,7 @@
 interface PendingSnapshot {
   readonly upTo: number;
   readonly parts: number;
-  readonly memory: SliceMemory;
+  readonly state: ReplicatedState;
   next: number;
 }
 
@@ -52,13 +52,13 @@
   epoch: Version = 0 as Version;
   /** Number of the last entry applied; null until a snapshot or the beginning of the log was. */
   applied: number | null = null;
-  memory = new SliceMemory();
+  state = new ReplicatedState();
   private head = 0;
   private caughtUpAt: MonotonicMs | null = null;
   private heardAt: MonotonicMs | null = null;
   private pending: PendingSnapshot | null = null;
 
-  constructor(readonly slice: NodeName) {}
+  constructor(readonly shard: NodeName) {}
 
   append(message: AppendMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
@@ -69,7 +69,7 @@
     if (this.applied === null || message.first > this.applied + 1) return 'gap';
     const known = this.applied + 1 - message.first;
     for (const entry of message.entries.slice(known)) {
-      this.memory.apply(entry);
+      this.state.apply(entry);
       this.applied++;
     }
     if (this.applied >= this.head) this.caughtUpAt = now;
@@ -83,16 +83,16 @@
     // A late copy of a snapshot must not take the replica back.
     if (this.applied !== null && message.upTo <= this.applied) return 'applied';
     if (message.part === 0)
-      this.pending = { upTo: message.upTo, parts: message.parts, memory: new SliceMemory(), next: 0 };
+      this.pending = { upTo: message.upTo, parts: message.parts, state: new ReplicatedState(), next: 0 };
     const { pending } = this;
     if (pending?.next !== message.part || pending.upTo !== message.upTo || pending.parts !== message.parts) {
       this.pending = null;
       return 'gap';
     }
-    for (const entry of message.entries) pending.memory.apply(entry);
+    for (const entry of message.entries) pending.state.apply(entry);
     pending.next++;
     if (pending.next < pending.parts) return 'applied';
-    this.memory = pending.memory;
+    this.state = pending.state;
     this.applied = pending.upTo;
     this.pending = null;
     return 'applied';
@@ -113,7 +113,7 @@
   private begin(epoch: Version): void {
     this.epoch = epoch;
     this.applied = null;
-    this.memory = new SliceMemory();
+    this.state = new ReplicatedState();
     this.head = 0;
     this.caughtUpAt = null;
     this.pending = null;
--- a/packages/warm-standby/src/slice-memory.ts
+++ b/packages/warm-standby/src/slice-memory.ts
@@ -24,7 +24,7 @@
 }
 
 /** What one slice's log says up to some entry. */
-export class SliceMemory {
+export class ReplicatedState {
   private readonly workers = new Map<MachineName, AgentEntry>();
   private readonly failing = new Map<JobId, FailingEntry>();
   private readonly left = new Map<string, ExitedEntry>();
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -1,5 +1,5 @@
 /** What `status` shows of the package. */
-import type { Service, SliceFact } from '../../../src/packages/api.js';
+import type { Service, ShardFact } from '../../../src/packages/api.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import type { Publisher } from './publisher.js';
@@ -18,8 +18,8 @@
   readonly history: TakeoverHistory;
 }
 
-function holderPart({ publisher }: StatusSources, fact: SliceFact): object {
-  const published = publisher.slices.get(fact.slice);
+function holderPart({ publisher }: StatusSources, fact: ShardFact): object {
+  const published = publisher.shards.get(fact.shard);
   if (published === undefined) return {};
   const { log, followers } = published;
   return {
@@ -33,12 +33,12 @@
   };
 }
 
-function standbyPart(sources: StatusSources, fact: SliceFact): object {
+function standbyPart(sources: StatusSources, fact: ShardFact): object {
   const { receiver, monitor, takeovers, service } = sources;
-  const replica = receiver.replicas.get(fact.slice);
+  const replica = receiver.replicas.get(fact.shard);
   const now = service.clock.now();
   const lag = replica?.epoch === fact.epoch ? replica.lag() : null;
-  const suspicion = takeovers.suspicions.get(fact.slice);
+  const suspicion = takeovers.suspicions.get(fact.shard);
   return {
     warm: receiver.isWarm(fact),
     applied: replica?.applied ?? null,
@@ -47,7 +47,7 @@
     phi: Number(monitor.phi(fact.holder, now).toFixed(2)),
     suspected: suspicion !== undefined,
     waitsFor: suspicion?.why ?? null,
-    backoffS: Math.ceil(takeovers.backoffOf(fact.slice).leftMs(now) / 1000),
+    backoffS: Math.ceil(takeovers.backoffOf(fact.shard).leftMs(now) / 1000),
   };
 }
 
@@ -56,12 +56,12 @@
   const { service, cluster, receiver, takeovers, history } = sources;
   return {
     failureDomains: Object.fromEntries(cluster.domainOf),
-    slices: service.facts.slices().map((fact) => {
+    slices: service.facts.shards().map((fact) => {
       const standbys = cluster.standbysOf(fact);
       const isHolder = fact.incarnation === service.incarnation;
       const isStandby = standbys.includes(service.node);
       return {
-        slice: fact.slice,
+        slice: fact.shard,
         active: fact.holder,
         epoch: fact.epoch,
         standbys,
@@ -72,7 +72,7 @@
     counts: takeovers.counts,
     rejectedMessages: receiver.rejected,
     takeovers: history.takeovers.map((t) => ({
-      slice: t.slice,
+      slice: t.shard,
       from: t.from,
       cause: t.cause,
       epoch: t.epoch,
--- a/packages/warm-standby/src/takeover-history.ts
+++ b/packages/warm-standby/src/takeover-history.ts
@@ -27,7 +27,7 @@
 
 /** One takeover. */
 export interface Takeover {
-  readonly slice: NodeName;
+  readonly shard: NodeName;
   readonly from: NodeName;
   readonly fromIncarnation: Incarnation;
   /** The session of that life was seen to be gone. */
@@ -90,7 +90,7 @@
   add(takeover: Takeover): void {
     this.takeovers.push(takeover);
     if (this.takeovers.length > KEPT) this.takeovers.shift();
-    this.open.set(takeover, new Set(this.service.facts.machinesOf(takeover.slice).map((m) => m.name)));
+    this.open.set(takeover, new Set(this.service.facts.machinesOf(takeover.shard).map((m) => m.name)));
   }
 
   /** Ends what is complete, was overtaken, or is too old. */
@@ -103,16 +103,16 @@
     }
   }
 
-  private update({ at, slice }: Takeover, missing: Set<MachineName>): void {
+  private update({ at, shard }: Takeover, missing: Set<MachineName>): void {
     const { facts, clock } = this.service;
-    if (at.view === null && facts.isHeldCompletely(slice)) at.view = clock.now();
-    for (const name of missing) if (facts.machine(name)?.owner !== slice) missing.delete(name);
+    if (at.view === null && facts.isHeldCompletely(shard)) at.view = clock.now();
+    for (const name of missing) if (facts.machine(name)?.owner !== shard) missing.delete(name);
     if (at.view !== null && missing.size === 0) at.allReports ??= clock.now();
   }
 
-  private isOver({ at, slice, epoch }: Takeover): boolean {
+  private isOver({ at, shard, epoch }: Takeover): boolean {
     const { facts, clock, incarnation } = this.service;
-    const fact = facts.slice(slice);
+    const fact = facts.shard(shard);
     if (fact?.epoch !== epoch || fact.incarnation !== incarnation) return true;
     if (at.allReports !== null && at.firstStart !== null) return true;
     return clock.now() - at.fenced >= FOLLOWED_MS;
@@ -128,8 +128,8 @@
           : null;
     if (machine === null) return;
     const owner = facts.machine(machine)?.owner;
-    for (const [{ slice, at }, missing] of this.open) {
-      if (slice !== owner) continue;
+    for (const [{ shard, at }, missing] of this.open) {
+      if (shard !== owner) continue;
       // The first event of a machine may come before this package has looked at the view again.
       at.view ??= clock.now();
       if (event.kind === 'heartbeat_recorded') {
--- a/packages/warm-standby/src/takeover.ts
+++ b/packages/warm-standby/src/takeover.ts
@@ -3,7 +3,7 @@
  * other controllers, and takes the slice. Suspicion starts a takeover and proves nothing; the state service decides.
  */
 import type { NodeName, Version } from '../../../src/core/types.js';
-import type { Service, SliceFact } from '../../../src/packages/api.js';
+import type { Service, ShardFact } from '../../../src/packages/api.js';
 import { Backoff } from './backoff.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
@@ -11,7 +11,7 @@
 import type { Options } from './options.js';
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
-import type { SliceMemory } from './slice-memory.js';
+import type { ReplicatedState } from './slice-memory.js';
 import type { Takeover, TakeoverHistory } from './takeover-history.js';
 import { decideTakeover, doubtOf, type Reluctance, type Witness } from './takeover-policy.js';
 
@@ -55,7 +55,7 @@
   readonly suspicions = new Map<NodeName, Suspicion>();
   private readonly backoffs = new Map<NodeName, Backoff>();
   /** The slices as they were when last looked at, to notice that one has come here. */
-  private readonly known = new Map<NodeName, SliceFact>();
+  private readonly known = new Map<NodeName, ShardFact>();
   /** Planned handovers that were accepted, and have not come yet. */
   private readonly prepared = new Map<NodeName, { readonly traceParent: string; readonly until: number }>();
 
@@ -68,8 +68,8 @@
     private readonly history: TakeoverHistory,
     private readonly options: Options,
   ) {
-    service.facts.subscribe(({ slices, sessions }) => {
-      if (slices.size > 0) this.noteSlices();
+    service.facts.subscribe(({ shards, sessions }) => {
+      if (shards.size > 0) this.noteSlices();
       if (sessions.size > 0) this.noteSessions();
     });
   }
@@ -77,7 +77,7 @@
   async run(): Promise<never> {
     for (;;) {
       if (this.service.facts.isReady) {
-        for (const slice of this.service.facts.slices()) this.watch(slice);
+        for (const shard of this.service.facts.shards()) this.watch(shard);
         this.history.step();
       }
       await this.service.clock.sleep(STEP_MS);
@@ -85,54 +85,54 @@
   }
 
   /** A planned handover of the slice to this controller was accepted. */
-  expect(slice: NodeName, traceParent: string): void {
-    this.prepared.set(slice, { traceParent, until: this.service.clock.now() + PREPARED_MS });
+  expect(shard: NodeName, traceParent: string): void {
+    this.prepared.set(shard, { traceParent, until: this.service.clock.now() + PREPARED_MS });
   }
 
-  backoffOf(slice: NodeName): Backoff {
-    const backoff = this.backoffs.get(slice) ?? new Backoff(this.options.takeover, this.service.random);
-    this.backoffs.set(slice, backoff);
+  backoffOf(shard: NodeName): Backoff {
+    const backoff = this.backoffs.get(shard) ?? new Backoff(this.options.takeover, this.service.random);
+    this.backoffs.set(shard, backoff);
     return backoff;
   }
 
-  private watch(slice: SliceFact): void {
+  private watch(shard: ShardFact): void {
     const { clock, node } = this.service;
     const now = clock.now();
-    const isFollowed = this.receiver.replicas.get(slice.slice)?.epoch === slice.epoch;
+    const isFollowed = this.receiver.replicas.get(shard.shard)?.epoch === shard.epoch;
     // A holder without a session has failed, or is back this moment: the leader sees to it.
-    const isSuspect = isFollowed && slice.hasSession && this.monitor.isSuspected(slice.holder, now);
+    const isSuspect = isFollowed && shard.hasSession && this.monitor.isSuspected(shard.holder, now);
     // Standbys are worked out only for a suspect: every slice is looked at many times a second.
-    const rank = isSuspect ? this.cluster.standbysOf(slice).indexOf(node) : NO_STANDBY;
+    const rank = isSuspect ? this.cluster.standbysOf(shard).indexOf(node) : NO_STANDBY;
     if (rank === NO_STANDBY) {
-      this.suspicions.delete(slice.slice);
+      this.suspicions.delete(shard.shard);
       return;
     }
-    let suspicion = this.suspicions.get(slice.slice);
-    if (suspicion?.epoch !== slice.epoch) {
+    let suspicion = this.suspicions.get(shard.shard);
+    if (suspicion?.epoch !== shard.epoch) {
       this.counts.suspicions++;
       suspicion = {
-        epoch: slice.epoch,
+        epoch: shard.epoch,
         since: now,
         confirmedAt: null,
         isProbing: false,
         notBefore: now,
         why: null,
       };
-      this.suspicions.set(slice.slice, suspicion);
+      this.suspicions.set(shard.shard, suspicion);
       this.service.log.info(
-        { slice: slice.slice, holder: slice.holder, phi: this.monitor.phi(slice.holder, now) },
+        { slice: shard.shard, holder: shard.holder, phi: this.monitor.phi(shard.holder, now) },
         'holder suspected',
       );
     }
-    if (!suspicion.isProbing && now >= suspicion.notBefore) this.investigate(slice, suspicion, rank);
+    if (!suspicion.isProbing && now >= suspicion.notBefore) this.investigate(shard, suspicion, rank);
   }
 
-  private investigate(slice: SliceFact, suspicion: Suspicion, rank: number): void {
+  private investigate(shard: ShardFact, suspicion: Suspicion, rank: number): void {
     const { clock, log } = this.service;
     suspicion.isProbing = true;
-    this.tryTakeover(slice, suspicion, rank)
+    this.tryTakeover(shard, suspicion, rank)
       .catch((e: unknown) => {
-        log.error({ err: e, slice: slice.slice }, 'takeover');
+        log.error({ err: e, slice: shard.shard }, 'takeover');
       })
       .finally(() => {
         suspicion.isProbing = false;
@@ -140,54 +140,54 @@
       });
   }
 
-  private async tryTakeover(slice: SliceFact, suspicion: Suspicion, rank: number): Promise<void> {
+  private async tryTakeover(shard: ShardFact, suspicion: Suspicion, rank: number): Promise<void> {
     const { clock, facts, log } = this.service;
-    const { holderAnswers, witnesses } = await this.probe(slice);
+    const { holderAnswers, witnesses } = await this.probe(shard);
     const witnessesNeeded = this.options.detection.witnesses;
     const now = clock.now();
     if (doubtOf({ holderAnswers, witnesses, witnessesNeeded }) === null) suspicion.confirmedAt ??= now;
     else suspicion.confirmedAt = null;
     // It may have been heard while the others were asked.
-    if (!this.monitor.isSuspected(slice.holder, now)) return;
+    if (!this.monitor.isSuspected(shard.holder, now)) return;
     const decision = decideTakeover({
-      isWarm: this.receiver.isWarm(slice),
-      applied: this.receiver.replicas.get(slice.slice)?.applied ?? 0,
+      isWarm: this.receiver.isWarm(shard),
+      applied: this.receiver.replicas.get(shard.shard)?.applied ?? 0,
       holderAnswers,
       witnesses,
       witnessesNeeded,
       rank,
       confirmedForMs: suspicion.confirmedAt === null ? 0 : now - suspicion.confirmedAt,
       rankDelayMs: this.options.takeover.rank_delay_ms,
-      backoffLeftMs: this.backoffOf(slice.slice).leftMs(now),
+      backoffLeftMs: this.backoffOf(shard.shard).leftMs(now),
       isStateReachable: facts.isStateReachable(STATE_FRESH_MS),
     });
     if (decision.kind === 'wait') {
       if (suspicion.why !== decision.why) {
         if (decision.why === 'holder_answers' || decision.why === 'holder_reached_by_another')
           this.counts.refuted++;
-        log.info({ slice: slice.slice, holder: slice.holder, why: decision.why }, 'takeover waits');
+        log.info({ slice: shard.shard, holder: shard.holder, why: decision.why }, 'takeover waits');
       }
       suspicion.why = decision.why;
       return;
     }
-    await this.take(slice);
+    await this.take(shard);
   }
 
-  private async take(slice: SliceFact): Promise<void> {
-    const { clock, log, slices } = this.service;
+  private async take(shard: ShardFact): Promise<void> {
+    const { clock, log, shardControl } = this.service;
     // Counted before the outcome is known: a change without an answer may be applied yet.
-    this.backoffOf(slice.slice).note(clock.now());
-    const outcome = await slices.takeOver(slice);
-    log.info({ slice: slice.slice, from: slice.holder, outcome: outcome.kind }, 'takeover tried');
+    this.backoffOf(shard.shard).note(clock.now());
+    const outcome = await shardControl.takeOver(shard);
+    log.info({ slice: shard.shard, from: shard.holder, outcome: outcome.kind }, 'takeover tried');
   }
 
-  private async probe(slice: SliceFact): Promise<{ holderAnswers: boolean; witnesses: Witness[] }> {
+  private async probe(shard: ShardFact): Promise<{ holderAnswers: boolean; witnesses: Witness[] }> {
     const { channel } = this.service;
     const { probe_ms } = this.options.detection;
-    const payload = encodeProbe({ holder: slice.holder, slice: slice.slice, epoch: slice.epoch });
+    const payload = encodeProbe({ holder: shard.holder, shard: shard.shard, epoch: shard.epoch });
     const [holderAnswers, ...witnesses] = await Promise.all([
-      channel.isAnswering(slice.holder, probe_ms),
-      ...this.cluster.othersThan(slice.holder).map(async (node): Promise<Witness> => {
+      channel.isAnswering(shard.holder, probe_ms),
+      ...this.cluster.othersThan(shard.holder).map(async (node): Promise<Witness> => {
         const reply = await channel.ask(node, TOPIC.probe, payload, probe_ms);
         return { node, ...(readAnswer(decodeProbeAnswer, reply) ?? NO_ANSWER) };
       }),
@@ -198,10 +198,10 @@
   /** Slices that have come to this controller, whoever gave them. */
   private noteSlices(): void {
     const { facts, incarnation, node } = this.service;
-    for (const fact of facts.slices()) {
-      const before = this.known.get(fact.slice);
+    for (const fact of facts.shards()) {
+      const before = this.known.get(fact.shard);
       if (before?.epoch === fact.epoch) continue;
-      this.known.set(fact.slice, fact);
+      this.known.set(fact.shard, fact);
       // What its own former life held has not come from another controller.
       const cameHere = before !== undefined && fact.incarnation === incarnation && before.holder !== node;
       if (cameHere) this.begin(fact, before);
@@ -209,44 +209,44 @@
   }
 
   /** The confirmed suspicion that led to the takeover, if one did. */
-  private suspicionOf(slice: NodeName, before: SliceFact): Suspicion | null {
-    const suspicion = this.suspicions.get(slice);
+  private suspicionOf(shard: NodeName, before: ShardFact): Suspicion | null {
+    const suspicion = this.suspicions.get(shard);
     return suspicion?.epoch === before.epoch && suspicion.confirmedAt !== null ? suspicion : null;
   }
 
   /** This controller has the slice: what the replica knows is learned, and the phases are followed from here. */
-  private begin(fact: SliceFact, before: SliceFact): void {
+  private begin(fact: ShardFact, before: ShardFact): void {
     const { clock, log } = this.service;
-    const { slice } = fact;
-    const replica = this.receiver.replicas.get(slice);
-    const memory = replica?.epoch === before.epoch ? replica.memory : null;
+    const { shard } = fact;
+    const replica = this.receiver.replicas.get(shard);
+    const memory = replica?.epoch === before.epoch ? replica.state : null;
     const takeover = this.describe(fact, before, memory);
     for (const hint of memory?.hints(clock.wallClock()) ?? []) this.service.learn(hint);
     this.publisher.continueWith(fact, memory?.entries() ?? []);
     this.history.add(takeover);
     const { from, cause, wasWarm } = takeover;
     if (cause === 'suspicion') this.counts.taken++;
-    log.info({ slice, from, cause, epoch: fact.epoch, warm: wasWarm }, 'slice came here');
-    this.receiver.forget(slice);
-    this.suspicions.delete(slice);
-    this.prepared.delete(slice);
+    log.info({ slice: shard, from, cause, epoch: fact.epoch, warm: wasWarm }, 'slice came here');
+    this.receiver.forget(shard);
+    this.suspicions.delete(shard);
+    this.prepared.delete(shard);
   }
 
   /** Where the span of the handover belongs that was accepted for the slice, if one was. */
-  private handoverTraceOf(slice: NodeName): string | undefined {
-    const prepared = this.prepared.get(slice);
+  private handoverTraceOf(shard: NodeName): string | undefined {
+    const prepared = this.prepared.get(shard);
     const isDue = prepared !== undefined && this.service.clock.now() < prepared.until;
     return isDue ? prepared.traceParent : undefined;
   }
 
-  private describe(fact: SliceFact, before: SliceFact, memory: SliceMemory | null): Takeover {
+  private describe(fact: ShardFact, before: ShardFact, memory: ReplicatedState | null): Takeover {
     const { clock, facts, tracer } = this.service;
-    const { slice } = fact;
-    const handoverTrace = this.handoverTraceOf(slice);
-    const suspicion = handoverTrace === undefined ? this.suspicionOf(slice, before) : null;
+    const { shard } = fact;
+    const handoverTrace = this.handoverTraceOf(shard);
+    const suspicion = handoverTrace === undefined ? this.suspicionOf(shard, before) : null;
     const cause = handoverTrace !== undefined ? 'handover' : suspicion !== null ? 'suspicion' : 'assigned';
     return {
-      slice,
+      shard,
       from: before.holder,
       fromIncarnation: before.incarnation,
       sessionGone: false,
@@ -255,7 +255,7 @@
       wasWarm: memory !== null && this.receiver.isWarm(before),
       workersKnown: memory?.workerCount ?? 0,
       endedTasks: memory?.endedTasks ?? 0,
-      machines: facts.machinesOf(slice).length,
+      machines: facts.machinesOf(shard).length,
       wall: clock.wallClock(),
       at: {
         lastHeard: suspicion === null ? null : this.monitor.lastHeardAt(before.holder),
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import { key } from '../../../src/core/keys.js';
 import { nodeName, version, type NodeName } from '../../../src/core/types.js';
-import { SliceTransfer } from '../../../src/controller/slice-transfer.js';
-import type { SliceOutcome } from '../../../src/packages/api.js';
+import { ShardTransfer } from '../../../src/controller/slice-transfer.js';
+import type { ShardTransferOutcome } from '../../../src/packages/api.js';
 import { Unavailable } from '../../../src/io/state/client.js';
 import { ViewFacts } from '../../../src/packages/facts.js';
 import { all, begun, leads, wait } from '../../../test/sim/meeting.js';
@@ -14,11 +14,12 @@
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
 import { holderOf, shown, standby } from './standbys.js';
 
-const transferOf = ({ controller }: Node) => new SliceTransfer(controller!.ctx, controller!.membership);
-const factOf = ({ controller }: Node, slice: NodeName) => new ViewFacts(controller!.ctx).slice(slice)!;
+const transferOf = ({ controller }: Node) => new ShardTransfer(controller!.ctx, controller!.membership);
+const factOf = ({ controller }: Node, slice: NodeName) => new ViewFacts(controller!.ctx).shard(slice)!;
 
 /** The outcome of what a controller does, while the run goes on. */
-const outcomeOf = async (sim: Sim, work: () => Promise<SliceOutcome>) => (await answered(sim, work())).kind;
+const outcomeOf = async (sim: Sim, work: () => Promise<ShardTransferOutcome>) =>
+  (await answered(sim, work())).kind;
 
 async function threeNodes() {
   const sim = await begun(3);
@@ -67,7 +68,7 @@
     if (session?.incarnation !== undefined && session.incarnation !== fact.incarnation) break;
     await wait(sim, 10);
   }
-  const sliceRow = sim.state.rows.get(key.slice(slice))!;
+  const sliceRow = sim.state.rows.get(key.shard(slice))!;
   // As if the new life had not come to its slice yet: then only its session stands against the takeover.
   const asSeen = { ...fact, epoch: version(sliceRow.rev) };
   assert.equal(await outcomeOf(sim, () => transferOf(taker).takeOver(asSeen)), 'overtaken');
@@ -91,11 +92,11 @@
   ];
   const sim = await begun(3, undefined, standby({ failure_domains: domains }));
   // One that does not follow the slice: it has no replica whose epoch would tell.
-  const slice = nodeName(leads(sim).name);
-  const receiver = all(sim).find((n) => shown(n).slices.some((s) => s.slice === slice && s.role === 'none'))!;
-  const { epoch } = factOf(receiver, slice);
+  const shard = nodeName(leads(sim).name);
+  const receiver = all(sim).find((n) => shown(n).slices.some((s) => s.slice === shard && s.role === 'none'))!;
+  const { epoch } = factOf(receiver, shard);
   const send = async (from: string, of: typeof epoch) => {
-    const payload = encodeAppend({ node: slice, slice, epoch: of, first: 1, entries: [], head: 0 });
+    const payload = encodeAppend({ node: shard, shard, epoch: of, first: 1, entries: [], head: 0 });
     const reply = await receiver.controller!.channel.answer(TOPIC.append, payload, from);
     return decodeAcknowledgement(reply!).status;
   };
--- a/packages/warm-standby/test/loopback/cluster.ts
+++ b/packages/warm-standby/test/loopback/cluster.ts
@@ -249,7 +249,7 @@
 
   /** Holder of a slice as the state service has it, and its revision. */
   holderOf(slice: string): { holder: string; epoch: number } | null {
-    const row = this.state.rows.get(key.slice(slice));
+    const row = this.state.rows.get(key.shard(slice));
     return row === undefined ? null : { holder: (row.value as { holder: string }).holder, epoch: row.rev };
   }
 
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -25,9 +25,9 @@
 } from '../src/messages.js';
 import { Replica, type AppendMessage } from '../src/replica.js';
 import { OptionsSchema } from '../src/options.js';
-import { SliceMemory } from '../src/slice-memory.js';
+import { ReplicatedState } from '../src/slice-memory.js';
 
-const slice = nodeName('c-0');
+const shard = nodeName('c-0');
 const node = nodeName('c-1');
 const EPOCH = version(7);
 
@@ -75,7 +75,7 @@
 );
 
 const memoryOf = (list: readonly LogEntry[]) => {
-  const memory = new SliceMemory();
+  const memory = new ReplicatedState();
   for (const e of list) memory.apply(e);
   return memory;
 };
@@ -89,7 +89,7 @@
   });
   fc.assert(
     fc.property(fc.array(entries, { maxLength: 40 }), fc.array(step, { maxLength: 40 }), (log, steps) => {
-      const replica = new Replica(slice);
+      const replica = new Replica(shard);
       let next = 1;
       for (const [i, { jump, count, epoch }] of steps.entries()) {
         const first = Math.max(1, next + jump);
@@ -105,7 +105,7 @@
         if (replica.epoch > epoch) assert.equal(outcome, 'stale');
         if (outcome !== 'applied') assert.ok(replica.applied === before || replica.applied === null);
         // Entries of both epochs are the same here, so that each state is that of some beginning of the log.
-        assert.deepEqual(replica.memory.entries(), memoryOf(log.slice(0, replica.applied ?? 0)).entries());
+        assert.deepEqual(replica.state.entries(), memoryOf(log.slice(0, replica.applied ?? 0)).entries());
       }
     }),
     { seed: 5, numRuns: 300 },
@@ -116,10 +116,10 @@
   fc.assert(
     fc.property(fc.array(entries, { maxLength: 20 }), fc.nat(), (drawn, cut) => {
       const list = drawn.map((e) => structuredClone(e));
-      const message: Append = { node, slice, epoch: EPOCH, first: 3, entries: list, head: 30 };
+      const message: Append = { node, shard, epoch: EPOCH, first: 3, entries: list, head: 30 };
       const bytes = encodeAppend(message);
       assert.deepEqual(decodeAppend(bytes), message);
-      const part = { node, slice, epoch: EPOCH, upTo: 9, part: 1, parts: 3, entries: list };
+      const part = { node, shard, epoch: EPOCH, upTo: 9, part: 1, parts: 3, entries: list };
       assert.deepEqual(decodeSnapshot(encodeSnapshot(part)), part);
       const damaged = bytes.slice(0, cut % bytes.length);
       try {
@@ -135,7 +135,7 @@
 });
 
 test('a newer format is refused as such, and numbers that make no sense as malformed', () => {
-  const message: Append = { node, slice, epoch: EPOCH, first: 1, entries: [], head: 0 };
+  const message: Append = { node, shard, epoch: EPOCH, first: 1, entries: [], head: 0 };
   const newer = encodeAppend(message);
   newer[1] = 99;
   assert.throws(
@@ -151,8 +151,8 @@
 });
 
 test('a standby that fell behind the tail gets a snapshot, and then goes on with the tail', () => {
-  const log = new DecisionLog(slice, EPOCH, 10);
-  const replica = new Replica(slice);
+  const log = new DecisionLog(shard, EPOCH, 10);
+  const replica = new Replica(shard);
   for (let i = 0; i < 100; i++)
     log.append({
       kind: 'agent',
@@ -166,14 +166,14 @@
   assert.equal(log.after(0, 100), null, 'the tail does not reach back that far');
   assert.equal(replica.append({ epoch: EPOCH, first: 95, entries: [], head: 100 }, monotonicMs(0)), 'gap');
   assert.equal(replica.isWarm(EPOCH, 1000, 1000), false);
-  const all = log.memory.entries();
+  const all = log.state.entries();
   const parts = [all.slice(0, 12), all.slice(12)];
   parts.forEach((part, i) => {
     const message = { epoch: EPOCH, upTo: log.head, part: i, parts: 2, entries: part };
     assert.equal(replica.snapshot(message, monotonicMs(1)), 'applied');
   });
   assert.equal(replica.applied, 100);
-  assert.deepEqual(replica.memory.entries(), log.memory.entries());
+  assert.deepEqual(replica.state.entries(), log.state.entries());
   const next = log.after(100, 5)!;
   assert.equal(replica.append({ epoch: EPOCH, ...next, head: log.head }, monotonicMs(2)), 'applied');
   assert.equal(replica.isWarm(EPOCH, 1000, 1000), true);
@@ -181,7 +181,7 @@
 });
 
 test('the parts of two snapshots are never put together, and an old one takes nothing back', () => {
-  const replica = new Replica(slice);
+  const replica = new Replica(shard);
   const part = (upTo: number, n: number) => ({ epoch: EPOCH, upTo, part: n, parts: 2, entries: [] });
   assert.equal(replica.snapshot(part(5, 0), monotonicMs(0)), 'applied');
   assert.equal(replica.snapshot(part(6, 1), monotonicMs(0)), 'gap');
@@ -195,7 +195,7 @@
 });
 
 test('lag is told in entries and in time, and beyond its bounds a standby is not warm', () => {
-  const replica = new Replica(slice);
+  const replica = new Replica(shard);
   const start: LogEntry = {
     kind: 'start',
     task: { job: jobId('wk-1'), index: 0, attempt: attempt(1), machine: machineName('n-1') },
@@ -210,7 +210,7 @@
 });
 
 test('what is gone is pruned, an unchanged worker is no entry, and memory is bounded', () => {
-  const log = new DecisionLog(slice, EPOCH, 50);
+  const log = new DecisionLog(shard, EPOCH, 50);
   const heard = (machine: string, at: number): LogEntry => ({
     kind: 'agent',
     machine: machineName(machine),
@@ -231,9 +231,9 @@
       task: { job: jobId('wk-1'), index: i, attempt: attempt(1), machine: machineName('n-1') },
       why: 'done',
     });
-  assert.ok(log.memory.entries().length <= 2001);
-  log.memory.prune({ hasMachine: () => false, hasJob: () => false });
-  assert.deepEqual(log.memory.entries(), []);
+  assert.ok(log.state.entries().length <= 2001);
+  log.state.prune({ hasMachine: () => false, hasJob: () => false });
+  assert.deepEqual(log.state.entries(), []);
   assert.ok(entrySize(heard('n-1', 0)) < 80, 'a worker takes little of a message');
 });
 
@@ -242,7 +242,7 @@
   const slices = 3;
   const { bytes_per_s: budget } = OptionsSchema.properties.replication.properties;
   const mostBytes = Number(budget.default);
-  const log = new DecisionLog(slice, EPOCH, 4000);
+  const log = new DecisionLog(shard, EPOCH, 4000);
   const report = (i: number, at: number) => {
     log.append({
       kind: 'agent',
@@ -256,7 +256,7 @@
   };
   // Each reports every 2 s for a minute.
   for (let at = 0; at < 60_000; at += 2000) for (let i = 0; i < machines / slices; i++) report(i, at);
-  const all = log.memory.entries();
+  const all = log.state.entries();
   const bytesEach = all.reduce((n, e) => n + entrySize(e), 0) / all.length;
   const perSecond = (log.head * bytesEach) / 60;
   assert.ok(perSecond < mostBytes / 2, `${Math.round(perSecond)} bytes a second`);
--- a/packages/warm-standby/test/standbys.ts
+++ b/packages/warm-standby/test/standbys.ts
@@ -65,7 +65,7 @@
 
 /** The controller that holds a slice now, as the state service has it. */
 export const holderOf = (sim: Sim, slice: string) =>
-  (sim.state.rows.get(key.slice(slice))?.value as { holder: string } | undefined)?.holder;
+  (sim.state.rows.get(key.shard(slice))?.value as { holder: string } | undefined)?.holder;
 
 /** The slice's first standby, as its holder sees it. */
 export function standbyOf(sim: Sim, slice: string): Node {
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -252,10 +252,10 @@
 play('what was logged and never committed is not carried out after a takeover', async (sim) => {
   const [node] = owners(sim);
   const taker = standbyOf(sim, node!.name);
-  const slice = nodeName(node!.name);
-  const { epoch } = new ViewFacts(taker.controller!.ctx).slice(slice)!;
+  const shard = nodeName(node!.name);
+  const { epoch } = new ViewFacts(taker.controller!.ctx).shard(shard)!;
   const machine = [...sim.fleet.machines.keys()].map(machineName);
-  const { applied } = shown(taker).slices.find((s) => s.slice === slice)!;
+  const { applied } = shown(taker).slices.find((s) => s.slice === shard)!;
   const task = (index: number) => ({
     job: jobId('wk-never-submitted'),
     index,
@@ -268,18 +268,18 @@
   ]);
   node!.crash();
   const payload = encodeAppend({
-    node: slice,
-    slice,
+    node: shard,
+    shard,
     epoch,
     first: applied! + 1,
     entries,
     head: applied! + 20,
   });
   await taker.controller!.channel.answer(TOPIC.append, payload, '10.0.0.1');
-  await untilTaken(sim, slice, slice, 4000);
+  await untilTaken(sim, shard, shard, 4000);
   // The stand-ins for the workers fail the run where a job is started that nobody submitted.
   await wait(sim, LEASE_MS);
-  assert.ok(shown(taker).takeovers.some((t) => t.slice === slice && t.uncommittedEnds >= 10));
+  assert.ok(shown(taker).takeovers.some((t) => t.slice === shard && t.uncommittedEnds >= 10));
   node!.start();
 });
 
--- a/src/controller/availability.ts
+++ b/src/controller/availability.ts
@@ -19,7 +19,7 @@
   isolated = false;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly membership: Membership,
     private readonly peers: ReadonlyMap<string, Peer>,
   ) {}
@@ -27,7 +27,7 @@
   /** A peer has no contact to the state service either, and none was heard to have any. */
   private get outage(): boolean {
     if (this.peers.size === 0) return true;
-    return !this.heard.contact && this.ctx.clock.now() - this.heard.at < KNOWN_MS;
+    return !this.heard.contact && this.context.clock.now() - this.heard.at < KNOWN_MS;
   }
 
   /**
@@ -44,23 +44,23 @@
    * still be told, and to be skipped for a time would only lengthen the outage for the users.
    */
   get healthy(): boolean {
-    const { ctx } = this;
-    if (!ctx.follower.ready || ctx.view.types === null) return false;
-    return ctx.state.reachable(3000) || this.outage;
+    const { context } = this;
+    if (!context.follower.ready || context.view.types === null) return false;
+    return context.state.reachable(3000) || this.outage;
   }
 
   async run(): Promise<never> {
-    const { ctx } = this;
+    const { context } = this;
     for (;;) {
-      await ctx.clock.sleep(ASK_MS);
-      if (ctx.state.reachable(1500)) {
+      await context.clock.sleep(ASK_MS);
+      if (context.state.reachable(1500)) {
         this.isolated = false;
         continue;
       }
       const answers = await Promise.all([...this.peers.values()].map((p) => p.contact(ANSWER_MS)));
       const contact = answers.includes(true);
       this.isolated = !contact && !answers.includes(false);
-      if (!this.isolated) this.heard = { contact, at: ctx.clock.now() };
+      if (!this.isolated) this.heard = { contact, at: context.clock.now() };
     }
   }
 }
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -130,31 +130,31 @@
   }
 
   /** Whether this process holds the slice that a machine or a team belongs to, and may act for it. */
-  isMine(r: { owner: string }): boolean {
+  isOwned(r: { owner: string }): boolean {
     return this.view.isHeldBy(r.owner, this.incarnation);
   }
 
   /** Whether it has got the slice, and does not know yet what was committed before. */
-  isBecomingMine(r: { owner: string }): boolean {
-    return this.view.slices.get(r.owner)?.incarnation === this.incarnation && !this.isMine(r);
+  isBecomingOwned(r: { owner: string }): boolean {
+    return this.view.shards.get(r.owner)?.incarnation === this.incarnation && !this.isOwned(r);
   }
 
   /** The controller that holds the slice, if it has a session. */
   holderOf(r: { owner: string } | undefined): NodeName | null {
-    const slice = r === undefined ? undefined : this.view.slices.get(r.owner);
-    if (slice === undefined) return null;
-    return this.view.sessions.get(slice.holder)?.incarnation === slice.incarnation ? slice.holder : null;
+    const shard = r === undefined ? undefined : this.view.shards.get(r.owner);
+    if (shard === undefined) return null;
+    return this.view.sessions.get(shard.holder)?.incarnation === shard.incarnation ? shard.holder : null;
   }
 
   ownsTeam(team: TeamName): boolean {
     const r = this.view.teams.get(team);
-    return r !== undefined && this.isMine(r);
+    return r !== undefined && this.isOwned(r);
   }
 
   /** The controller that answers the machine in its owner's place, if one does. */
-  substituteOf(m: MachineRecord): string | null {
-    const holder = this.view.slices.get(m.owner)?.holder;
-    for (const { node, machines } of this.view.substitutes.values())
+  proxyOf(m: MachineRecord): string | null {
+    const holder = this.view.shards.get(m.owner)?.holder;
+    for (const { node, machines } of this.view.proxiedMachines.values())
       if (node !== holder && machines.has(m.name)) return node;
     return null;
   }
@@ -177,7 +177,7 @@
    * for long, since spot machines may be refused.
    */
   yielding(): (job: JobRecord) => boolean {
-    const ledger = this.allocations();
+    const totals = this.allocations();
     const wanted = this.dependencies
       .all()
       .startable.some(
@@ -186,7 +186,7 @@
           !spec.spot &&
           phase === 'active' &&
           failing === undefined &&
-          !ledger.jobs.has(spec.id),
+          !totals.jobs.has(spec.id),
       );
     const since = this.clock.wallClock() - this.operator.placement.yield_s * 1000;
     return ({ spec, submitted }) => wanted && spec.spot && spec.kind !== 'gang' && submitted > since;
@@ -211,8 +211,8 @@
     return Math.min(MOST_IMAGES_BYTES, Math.floor(this.state.settings.valueBytes / 8));
   }
 
-  myMachines(): MachineRecord[] {
-    return [...this.view.machines.values()].filter((m) => this.isMine(m));
+  ownedMachines(): MachineRecord[] {
+    return [...this.view.machines.values()].filter((m) => this.isOwned(m));
   }
 
   guard(key: string): Guard {
@@ -221,7 +221,7 @@
 
   /** They fail once this process no longer owns the team. */
   teamGuards(team: TeamName): Guard[] {
-    return [this.guard(key.team(team)), this.guard(key.slice(this.view.teams.get(team)!.owner))];
+    return [this.guard(key.team(team)), this.guard(key.shard(this.view.teams.get(team)!.owner))];
   }
 
   /** The job's record as it is written, within the limit for a value where that is possible. */
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -17,11 +17,11 @@
 import { Jobs } from './jobs.js';
 import { Leader } from './leader/leader.js';
 import { Membership } from './membership.js';
-import { Owner } from './owner/owner.js';
+import { ShardController } from './owner/owner.js';
 import { HeartbeatRouter } from './report-router.js';
 import { Availability } from './availability.js';
 import { status } from './status.js';
-import { SliceTransfer } from './slice-transfer.js';
+import { ShardTransfer } from './slice-transfer.js';
 import type { LoadedPackage, Service } from '../packages/api.js';
 import { TopicChannel } from '../packages/channel.js';
 import { ViewFacts } from '../packages/facts.js';
@@ -47,7 +47,7 @@
 export class Controller {
   readonly ctx: Context;
   readonly membership: Membership;
-  readonly owner: Owner;
+  readonly shardController: ShardController;
   readonly leader: Leader;
   readonly jobs: Jobs;
   readonly heartbeats: HeartbeatRouter;
@@ -64,7 +64,7 @@
     outside: Outside,
     packages: readonly LoadedPackage[] = [],
   ) {
-    const ctx = new Context(
+    const context = new Context(
       settings,
       operator,
       log,
@@ -73,20 +73,20 @@
       outside.state,
       outside.watch,
     );
-    const health = new Health(ctx, outside.random);
-    this.ctx = ctx;
-    this.membership = new Membership(ctx);
-    this.availability = new Availability(ctx, this.membership, outside.peers);
-    this.owner = new Owner(ctx, outside.agents, health);
+    const health = new Health(context, outside.random);
+    this.ctx = context;
+    this.membership = new Membership(context);
+    this.availability = new Availability(context, this.membership, outside.peers);
+    this.shardController = new ShardController(context, outside.agents, health);
     this.leader = new Leader(
-      ctx,
+      context,
       this.membership,
       new CloudClient(outside.cloud, settings.cloudLimits.rps, outside.clock),
     );
-    this.jobs = new Jobs(ctx, this.owner, outside.peers);
+    this.jobs = new Jobs(context, this.shardController, outside.peers);
     this.heartbeats = new HeartbeatRouter(
-      ctx,
-      this.owner,
+      context,
+      this.shardController,
       this.leader,
       health,
       this.membership,
@@ -96,20 +96,20 @@
     const tracer = new TracerSwitch();
     const service = (packageLog: Logger): Service => ({
       node: settings.node,
-      incarnation: ctx.incarnation,
+      incarnation: context.incarnation,
       settings,
       peers: settings.peers,
-      clock: ctx.clock,
+      clock: context.clock,
       random: outside.random,
       log: packageLog,
-      facts: new ViewFacts(ctx),
-      slices: new SliceTransfer(ctx, this.membership),
+      facts: new ViewFacts(context),
+      shardControl: new ShardTransfer(context, this.membership),
       channel: this.channel,
       learn: (hint) => {
         health.learn(hint);
       },
       onEvent: (listener) => {
-        ctx.events.subscribe(listener);
+        context.events.subscribe(listener);
       },
       tracer,
       provideTracer: (target) => {
@@ -131,7 +131,7 @@
     await Promise.all([
       this.ctx.follower.run(),
       this.membership.run(),
-      this.owner.run(),
+      this.shardController.run(),
       this.leader.run(),
       this.heartbeats.run(),
       this.availability.run(),
@@ -184,7 +184,7 @@
     heartbeats: controller.heartbeats,
     healthy: () => controller.availability.healthy,
     status: () => ({
-      ...status(controller.ctx, controller.owner, controller.availability.healthy),
+      ...status(controller.ctx, controller.shardController, controller.availability.healthy),
       ...(controller.packages === null ? {} : { packages: controller.packages.status() }),
     }),
     maxConnections: Math.floor(sockets * 0.85),
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -28,33 +28,33 @@
   private reading = false;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly finalStates: FinalStates,
   ) {
     // Not waited for until somebody plans: what follows from an end is wanted at once.
-    ctx.listeners.push(({ jobs }) => {
-      if ([...jobs].some((id) => !ctx.view.jobs.has(id))) this.all();
+    context.listeners.push(({ jobs }) => {
+      if ([...jobs].some((id) => !context.view.jobs.has(id))) this.all();
     });
   }
 
   private get input() {
-    const { ctx } = this;
-    const ledger = ctx.allocations();
+    const { context } = this;
+    const totals = context.allocations();
     return {
-      jobs: ctx.view.jobs,
+      jobs: context.view.jobs,
       final: (id: JobId) => this.finalStates.cached(id),
-      started: (j: JobRecord) => ledger.jobs.has(j.spec.id),
+      started: (j: JobRecord) => totals.jobs.has(j.spec.id),
       runMs: (j: JobRecord) => {
         let fetchS = 0;
-        for (const t of ctx.types.values()) fetchS = Math.max(fetchS, j.spec.imageGb / t.fetchGbPerS);
-        return (j.spec.estimateS + fetchS + ctx.settings.workers.report_s) * 1000;
+        for (const t of context.types.values()) fetchS = Math.max(fetchS, j.spec.imageGb / t.fetchGbPerS);
+        return (j.spec.estimateS + fetchS + context.settings.workers.report_s) * 1000;
       },
     };
   }
 
   /** What the view and the final states read so far say. */
   all(): Dependencies {
-    const { jobChanges } = this.ctx.view;
+    const { jobChanges } = this.context.view;
     if (this.now === null || this.at !== jobChanges) {
       this.at = jobChanges;
       this.now = judgeDependencies(this.input);
@@ -72,14 +72,14 @@
       const open = d?.kind === 'blocked' || d?.kind === 'unknown' ? this.unread(job) : [];
       if (open.length === 0) return d;
       for (const id of open.slice(0, READS_AT_ONCE))
-        if ((await this.finalStates.read(id, this.ctx.view.rev)) === undefined)
+        if ((await this.finalStates.read(id, this.context.view.rev)) === undefined)
           throw new Unavailable(`${id} is neither open nor over`);
       this.now = null;
     }
   }
 
   private unread(job: JobRecord): JobId[] {
-    const { jobs } = this.ctx.view;
+    const { jobs } = this.context.view;
     const out = new Set<JobId>();
     for (const j of chainOf(job, jobs))
       for (const id of needsOf(j))
@@ -97,22 +97,22 @@
 
   /** Level-triggered: as long as something is unread, it is read, in bounded numbers. */
   private async readAll(): Promise<void> {
-    const { ctx } = this;
+    const { context } = this;
     for (;;) {
       const unread = new Map<JobId, JobId>();
       for (const [id, d] of this.all().of) for (const need of unreadOf(d)) unread.set(need, id);
       if (unread.size === 0) return;
       const some = [...unread].slice(0, READS_AT_ONCE);
       const read = await Promise.all(
-        some.map(([need]) => this.finalStates.read(need, ctx.view.rev).catch(() => undefined)),
+        some.map(([need]) => this.finalStates.read(need, context.view.rev).catch(() => undefined)),
       );
       const changed = some.filter((_, i) => read[i] !== undefined);
       if (changed.length > 0) {
         this.now = null;
         // As if the records of those that wait had changed: their owners and the leader look again.
-        ctx.notify(jobChanges(new Set(changed.map(([, job]) => job))));
+        context.notify(jobChanges(new Set(changed.map(([, job]) => job))));
       }
-      if (changed.length < some.length) await ctx.clock.sleep(AGAIN_MS);
+      if (changed.length < some.length) await context.clock.sleep(AGAIN_MS);
     }
   }
 }
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -39,16 +39,16 @@
   private readonly runningAt = new Map<MachineName, Map<string, MonotonicMs>>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     random: () => number,
   ) {
-    const { slow_factor, slow_runs } = ctx.operator.fleet;
+    const { slow_factor, slow_runs } = context.operator.fleet;
     this.slowness = new Slowness({ factor: slow_factor, runs: slow_runs, samples: 12 });
     this.failures = new Failures(random);
-    ctx.listeners.push(({ machines, jobs }) => {
-      for (const id of jobs) if (!ctx.view.jobs.has(id)) this.failures.forgetJob(id);
+    context.listeners.push(({ machines, jobs }) => {
+      for (const id of jobs) if (!context.view.jobs.has(id)) this.failures.forgetJob(id);
       for (const name of machines) {
-        if (ctx.view.machines.has(name)) continue;
+        if (context.view.machines.has(name)) continue;
         this.slowness.gone(name);
         this.runningAt.delete(name);
         this.failures.forgetMachine(name);
@@ -59,14 +59,14 @@
   }
 
   private observeRunningTasks(r: Heartbeat): void {
-    const t = this.ctx.clock.now();
+    const t = this.context.clock.now();
     const before = this.runningAt.get(r.machine);
     const now = new Map<string, MonotonicMs>();
     for (const task of r.tasks) {
       const k = taskKey(task.job, task.index, task.attempt);
       const since = before?.get(k);
       if (task.state === 'running') now.set(k, since ?? t);
-      const spec = this.ctx.view.jobs.get(task.job)?.spec;
+      const spec = this.context.view.jobs.get(task.job)?.spec;
       // A late report of a job that is over teaches nothing: nobody would forget it again.
       if (spec !== undefined && task.state === 'running' && since !== undefined && t - since >= RUNS_WELL_MS)
         this.failures.ranLong(task.job);
@@ -83,14 +83,14 @@
   }
 
   private ran(machine: MachineName, run: Run): void {
-    const { events } = this.ctx;
+    const { events } = this.context;
     this.slowness.ran(machine, run);
     if (events.isActive) events.emit({ kind: 'task_ran', machine, run });
   }
 
   /** Takes in what another controller has learned; nothing that is known here is replaced by anything older. */
   learn(hint: Hint): void {
-    const { view, types, clock } = this.ctx;
+    const { view, types, clock } = this.context;
     switch (hint.kind) {
       case 'agent': {
         const machine = view.machines.get(hint.machine);
@@ -128,7 +128,7 @@
     if (known !== undefined && isNewer(known, r)) return false;
     this.lastHeartbeats.delete(r.machine);
     this.lastHeartbeats.set(r.machine, r);
-    dropOldest(this.lastHeartbeats, Math.max(REPORTS_KEPT, 2 * this.ctx.view.machines.size));
+    dropOldest(this.lastHeartbeats, Math.max(REPORTS_KEPT, 2 * this.context.view.machines.size));
     return true;
   }
 
@@ -138,7 +138,7 @@
     this.observeRunningTasks(r);
     for (const t of r.tasks) {
       if (t.state === 'fetching' || (t.state === 'exited' && t.exitReason !== 'done')) continue;
-      const spec = this.ctx.view.jobs.get(t.job)?.spec;
+      const spec = this.context.view.jobs.get(t.job)?.spec;
       if (spec === undefined) continue;
       let set = this.images.get(r.machine);
       if (set === undefined) this.images.set(r.machine, (set = new Set()));
@@ -168,8 +168,8 @@
       set.add(image);
     }
     const out: string[] = [];
-    let gb = this.ctx.types.get(m.type)?.cacheGb ?? 0;
-    let room = this.ctx.imagesBytes - 12;
+    let gb = this.context.types.get(m.type)?.cacheGb ?? 0;
+    let room = this.context.imagesBytes - 12;
     for (const image of [...set].reverse()) {
       gb -= this.imageGb.get(image) ?? 0;
       room -= jsonBytes(image) + 1;
@@ -182,7 +182,7 @@
   /** A task left a machine; some reasons say something about one or the other. */
   exit(m: MachineRecord, placed: Allocation, why: ExitReason | null): void {
     const { job } = placed;
-    if (!this.ctx.view.jobs.has(job)) {
+    if (!this.context.view.jobs.has(job)) {
       if (why === 'done') this.failures.forgetMachine(m.name);
       return;
     }
@@ -190,23 +190,23 @@
     if (why === 'full' || why === 'in_use') this.pause(job, m.name, PAUSE_AFTER_REFUSAL_MS);
     if (why === 'error') this.pause(job, m.name, PAUSE_AFTER_ERROR_MS);
     if (why !== 'error' && why !== 'unknown') return;
-    const known = this.ctx.view.jobs.get(job)?.failing;
-    this.failures.failed(job, m.name, why, this.ctx.clock.now(), known?.rounds);
+    const known = this.context.view.jobs.get(job)?.failing;
+    this.failures.failed(job, m.name, why, this.context.clock.now(), known?.rounds);
     const failures = this.failures.failuresOf(job);
-    const { events } = this.ctx;
+    const { events } = this.context;
     if (events.isActive && failures !== null) events.emit({ kind: 'job_failing', job, failures });
   }
 
   private pause(job: JobId, machine: MachineName, ms: number): void {
     const key = `${job} ${machine}`;
     this.pauses.delete(key);
-    this.pauses.set(key, (this.ctx.clock.now() + ms) as MonotonicMs);
-    dropOldest(this.pauses, Math.max(PAUSES_KEPT, 2 * this.ctx.view.machines.size));
+    this.pauses.set(key, (this.context.clock.now() + ms) as MonotonicMs);
+    dropOldest(this.pauses, Math.max(PAUSES_KEPT, 2 * this.context.view.machines.size));
   }
 
   avoids(job: JobId, machine: MachineName): boolean {
     const until = this.pauses.get(`${job} ${machine}`);
-    return until !== undefined && until > this.ctx.clock.now();
+    return until !== undefined && until > this.context.clock.now();
   }
 
   /** Whether the job fails wherever it runs, as far as this controller or an earlier owner of its team has seen. */
@@ -216,7 +216,7 @@
 
   /** Whether it fails everywhere and is not to be tried yet. */
   backedOff(job: JobRecord): boolean {
-    const { clock } = this.ctx;
+    const { clock } = this.context;
     if ((job.failing?.until ?? 0) > clock.wallClock()) return true;
     return (this.failures.failuresOf(job.spec.id)?.until ?? 0) > clock.now();
   }
--- a/src/controller/jobs.ts
+++ b/src/controller/jobs.ts
@@ -17,7 +17,7 @@
 import type { Peer } from '../io/peers.js';
 import type { Op } from '../io/wire.js';
 import type { Context } from './context.js';
-import type { Owner } from './owner/owner.js';
+import type { ShardController } from './owner/owner.js';
 
 /** What became of a submission. */
 export type Submitted =
@@ -48,18 +48,19 @@
   private readonly submissions: GroupCommit;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly owner: Owner,
+    private readonly context: Context,
+    private readonly owner: ShardController,
     private readonly peers: ReadonlyMap<string, Peer>,
   ) {
-    this.submissions = new GroupCommit(ctx.state);
-    ctx.listeners.push(({ jobs }) => {
-      for (const id of jobs) if (!ctx.view.jobs.has(id)) for (const go of this.waiting.get(id) ?? []) go();
+    this.submissions = new GroupCommit(context.state);
+    context.listeners.push(({ jobs }) => {
+      for (const id of jobs)
+        if (!context.view.jobs.has(id)) for (const go of this.waiting.get(id) ?? []) go();
     });
   }
 
   private statusOf(job: JobRecord): JobStatus {
-    const running = this.ctx.allocations().jobs.get(job.spec.id)?.tasks.size ?? 0;
+    const running = this.context.allocations().jobs.get(job.spec.id)?.tasks.size ?? 0;
     return { state: running > 0 ? 'running' : 'pending', done: job.done.count, running };
   }
 
@@ -69,12 +70,13 @@
   }
 
   async submit(spec: JobSpec): Promise<Submitted> {
-    const { ctx } = this;
-    const { view } = ctx;
-    if (!ctx.follower.ready || view.types === null || !ctx.state.reachable(1500)) return { kind: 'later' };
-    const verdict = judge(spec, ctx.teams, view.types);
+    const { context } = this;
+    const { view } = context;
+    if (!context.follower.ready || view.types === null || !context.state.reachable(1500))
+      return { kind: 'later' };
+    const verdict = judge(spec, context.teams, view.types);
     if (verdict !== 'ok') return this.knownOrImpossible(spec.id, verdict);
-    if (view.jobs.has(spec.id) || this.ctx.finalStates.cached(spec.id) !== undefined) {
+    if (view.jobs.has(spec.id) || this.context.finalStates.cached(spec.id) !== undefined) {
       const known = await this.find(spec.id);
       if (known !== undefined) return { kind: 'known', state: known.state };
     }
@@ -85,7 +87,7 @@
       const over: FinalRecord = {
         state: 'cancelled',
         done: 0,
-        at: ctx.clock.wallClock(),
+        at: context.clock.wallClock(),
         because: needs.because,
       };
       return this.accept(spec, { key: key.final(spec.id), value: over, reason: 'submission' }, 'cancelled');
@@ -95,25 +97,25 @@
       spec: needs.left.length === 0 ? rest : { ...rest, needs: needs.left },
       phase: 'active',
       done: NONE_DONE,
-      submitted: ctx.clock.wallClock(),
+      submitted: context.clock.wallClock(),
     };
     // One that does not fit is refused with its status: its change would be refused for ever.
-    const stored = toStoredJob(record, ctx.state.settings.valueBytes);
+    const stored = toStoredJob(record, context.state.settings.valueBytes);
     if (stored === null) return this.knownOrImpossible(spec.id, 'too_large');
     return this.accept(spec, { key: key.job(spec.id), value: stored, reason: 'submission' }, 'pending');
   }
 
   /** Commits an accepted job, in whatever state it is from the first moment. */
   private async accept(spec: JobSpec, op: Op, state: JobState): Promise<Submitted> {
-    const { ctx } = this;
+    const { context } = this;
     const { id, team, kind, tasks } = spec;
-    const since = ctx.clock.now();
+    const since = context.clock.now();
     const guards = [key.job(id), key.final(id)].map((k) => ({ key: k, version: NO_VERSION }));
     const result = await this.submissions.commit(id, { guards, ops: [op] });
     if (result.kind === 'ok') {
-      ctx.follower.applied([op], result.rev);
-      ctx.log.info({ job: id, team, kind, tasks, class: spec.class }, 'accepted');
-      if (ctx.events.isActive) ctx.events.emit({ kind: 'job_accepted', job: id, team, since });
+      context.follower.applied([op], result.rev);
+      context.log.info({ job: id, team, kind, tasks, class: spec.class }, 'accepted');
+      if (context.events.isActive) context.events.emit({ kind: 'job_accepted', job: id, team, since });
       return { kind: 'accepted', state };
     }
     if (result.kind === 'conflict') {
@@ -135,15 +137,15 @@
    * Throws `Unavailable` where that cannot be known now.
    */
   private async judgeNeeds({ id: of, needs: named = [] }: JobSpec): Promise<JudgedNeeds> {
-    const { ctx } = this;
+    const { context } = this;
     const left: JobId[] = [];
     let because: JobId | null = null;
     if (named.includes(of)) return { kind: 'impossible' };
-    if (named.some((id) => ctx.finalStates.cached(id) === undefined)) await ctx.follower.fresh();
+    if (named.some((id) => context.finalStates.cached(id) === undefined)) await context.follower.fresh();
     for (const id of named) {
-      const job = ctx.view.jobs.get(id);
+      const job = context.view.jobs.get(id);
       if (job === undefined) {
-        const final = await ctx.finalStates.read(id, ctx.view.rev);
+        const final = await context.finalStates.read(id, context.view.rev);
         if (final === undefined) return { kind: 'impossible' };
         if (final.state === 'cancelled') because ??= final.because ?? id;
         continue;
@@ -151,7 +153,7 @@
       // A service runs until it is cancelled: what waits for its end could never run.
       if (job.spec.kind === 'service') return { kind: 'impossible' };
       left.push(id);
-      const dependency = await ctx.dependencies.decide(job);
+      const dependency = await context.dependencies.decide(job);
       if (dependency?.kind === 'withdrawn') because ??= dependency.because;
     }
     return because === null ? { kind: 'open', left } : { kind: 'withdrawn', because };
@@ -162,15 +164,15 @@
    * Throws `Unavailable` where that cannot be known now.
    */
   async find(id: JobId): Promise<JobStatus | undefined> {
-    const { ctx } = this;
-    const cached = this.ctx.finalStates.cached(id);
+    const { context } = this;
+    const cached = this.context.finalStates.cached(id);
     if (cached !== undefined) return this.finalStatus(cached);
     // Without the state service nothing but final states can be told: said at once, not after a wait.
-    if (!ctx.follower.ready || !ctx.state.reachable(1500)) throw new Unavailable('not ready');
-    await ctx.follower.fresh();
-    const job = ctx.view.jobs.get(id);
+    if (!context.follower.ready || !context.state.reachable(1500)) throw new Unavailable('not ready');
+    await context.follower.fresh();
+    const job = context.view.jobs.get(id);
     if (job !== undefined) {
-      const d = await ctx.dependencies.decide(job);
+      const d = await context.dependencies.decide(job);
       // Its record may stand for a while yet, but it can never start: no user has to wait for the change to be written,
       // nor for an outage to end. A cancellation is for ever, so every controller comes to this answer from now on.
       if (d?.kind === 'withdrawn') return { state: 'cancelled', done: 0, running: 0, because: d.because };
@@ -181,12 +183,12 @@
         ...this.failuresOf(job),
       };
     }
-    const final = await this.ctx.finalStates.read(id, ctx.view.rev);
+    const final = await this.context.finalStates.read(id, context.view.rev);
     return final === undefined ? undefined : this.finalStatus(final);
   }
 
   private inheritedBy(job: JobRecord): Pick<JobStatus, 'inherited'> {
-    const { dependencies, clock } = this.ctx;
+    const { dependencies, clock } = this.context;
     const urgency = dependencies.all().inherited.get(job.spec.id);
     if (urgency === undefined) return {};
     const { priority, dueMs } = urgency;
@@ -196,39 +198,39 @@
   private failuresOf({ failing }: JobRecord): Pick<JobStatus, 'failing'> {
     if (failing === undefined) return {};
     const { rounds, why, machines, until } = failing;
-    const nextTryInS = Math.max(0, (until - this.ctx.clock.wallClock()) / 1000);
+    const nextTryInS = Math.max(0, (until - this.context.clock.wallClock()) / 1000);
     return { failing: { rounds, why, machines, nextTryInS } };
   }
 
   async cancel(id: JobId): Promise<Cancelled> {
-    const { ctx } = this;
+    const { context } = this;
     const status = await this.find(id);
     if (status === undefined) return { kind: 'not_found' };
     if (status.state === 'done' || status.state === 'cancelled')
       return { kind: 'final', state: status.state };
-    const job = ctx.view.jobs.get(id);
+    const job = context.view.jobs.get(id);
     if (job === undefined) return { kind: 'later' };
-    if (ctx.ownsTeam(job.spec.team)) return this.cancelOwn(id);
-    const start = this.ctx.clock.now();
+    if (context.ownsTeam(job.spec.team)) return this.cancelOwn(id);
+    const start = this.context.clock.now();
     const wait = this.over(id, CANCEL_WAIT_MS);
-    const owner = ctx.holderOf(ctx.view.teams.get(job.spec.team)) ?? undefined;
+    const owner = context.holderOf(context.view.teams.get(job.spec.team)) ?? undefined;
     const peer = owner === undefined ? undefined : this.peers.get(owner);
     const taken = peer === undefined ? null : await peer.cancel(id, 800);
     // Where the owner cannot be reached directly, the request is left in the state service for it.
-    if (taken !== 'taken' && !ctx.view.cancellations.has(id)) {
+    if (taken !== 'taken' && !context.view.cancellations.has(id)) {
       const op: Op = { key: key.cancellation(id), value: {}, reason: 'cancellation' };
-      const r = await ctx.state.txn([ctx.guard(op.key)], [op], URGENCY.users);
-      if (r.kind === 'ok') ctx.follower.applied([op], r.rev);
+      const r = await context.state.txn([context.guard(op.key)], [op], URGENCY.users);
+      if (r.kind === 'ok') context.follower.applied([op], r.rev);
     }
     await wait;
-    ctx.log.debug({ job: id, ms: this.ctx.clock.now() - start, taken }, 'cancel forwarded');
+    context.log.debug({ job: id, ms: this.context.clock.now() - start, taken }, 'cancel forwarded');
     return this.outcome(id);
   }
 
   /** A peer forwards a cancellation of a job whose team this controller owns. */
   takeCancel(id: JobId): string {
-    const job = this.ctx.view.jobs.get(id);
-    if (job === undefined || !this.ctx.ownsTeam(job.spec.team)) return 'not_mine';
+    const job = this.context.view.jobs.get(id);
+    if (job === undefined || !this.context.ownsTeam(job.spec.team)) return 'not_mine';
     this.owner.requestCancellation(id);
     return 'taken';
   }
@@ -240,14 +242,14 @@
   }
 
   private async outcome(id: JobId): Promise<Cancelled> {
-    if (this.ctx.view.jobs.has(id)) return { kind: 'later' };
-    const final = await this.ctx.finalStates.read(id, this.ctx.view.rev);
+    if (this.context.view.jobs.has(id)) return { kind: 'later' };
+    const final = await this.context.finalStates.read(id, this.context.view.rev);
     return final === undefined ? { kind: 'later' } : { kind: 'final', state: final.state };
   }
 
   /** Resolves when the job has left the view, or after the time. */
   private over(id: JobId, ms: number): Promise<void> {
-    if (!this.ctx.view.jobs.has(id)) return Promise.resolve();
+    if (!this.context.view.jobs.has(id)) return Promise.resolve();
     return new Promise((resolve) => {
       const set = this.waiting.get(id) ?? new Set();
       this.waiting.set(id, set);
@@ -257,7 +259,7 @@
         if (set.size === 0) this.waiting.delete(id);
         resolve();
       };
-      const stop = this.ctx.clock.after(ms, go);
+      const stop = this.context.clock.after(ms, go);
       set.add(go);
     });
   }
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -10,7 +10,7 @@
 import type { LeaderTransactions } from './leader-transactions.js';
 import { markForReturn, newMachine } from './rentals.js';
 import { longestListLagS } from './unknown-machines.js';
-import type { UnknownMachines } from './unknown-machines.js';
+import type { UnregisteredMachines } from './unknown-machines.js';
 
 const LIST_EVERY_MS = 4000;
 /** A machine must be missing for so much longer than any list lags. */
@@ -27,66 +27,66 @@
   private readonly listedAt = new Map<MachineName, MonotonicMs>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly membership: Membership,
     private readonly cloud: CloudClient,
     private readonly transactions: LeaderTransactions,
-    private readonly unknown: UnknownMachines,
+    private readonly unknown: UnregisteredMachines,
     /** Told when there are machines to adopt. */
     private readonly found: () => void,
   ) {}
 
   /** Looks over the cloud's list for machines that no record knows, and for those that failed. */
   async run(): Promise<never> {
-    const { ctx } = this;
+    const { context } = this;
     for (let round = 0; ; round++) {
-      await ctx.clock.sleep(LIST_EVERY_MS);
-      if (!this.membership.isLeader || !ctx.follower.ready) continue;
+      await context.clock.sleep(LIST_EVERY_MS);
+      if (!this.membership.isLeader || !context.follower.ready) continue;
       try {
         if (round % TYPES_EVERY === 0) await this.refreshTypes();
-        const askedAt = ctx.clock.now();
+        const askedAt = context.clock.now();
         const list = await this.cloud.list();
         if (list !== null) await this.compare(list, askedAt);
       } catch (e) {
-        ctx.log.error({ err: e }, 'list loop');
+        context.log.error({ err: e }, 'list loop');
       }
     }
   }
 
   async refreshTypes(): Promise<void> {
-    const { ctx } = this;
+    const { context } = this;
     const types = await this.cloud.types();
     if (types === null) return;
-    if (JSON.stringify(ctx.view.types) === JSON.stringify(types)) return;
-    const parts = splitBySize(types, ctx.state.settings.valueBytes);
+    if (JSON.stringify(context.view.types) === JSON.stringify(types)) return;
+    const parts = splitBySize(types, context.state.settings.valueBytes);
     const names = (list: readonly MachineType[] | null) => JSON.stringify(list?.map((t) => t.name));
     // A longer list that stands in one value, from before the limit fell, is left: only its prices are a little old, and
     // a process of the version before would miss what it can't find there.
-    if (parts.length > 1 && names(ctx.view.types) === names(types)) return;
+    if (parts.length > 1 && names(context.view.types) === names(types)) return;
     const ops: Op[] = parts.map((value, i) => ({ key: i === 0 ? key.types : key.moreTypes(i), value }));
-    for (let i = parts.length; ctx.view.entries.has(key.moreTypes(i)); i++)
+    for (let i = parts.length; context.view.entries.has(key.moreTypes(i)); i++)
       ops.push({ key: key.moreTypes(i), value: undefined });
     // A list longer than a transaction takes is written in several: its parts are read one by one in any case.
     await this.transactions.commitEach(ops, URGENCY.starts);
   }
 
   private async compare(list: readonly ListedMachine[], askedAt: MonotonicMs): Promise<void> {
-    const { ctx } = this;
+    const { context } = this;
     const failed: Op[] = [];
     const withoutRecord = new Set<MachineName>();
     for (const l of list) {
-      const machine = ctx.view.machines.get(l.name);
+      const machine = context.view.machines.get(l.name);
       if (machine === undefined) {
         withoutRecord.add(l.name);
         this.unknown.noteListed(l);
       } else if (l.state === 'failed' && machine.phase !== 'releasing') {
-        ctx.log.info({ machine: l.name }, 'failed');
+        context.log.info({ machine: l.name }, 'failed');
         failed.push(markForReturn(machine));
       }
     }
     this.unknown.keepListed(withoutRecord);
     for (const machine of this.takenBack(list, askedAt)) {
-      ctx.log.info({ machine: machine.name }, 'not listed any more');
+      context.log.info({ machine: machine.name }, 'not listed any more');
       failed.push(markForReturn(machine));
     }
     if (failed.length > 0) await this.transactions.commitEach(failed, URGENCY.starts);
@@ -99,7 +99,7 @@
    * that frees its tasks. Without this a taken machine that is alone in its zone is waited for like one that is cut off.
    */
   private takenBack(list: readonly ListedMachine[], askedAt: MonotonicMs): MachineRecord[] {
-    const { view, clock, settings } = this.ctx;
+    const { view, clock, settings } = this.context;
     const now = clock.now();
     for (const l of list) if (view.machines.has(l.name)) this.listedAt.set(l.name, now);
     const goneMs = (longestListLagS(settings) + GONE_MARGIN_S) * 1000;
@@ -113,18 +113,18 @@
   }
 
   /** Gives unknown machines records, in the slices that have fewest. */
-  async adopt(slices: readonly NodeName[]): Promise<void> {
-    const { ctx } = this;
+  async registerMachines(shards: readonly NodeName[]): Promise<void> {
+    const { context } = this;
     if (this.unknown.size === 0) return;
     const count = new Map<NodeName, number>();
-    for (const m of ctx.view.machines.values()) count.set(m.owner, (count.get(m.owner) ?? 0) + 1);
+    for (const m of context.view.machines.values()) count.set(m.owner, (count.get(m.owner) ?? 0) + 1);
     const ops: Op[] = [];
     for (const [name, known] of this.unknown.take()) {
-      if (ctx.view.machines.has(name)) continue;
-      const owner = [...slices].sort((a, b) => (count.get(a) ?? 0) - (count.get(b) ?? 0))[0]!;
+      if (context.view.machines.has(name)) continue;
+      const owner = [...shards].sort((a, b) => (count.get(a) ?? 0) - (count.get(b) ?? 0))[0]!;
       count.set(owner, (count.get(owner) ?? 0) + 1);
-      const value = newMachine(ctx, name, known, owner);
-      ctx.log.info({ machine: name, to: owner, floor: value.floor }, 'machine adopted');
+      const value = newMachine(context, name, known, owner);
+      context.log.info({ machine: name, to: owner, floor: value.floor }, 'machine adopted');
       ops.push({ key: key.machine(name), value, reason: 'machine_state' });
     }
     await this.transactions.commitEach(ops, URGENCY.starts);
@@ -132,14 +132,16 @@
 
   /** Returns the machines that are marked for it, unless that is under way. */
   startReleases(): void {
-    const { ctx } = this;
+    const { context } = this;
     if (this.releasing) return;
-    const names = [...ctx.view.machines.values()].filter((m) => m.phase === 'releasing').map((m) => m.name);
+    const names = [...context.view.machines.values()]
+      .filter((m) => m.phase === 'releasing')
+      .map((m) => m.name);
     if (names.length === 0) return;
     this.releasing = true;
     void this.release(names.slice(0, MOST_RELEASED))
       .catch((e: unknown) => {
-        ctx.log.error({ err: e }, 'release');
+        context.log.error({ err: e }, 'release');
       })
       .finally(() => {
         this.releasing = false;
@@ -147,12 +149,12 @@
   }
 
   private async release(names: readonly MachineName[]): Promise<void> {
-    const { ctx } = this;
+    const { context } = this;
     if (!(await this.cloud.release(names))) return;
     this.unknown.noteReleased(names);
     // The cloud has said that they and everything on them are gone: their tasks are free.
-    const there = names.filter((n) => ctx.view.machines.has(n));
-    ctx.log.info({ machines: there }, 'machines released');
+    const there = names.filter((n) => context.view.machines.has(n));
+    context.log.info({ machines: there }, 'machines released');
     await this.transactions.commitEach(
       there.map((n) => ({ key: key.machine(n), value: undefined, reason: 'return' })),
       URGENCY.results,
--- a/src/controller/leader/fleet-planner.ts
+++ b/src/controller/leader/fleet-planner.ts
@@ -13,7 +13,7 @@
 } from '../../core/types.js';
 import type { Context } from '../context.js';
 import type { Rentals } from './rentals.js';
-import type { StrayedMachines } from './strayed-machines.js';
+import type { MisroutedAgents } from './strayed-machines.js';
 
 /** Less room than this in a record is too little for another job's tasks. */
 const FULL_RECORD = 300;
@@ -31,31 +31,31 @@
   private readonly forecast: Forecast;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly strayed: StrayedMachines,
+    private readonly context: Context,
+    private readonly strayed: MisroutedAgents,
     private readonly rentals: Rentals,
   ) {
-    const { forecast_window_s, spare_spread, overhead_s } = ctx.operator.fleet;
+    const { forecast_window_s, spare_spread, overhead_s } = context.operator.fleet;
     this.forecast = new Forecast({ windowS: forecast_window_s, spread: spare_spread, overheadS: overhead_s });
   }
 
   plan(): FleetPlan {
-    const { ctx } = this;
-    const { view } = ctx;
+    const { context } = this;
+    const { view } = context;
     const machines = [...view.machines.values()];
     this.noteEmpty(machines);
     const plan = planFleet({
-      jobs: ctx.dependencies.all().startable.filter((j) => this.deservesRoom(j)),
+      jobs: context.dependencies.all().startable.filter((j) => this.deservesRoom(j)),
       machines,
       rentals: view.rentals.values(),
-      ledger: ctx.allocations(),
+      ledger: context.allocations(),
       types: view.types ?? [],
       owners: new Map([...view.teams].map(([team, r]) => [team, r.owner])),
-      order: ctx.order(),
+      order: context.order(),
       usable: (m) => this.isUsable(m),
-      movable: (m) => (m.heard ?? 0) >= view.tokenOf(m) && !this.strayed.hasStrayed(m.name),
-      yields: ctx.yielding(),
-      mayHold: (j) => ctx.mayHold(j),
+      movable: (m) => (m.heard ?? 0) >= view.tokenOf(m) && !this.strayed.isMisrouted(m.name),
+      yields: context.yielding(),
+      mayHold: (j) => context.mayHold(j),
       reserve: this.reserve(),
       available: (type, zone, spot) => this.rentals.isAvailable(type, zone, spot),
       idle: (m) => this.isIdle(m),
@@ -64,15 +64,15 @@
   }
 
   ageS(m: MachineRecord): number {
-    return (this.ctx.clock.wallClock() - m.since) / 1000;
+    return (this.context.clock.wallClock() - m.since) / 1000;
   }
 
   private bootS(m: MachineRecord): number {
-    return this.ctx.types.get(m.type)?.bootS ?? USUAL_BOOT_S;
+    return this.context.types.get(m.type)?.bootS ?? USUAL_BOOT_S;
   }
 
   private noteEmpty(machines: readonly MachineRecord[]): void {
-    const { view, clock } = this.ctx;
+    const { view, clock } = this.context;
     for (const m of machines) {
       if (m.placed.length > 0 || m.phase !== 'up') this.emptySince.delete(m.name);
       else if (!this.emptySince.has(m.name)) this.emptySince.set(m.name, clock.now());
@@ -82,7 +82,7 @@
 
   /** It never came up, or is drained and empty. */
   private isUseless(m: MachineRecord): boolean {
-    const { lost_boot_factor } = this.ctx.operator.fleet;
+    const { lost_boot_factor } = this.context.operator.fleet;
     if (m.phase === 'booting') return this.ageS(m) > this.bootS(m) * lost_boot_factor + LOST_BOOT_EXTRA_S;
     return m.phase === 'up' && m.drain === true && m.placed.length === 0;
   }
@@ -90,23 +90,23 @@
   /** What fails wherever it runs gets room of its own for its first tries; later ones use what is free. */
   private deservesRoom({ failing }: JobRecord): boolean {
     if (failing === undefined) return true;
-    return failing.rounds <= ROUNDS_WORTH_RENTING && failing.until <= this.ctx.clock.wallClock();
+    return failing.rounds <= ROUNDS_WORTH_RENTING && failing.until <= this.context.clock.wallClock();
   }
 
   private isUsable(m: MachineRecord): boolean {
-    const { ctx } = this;
+    const { context } = this;
     if (m.drain === true) return false;
     // A machine whose record is full takes nothing more, however much of it is free.
-    if (m.placed.length > 0 && ctx.recordRoom(m) <= FULL_RECORD) return false;
+    if (m.placed.length > 0 && context.recordRoom(m) <= FULL_RECORD) return false;
     // Its owner does not reach it, so what is free on it is of no use now.
-    if (ctx.substituteOf(m) !== null) return false;
-    if (m.phase === 'booting') return this.ageS(m) < this.bootS(m) * ctx.operator.fleet.late_boot_factor;
+    if (context.proxyOf(m) !== null) return false;
+    if (m.phase === 'booting') return this.ageS(m) < this.bootS(m) * context.operator.fleet.late_boot_factor;
     return m.phase === 'up';
   }
 
   /** Empty for so long that it is returned. */
   private isIdle(m: MachineRecord): boolean {
-    const { clock, operator } = this.ctx;
+    const { clock, operator } = this.context;
     const since = this.emptySince.get(m.name);
     return (
       since !== undefined && clock.now() - since > operator.fleet.idle_boot_factor * this.bootS(m) * 1000
@@ -114,10 +114,10 @@
   }
 
   private reserve(): Reserve[] {
-    const { ctx } = this;
+    const { context } = this;
     const underWay = new Map<string, number>();
     // A job that waits for others is no work yet: it arrives when the last of them is done.
-    for (const j of ctx.dependencies.all().startable) {
+    for (const j of context.dependencies.all().startable) {
       // What fails wherever it runs says nothing about the room that its class needs.
       if (j.failing !== undefined) continue;
       this.forecast.arrived(j.spec, j.submitted / 1000);
@@ -125,13 +125,18 @@
       underWay.set(j.spec.class, (underWay.get(j.spec.class) ?? 0) + left);
     }
     const typeOf = (spec: JobSpec): MachineType | undefined =>
-      [...ctx.types.values()].find((t) => typeAllowed(spec, t.name) && fitsWithin(spec.demand, t.capacity));
-    return [...this.forecast.reserve(ctx.clock.wallClock() / 1000, underWay, typeOf), ...this.spareForLoss()];
+      [...context.types.values()].find(
+        (t) => typeAllowed(spec, t.name) && fitsWithin(spec.demand, t.capacity),
+      );
+    return [
+      ...this.forecast.reserve(context.clock.wallClock() / 1000, underWay, typeOf),
+      ...this.spareForLoss(),
+    ];
   }
 
   /** Services are wanted all the time: room for those of any one machine, should it be lost. */
   private spareForLoss(): Reserve[] {
-    const { view } = this.ctx;
+    const { view } = this.context;
     let most: Reserve | null = null;
     for (const m of view.machines.values()) {
       const services = m.placed.filter((p) => p.kind === 'service' && p.stop !== true);
--- a/src/controller/leader/leader-transactions.ts
+++ b/src/controller/leader/leader-transactions.ts
@@ -9,14 +9,14 @@
 /** Commits changes that are guarded on the leadership. */
 export class LeaderTransactions {
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly membership: Membership,
   ) {}
 
   /** Commits one transaction as it is. */
   async commit({ ops, guards }: Group, urgency: Urgency): Promise<boolean> {
     if (!this.membership.isLeader) return false;
-    const outcome = await this.ctx.commit([this.ctx.guard(key.leader), ...guards], ops, urgency);
+    const outcome = await this.context.commit([this.context.guard(key.leader), ...guards], ops, urgency);
     return outcome === 'ok';
   }
 
@@ -37,8 +37,8 @@
   }
 
   private packed(groups: readonly Group[]): Generator<Group> {
-    const { ctx } = this;
-    return pack(groups, [ctx.guard(key.leader)], ctx.state.settings, ctx.view);
+    const { context } = this;
+    return pack(groups, [context.guard(key.leader)], context.state.settings, context.view);
   }
 
   /**
@@ -46,9 +46,9 @@
    * only as long as that slice has not got another holder.
    */
   private guardsOf(op: Op): Guard[] {
-    const { ctx } = this;
-    const before = ctx.view.entries.get(op.key)?.value as { owner?: string } | undefined;
-    const slice = parseKey(op.key).kind === 'machine' ? before?.owner : undefined;
-    return [ctx.guard(op.key), ...(slice === undefined ? [] : [ctx.guard(key.slice(slice))])];
+    const { context } = this;
+    const before = context.view.entries.get(op.key)?.value as { owner?: string } | undefined;
+    const shard = parseKey(op.key).kind === 'machine' ? before?.owner : undefined;
+    return [context.guard(op.key), ...(shard === undefined ? [] : [context.guard(key.shard(shard))])];
   }
 }
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -3,13 +3,13 @@
  * leadership; what is asked of the cloud was committed before.
  */
 import { key } from '../../core/keys.js';
-import { planHolders, planTeams, type LiveNode } from '../../core/slices.js';
+import { assignShardHolders, assignTeamsToShards, type LiveController } from '../../core/slices.js';
 import {
   nodeName,
   type MachineRecord,
   type NodeName,
   type Heartbeat,
-  type SliceRecord,
+  type ShardRecord,
   type MonotonicMs,
   type TeamRecord,
 } from '../../core/types.js';
@@ -23,8 +23,8 @@
 import { FleetPlanner } from './fleet-planner.js';
 import { LeaderTransactions } from './leader-transactions.js';
 import { Rentals, markForReturn } from './rentals.js';
-import { StrayedMachines } from './strayed-machines.js';
-import { UnknownMachines } from './unknown-machines.js';
+import { MisroutedAgents } from './strayed-machines.js';
+import { UnregisteredMachines } from './unknown-machines.js';
 
 /** A step is made so often without being notified, and never more often than this. */
 const IDLE_MS = 500;
@@ -39,140 +39,149 @@
 export class Leader {
   private readonly notification: Notification;
   private readonly transactions: LeaderTransactions;
-  private readonly unknown: UnknownMachines;
+  private readonly unknown: UnregisteredMachines;
   private readonly inventory: CloudInventory;
   private readonly rentals: Rentals;
-  private readonly strayed: StrayedMachines;
+  private readonly strayed: MisroutedAgents;
   private readonly planner: FleetPlanner;
   private leadingSince: MonotonicMs | null = null;
   private planMs = 0;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly membership: Membership,
     cloud: CloudClient,
   ) {
-    this.notification = new Notification(ctx.clock);
-    this.transactions = new LeaderTransactions(ctx, membership);
-    this.unknown = new UnknownMachines(ctx);
-    this.inventory = new CloudInventory(ctx, membership, cloud, this.transactions, this.unknown, () => {
+    this.notification = new Notification(context.clock);
+    this.transactions = new LeaderTransactions(context, membership);
+    this.unknown = new UnregisteredMachines(context);
+    this.inventory = new CloudInventory(context, membership, cloud, this.transactions, this.unknown, () => {
       this.notification.notify();
     });
-    this.rentals = new Rentals(ctx, cloud, this.transactions);
-    this.strayed = new StrayedMachines(ctx);
-    this.planner = new FleetPlanner(ctx, this.strayed, this.rentals);
-    ctx.listeners.push(({ sessions, leader, jobs }) => {
+    this.rentals = new Rentals(context, cloud, this.transactions);
+    this.strayed = new MisroutedAgents(context);
+    this.planner = new FleetPlanner(context, this.strayed, this.rentals);
+    context.listeners.push(({ sessions, leader, jobs }) => {
       if (sessions.size > 0 || leader || jobs.size > 0) this.notification.notify();
     });
   }
 
   /** A worker that no record knows has reported to this controller. */
-  recordUnregistered(report: Heartbeat): void {
-    if (this.unknown.recordHeartbeat(report)) this.notification.notify();
+  recordUnregistered(heartbeat: Heartbeat): void {
+    if (this.unknown.recordHeartbeat(heartbeat)) this.notification.notify();
   }
 
   async run(): Promise<never> {
-    const { ctx } = this;
+    const { context } = this;
     let pauseMs = 0;
     void this.inventory.run();
     for (;;) {
-      await ctx.clock.sleep(pauseMs);
+      await context.clock.sleep(pauseMs);
       await this.notification.wait(IDLE_MS);
       pauseMs = PAUSE_MS;
-      if (!ctx.follower.ready || !this.membership.isLeader) {
+      if (!context.follower.ready || !this.membership.isLeader) {
         this.leadingSince = null;
         this.unknown.clear();
         continue;
       }
-      this.leadingSince ??= ctx.clock.now();
+      this.leadingSince ??= context.clock.now();
       this.planMs = 0;
       try {
         await this.step();
         pauseMs = Math.max(pauseMs, this.planMs * PLAN_PART);
       } catch (e) {
-        ctx.log.error({ err: e }, 'leader loop');
+        context.log.error({ err: e }, 'leader loop');
         pauseMs = ERROR_MS;
       }
     }
   }
 
   private async step(): Promise<void> {
-    const { ctx } = this;
-    if (ctx.view.types === null) await this.inventory.refreshTypes();
-    if (ctx.view.types === null) return;
-    const live = this.liveNodes();
-    if (!(await this.followStrayed(live))) return;
-    const slices = [ctx.settings.node, ...ctx.settings.peers.map((p) => p.node)].sort();
-    if (!(await this.assignTeams(slices))) return;
-    if (!(await this.assignSlices(slices, live))) return;
-    await this.inventory.adopt(slices);
+    const { context } = this;
+    if (context.view.types === null) await this.inventory.refreshTypes();
+    if (context.view.types === null) return;
+    const live = this.liveControllers();
+    if (!(await this.moveMisroutedMachines(live))) return;
+    const shards = [context.settings.node, ...context.settings.peers.map((p) => p.node)].sort();
+    if (!(await this.assignTeams(shards))) return;
+    if (!(await this.assignShards(shards, live))) return;
+    await this.inventory.registerMachines(shards);
     this.inventory.startReleases();
-    await this.resizeFleet(slices);
+    await this.resizeFleet(shards);
   }
 
-  private liveNodes(): LiveNode[] {
-    const { ctx } = this;
-    const now = ctx.clock.now();
-    const live: LiveNode[] = [];
-    for (const { node, incarnation, draining } of ctx.view.sessions.values())
+  private liveControllers(): LiveController[] {
+    const { context } = this;
+    const now = context.clock.now();
+    const live: LiveController[] = [];
+    for (const { node, incarnation, draining } of context.view.sessions.values())
       live.push({
         node,
         incarnation,
-        ageS: (now - (ctx.sessionSince.get(node) ?? now)) / 1000,
-        fit: this.strayed.isFit(node) && draining !== true,
+        sessionAgeS: (now - (context.sessionSince.get(node) ?? now)) / 1000,
+        canReachAgents: this.strayed.canReachAgents(node) && draining !== true,
       });
     return live.sort((a, b) => (a.node < b.node ? -1 : 1));
   }
 
-  private async followStrayed(live: readonly LiveNode[]): Promise<boolean> {
+  private async moveMisroutedMachines(live: readonly LiveController[]): Promise<boolean> {
     const moves = this.strayed.update(live);
-    const ops = moves.map(({ machine, to }) => this.handOver(machine, to, 'reaches only that one'));
+    const ops = moves.map(({ machine, to }) => this.moveOperation(machine, to, 'reaches only that one'));
     return ops.length === 0 || this.transactions.commitEach(ops, URGENCY.results);
   }
 
-  private async assignTeams(slices: readonly NodeName[]): Promise<boolean> {
-    const { ctx } = this;
+  private async assignTeams(shards: readonly NodeName[]): Promise<boolean> {
+    const { context } = this;
     const ops: Op[] = [];
-    for (const [team, owner] of planTeams(slices, [...ctx.teams.values()], ctx.view.teams)) {
-      ctx.log.info({ team, slice: owner }, 'team assigned');
+    for (const [team, owner] of assignTeamsToShards(
+      shards,
+      [...context.teams.values()],
+      context.view.teams,
+    )) {
+      context.log.info({ team, slice: owner }, 'team assigned');
       ops.push({ key: key.team(team), value: { owner } satisfies TeamRecord, reason: 'membership' });
     }
     return ops.length === 0 || this.transactions.commitEach(ops, URGENCY.session);
   }
 
-  private async assignSlices(slices: readonly NodeName[], live: readonly LiveNode[]): Promise<boolean> {
-    const { ctx } = this;
-    const { view } = ctx;
-    const early = ctx.clock.now() - this.leadingSince! < SETTLE_MS;
+  private async assignShards(shards: readonly NodeName[], live: readonly LiveController[]): Promise<boolean> {
+    const { context } = this;
+    const { view } = context;
+    const early = context.clock.now() - this.leadingSince! < SETTLE_MS;
     const ops: Op[] = [];
-    for (const [slice, to] of planHolders(slices, live, view.slices, ctx.operator.slices.settled_s)) {
-      if (early && !view.slices.has(slice)) continue;
-      ctx.log.info({ slice, from: view.slices.get(slice)?.holder, to: to.node }, 'slice assigned');
-      const value: SliceRecord = { holder: to.node, incarnation: to.incarnation };
-      ops.push({ key: key.slice(slice), value, reason: 'membership' });
+    for (const [shard, to] of assignShardHolders(
+      shards,
+      live,
+      view.shards,
+      context.operator.slices.settled_s,
+    )) {
+      if (early && !view.shards.has(shard)) continue;
+      context.log.info({ slice: shard, from: view.shards.get(shard)?.holder, to: to.node }, 'slice assigned');
+      const value: ShardRecord = { holder: to.node, incarnation: to.incarnation };
+      ops.push({ key: key.shard(shard), value, reason: 'membership' });
     }
     return ops.length === 0 || this.transactions.commitEach(ops, URGENCY.session);
   }
 
-  private async resizeFleet(slices: readonly NodeName[]): Promise<void> {
-    const { ctx } = this;
-    const start = ctx.clock.now();
+  private async resizeFleet(shards: readonly NodeName[]): Promise<void> {
+    const { context } = this;
+    const start = context.clock.now();
     const plan = this.planner.plan();
-    this.planMs = ctx.clock.now() - start;
-    const ops: Op[] = plan.moves.map(({ machine, to }) => this.handOver(machine, to, 'slices'));
+    this.planMs = context.clock.now() - start;
+    const ops: Op[] = plan.moves.map(({ machine, to }) => this.moveOperation(machine, to, 'slices'));
     for (const machine of plan.releases) {
       const { name, phase } = machine;
-      ctx.log.info({ machine: name, phase, ageS: this.planner.ageS(machine) }, 'to be returned');
+      context.log.info({ machine: name, phase, ageS: this.planner.ageS(machine) }, 'to be returned');
       ops.push(markForReturn(machine));
     }
     if (ops.length > 0) await this.transactions.commitEach(ops, URGENCY.starts);
-    this.rentals.start(plan.rentals, slices);
+    this.rentals.start(plan.rentals, shards);
   }
 
   /** Gives a machine to another slice, with a token above the one that it has. */
-  private handOver(machine: MachineRecord, to: NodeName, why: string): Op {
-    const value: MachineRecord = { ...machine, owner: to, floor: this.ctx.view.tokenOf(machine) + 1 };
-    this.ctx.log.info(
+  private moveOperation(machine: MachineRecord, to: NodeName, why: string): Op {
+    const value: MachineRecord = { ...machine, owner: to, floor: this.context.view.tokenOf(machine) + 1 };
+    this.context.log.info(
       { machine: machine.name, from: machine.owner, to, floor: value.floor, why },
       'machine assigned',
     );
@@ -181,5 +190,5 @@
 }
 
 /** The controller that leads now, as the view has it. */
-export const leaderOf = (ctx: Context): NodeName | null =>
-  ctx.view.leader === null ? null : nodeName(ctx.view.leader.node);
+export const leaderOf = (context: Context): NodeName | null =>
+  context.view.leader === null ? null : nodeName(context.view.leader.node);
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -18,7 +18,7 @@
 import type { Op } from '../../io/wire.js';
 import type { Context } from '../context.js';
 import type { LeaderTransactions } from './leader-transactions.js';
-import type { UnknownMachine } from './unknown-machines.js';
+import type { UnregisteredMachine } from './unknown-machines.js';
 
 /** The cloud rents at most so many machines by one request. */
 const MOST_RENTED = 50;
@@ -30,9 +30,9 @@
 
 /** The first record of a machine. */
 export const newMachine = (
-  ctx: Context,
+  context: Context,
   name: MachineName,
-  known: UnknownMachine,
+  known: UnregisteredMachine,
   owner: NodeName,
 ): MachineRecord => ({
   name,
@@ -43,7 +43,7 @@
   floor: known.token + 1,
   phase: 'booting',
   placed: [],
-  since: ctx.clock.wallClock(),
+  since: context.clock.wallClock(),
 });
 
 /** The change that has a machine returned to the cloud; only the cloud's answer to that frees its tasks. */
@@ -59,44 +59,44 @@
   private busy = false;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly cloud: CloudClient,
     private readonly transactions: LeaderTransactions,
   ) {}
 
   /** False while the cloud refuses this type, zone and kind. */
   isAvailable(type: TypeName, zone: Zone, spot: boolean): boolean {
-    return (this.refusedUntil.get(kindOf({ type, zone, spot })) ?? 0) < this.ctx.clock.now();
+    return (this.refusedUntil.get(kindOf({ type, zone, spot })) ?? 0) < this.context.clock.now();
   }
 
   /** Begins to rent unless that is under way. */
-  start(needs: readonly RentalNeed[], slices: readonly NodeName[]): void {
+  start(needs: readonly RentalNeed[], shards: readonly NodeName[]): void {
     if (this.busy) return;
-    if (needs.length === 0 && this.ctx.view.rentals.size === 0) return;
+    if (needs.length === 0 && this.context.view.rentals.size === 0) return;
     this.busy = true;
-    void this.rent(needs, slices)
+    void this.rent(needs, shards)
       .catch((e: unknown) => {
-        this.ctx.log.error({ err: e }, 'rent');
+        this.context.log.error({ err: e }, 'rent');
       })
       .finally(() => {
         this.busy = false;
       });
   }
 
-  private async rent(needs: readonly RentalNeed[], slices: readonly NodeName[]): Promise<void> {
-    const { ctx } = this;
+  private async rent(needs: readonly RentalNeed[], shards: readonly NodeName[]): Promise<void> {
+    const { context } = this;
     // Rentals that an earlier round, or an earlier leader, decided and did not bring to an end: their names
     // give the same answer again, so nothing is rented twice.
-    for (const r of [...ctx.view.rentals.values()]) await this.carryOut(r, slices);
+    for (const r of [...context.view.rentals.values()]) await this.carryOut(r, shards);
     for (const list of byKind(needs).values()) {
       const { type, zone, spot } = list[0]!;
       if (!this.isAvailable(type, zone, spot)) continue;
       const rental: RentalRecord = {
-        name: `${ctx.incarnation}-${++this.number}`,
+        name: `${context.incarnation}-${++this.number}`,
         type,
         zone,
         spot,
-        owners: list.slice(0, this.mostAtOnce(slices)).map((need) => need.owner),
+        owners: list.slice(0, this.mostAtOnce(shards)).map((need) => need.owner),
       };
       const k = key.rental(rental.name);
       const group = {
@@ -104,39 +104,42 @@
         guards: [{ key: k, version: NO_VERSION }],
       };
       if (!(await this.transactions.commit(group, URGENCY.starts))) return;
-      await this.carryOut(rental, slices);
+      await this.carryOut(rental, shards);
     }
   }
 
   /** The rental's record names a slice for each machine, and has to fit the limit for a value. */
-  private mostAtOnce(slices: readonly NodeName[]): number {
-    const longest = Math.max(...slices.map((s) => jsonBytes(s))) + 1;
-    return Math.min(MOST_RENTED, Math.floor((this.ctx.state.settings.valueBytes - RENTAL_BYTES) / longest));
+  private mostAtOnce(shards: readonly NodeName[]): number {
+    const longest = Math.max(...shards.map((s) => jsonBytes(s))) + 1;
+    return Math.min(
+      MOST_RENTED,
+      Math.floor((this.context.state.settings.valueBytes - RENTAL_BYTES) / longest),
+    );
   }
 
-  private async carryOut(rental: RentalRecord, slices: readonly NodeName[]): Promise<void> {
-    const { ctx } = this;
+  private async carryOut(rental: RentalRecord, shards: readonly NodeName[]): Promise<void> {
+    const { context } = this;
     const answer = await this.cloud.rent(rental);
     if (answer.kind === 'unknown') return;
     const got = answer.kind === 'rented' ? answer.machines : [];
     const { name, type, zone, spot, owners } = rental;
-    ctx.log.info({ rental: name, type, zone, spot, asked: owners.length, got }, 'rented');
+    context.log.info({ rental: name, type, zone, spot, asked: owners.length, got }, 'rented');
     if (got.length < owners.length)
       this.refusedUntil.set(
         kindOf(rental),
-        (ctx.clock.now() + ctx.operator.fleet.refused_s * 1000) as MonotonicMs,
+        (context.clock.now() + context.operator.fleet.refused_s * 1000) as MonotonicMs,
       );
-    await this.transactions.commitInOrder(this.recordsOf(rental, got, slices), URGENCY.starts);
+    await this.transactions.commitInOrder(this.recordsOf(rental, got, shards), URGENCY.starts);
   }
 
-  private recordsOf(rental: RentalRecord, got: readonly MachineName[], slices: readonly NodeName[]): Group[] {
-    const { ctx } = this;
-    const guard = ctx.guard(key.rental(rental.name));
+  private recordsOf(rental: RentalRecord, got: readonly MachineName[], shards: readonly NodeName[]): Group[] {
+    const { context } = this;
+    const guard = context.guard(key.rental(rental.name));
     const groups: Group[] = [];
     got.forEach((name, i) => {
-      if (ctx.view.machines.has(name)) return;
-      const owner = rental.owners.find((o, at) => at >= i && slices.includes(o)) ?? slices[0]!;
-      const value = newMachine(ctx, name, { ...rental, token: 0 }, owner);
+      if (context.view.machines.has(name)) return;
+      const owner = rental.owners.find((o, at) => at >= i && shards.includes(o)) ?? shards[0]!;
+      const value = newMachine(context, name, { ...rental, token: 0 }, owner);
       groups.push({
         ops: [{ key: key.machine(name), value, reason: 'rental' }],
         guards: [guard, { key: key.machine(name), version: NO_VERSION }],
--- a/src/controller/leader/unknown-machines.ts
+++ b/src/controller/leader/unknown-machines.ts
@@ -9,7 +9,7 @@
 import type { Context } from '../context.js';
 
 /** What is known of a machine without a record. */
-export interface UnknownMachine {
+export interface UnregisteredMachine {
   readonly type: TypeName;
   readonly zone: Zone;
   readonly spot: boolean;
@@ -34,22 +34,22 @@
   LAG_TIMES * cloudLimits.list_lag_s;
 
 /** Collects machines without a record until they are surely there. */
-export class UnknownMachines {
-  private readonly confirmed = new Map<MachineName, UnknownMachine>();
+export class UnregisteredMachines {
+  private readonly confirmed = new Map<MachineName, UnregisteredMachine>();
   /** Workers without a record, as they first reported. */
   private readonly reporters = new Map<MachineName, HeartbeatId & { at: MonotonicMs }>();
   /** Since when the list shows a machine without a record. */
   private readonly listedSince = new Map<MachineName, MonotonicMs>();
   private readonly released = new Map<MachineName, MonotonicMs>();
 
-  constructor(private readonly ctx: Context) {}
+  constructor(private readonly context: Context) {}
 
   get size(): number {
     return this.confirmed.size;
   }
 
   /** Takes all that are surely there. */
-  take(): ReadonlyMap<MachineName, UnknownMachine> {
+  take(): ReadonlyMap<MachineName, UnregisteredMachine> {
     const taken = new Map(this.confirmed);
     this.confirmed.clear();
     return taken;
@@ -61,7 +61,7 @@
 
   /** The cloud has returned these machines. */
   noteReleased(names: readonly MachineName[]): void {
-    const now = this.ctx.clock.now();
+    const now = this.context.clock.now();
     for (const [name, at] of this.released) if (now - at > RELEASED_MEMORY_MS) this.released.delete(name);
     for (const name of names) this.released.set(name, now);
   }
@@ -69,7 +69,7 @@
   /** A worker without a record has reported. True once it has done so again, later and newer: then it is there. */
   recordHeartbeat(r: Heartbeat): boolean {
     if (this.released.has(r.machine)) return false;
-    const now = this.ctx.clock.now();
+    const now = this.context.clock.now();
     const before = this.reporters.get(r.machine);
     if (before !== undefined && !isNewer(r, before)) return false;
     if (before === undefined || now - before.at > REPORTS_WITHIN_MS) {
@@ -98,9 +98,9 @@
   /** The cloud lists a machine that has no record. */
   noteListed(l: ListedMachine): void {
     if (this.released.has(l.name)) return;
-    const now = this.ctx.clock.now();
+    const now = this.context.clock.now();
     const since = this.listedSince.get(l.name);
-    const lagS = longestListLagS(this.ctx.settings) + RECORD_S;
+    const lagS = longestListLagS(this.context.settings) + RECORD_S;
     if (since === undefined) this.listedSince.set(l.name, now);
     else if (now - since > lagS * 1000)
       this.confirmed.set(l.name, { type: l.type, zone: l.zone, spot: l.spot, token: 0 });
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -1,5 +1,5 @@
 /** This process's session and, if it gets it, the leadership; both hang on one lease of the state service. */
-import type { SessionRecord, LeaderRecord, SliceRecord } from '../core/types.js';
+import type { SessionRecord, LeaderRecord, ShardRecord } from '../core/types.js';
 import { key } from '../core/keys.js';
 import type { Op } from '../io/wire.js';
 import { Unavailable } from '../io/state/client.js';
@@ -19,19 +19,19 @@
   /** Until then this process takes on nothing: it has handed over what it held. */
   private drainingUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly ctx: Context) {
-    this.notification = new Notification(ctx.clock);
-    ctx.listeners.push(({ leader, sessions }) => {
-      if (leader || sessions.has(ctx.settings.node)) this.notification.notify();
-      for (const node of ctx.view.sessions.keys())
-        if (!ctx.sessionSince.has(node)) ctx.sessionSince.set(node, this.ctx.clock.now());
-      for (const node of [...ctx.sessionSince.keys()])
-        if (!ctx.view.sessions.has(node)) ctx.sessionSince.delete(node);
+  constructor(private readonly context: Context) {
+    this.notification = new Notification(context.clock);
+    context.listeners.push(({ leader, sessions }) => {
+      if (leader || sessions.has(context.settings.node)) this.notification.notify();
+      for (const node of context.view.sessions.keys())
+        if (!context.sessionSince.has(node)) context.sessionSince.set(node, this.context.clock.now());
+      for (const node of [...context.sessionSince.keys()])
+        if (!context.view.sessions.has(node)) context.sessionSince.delete(node);
     });
   }
 
   get valid(): boolean {
-    return this.lease !== null && this.ctx.clock.now() < this.validUntil;
+    return this.lease !== null && this.context.clock.now() < this.validUntil;
   }
 
   /** What this process's own records may hang on, or null. */
@@ -40,115 +40,120 @@
   }
 
   get isLeader(): boolean {
-    const l = this.ctx.view.leader;
-    return this.valid && l?.incarnation === this.ctx.incarnation && l.lease === this.lease;
+    const l = this.context.view.leader;
+    return this.valid && l?.incarnation === this.context.incarnation && l.lease === this.lease;
   }
 
   /** This process takes on neither slices nor the leadership for so long; 0 ends that. */
   drainFor(ms: number): void {
-    this.drainingUntil = this.ctx.clock.now() + ms;
+    this.drainingUntil = this.context.clock.now() + ms;
   }
 
   private get isDraining(): boolean {
-    return this.ctx.clock.now() < this.drainingUntil;
+    return this.context.clock.now() < this.drainingUntil;
   }
 
   /** Leads if nobody else could. */
   private get mayLead(): boolean {
-    const others = [...this.ctx.view.sessions.values()].filter((s) => s.node !== this.ctx.settings.node);
+    const others = [...this.context.view.sessions.values()].filter(
+      (s) => s.node !== this.context.settings.node,
+    );
     return !this.isDraining || !others.some((s) => s.draining !== true);
   }
 
   private get mine(): SessionRecord | undefined {
-    return this.ctx.view.sessions.get(this.ctx.settings.node);
+    return this.context.view.sessions.get(this.context.settings.node);
   }
 
   async run(): Promise<never> {
-    const { operator } = this.ctx;
+    const { operator } = this.context;
     for (;;) {
       try {
-        if (this.ctx.follower.ready) await this.step();
+        if (this.context.follower.ready) await this.step();
       } catch (e) {
         if (!(e instanceof Unavailable)) throw e;
-        await this.ctx.clock.sleep(150);
+        await this.context.clock.sleep(150);
       }
-      await this.notification.wait(this.ctx.follower.ready ? operator.sessions.renew_every_s * 1000 : 30);
+      await this.notification.wait(this.context.follower.ready ? operator.sessions.renew_every_s * 1000 : 30);
     }
   }
 
   private async step(): Promise<void> {
-    const { ctx } = this;
-    const ttl = ctx.operator.sessions.ttl_s * 1000;
-    const sent = this.ctx.clock.now();
+    const { context } = this;
+    const ttl = context.operator.sessions.ttl_s * 1000;
+    const sent = this.context.clock.now();
     if (this.lease !== null) {
-      if (await ctx.state.renew(this.lease)) this.validUntil = sent + ttl * DRIFT;
+      if (await context.state.renew(this.lease)) this.validUntil = sent + ttl * DRIFT;
       else {
-        ctx.log.info({ lease: this.lease }, 'session lease is over');
+        context.log.info({ lease: this.lease }, 'session lease is over');
         this.lease = null;
       }
     }
     if (this.lease === null) {
-      this.lease = await ctx.state.grant(ttl);
+      this.lease = await context.state.grant(ttl);
       this.validUntil = sent + ttl * DRIFT;
     }
     await this.writeSession(this.lease);
     await this.takeOwnSlice();
-    if (ctx.view.leader === null && this.mayLead) {
+    if (context.view.leader === null && this.mayLead) {
       const value: LeaderRecord = {
-        node: ctx.settings.node,
-        incarnation: ctx.incarnation,
+        node: context.settings.node,
+        incarnation: context.incarnation,
         lease: this.lease,
       };
-      if (await this.put(key.leader, value)) ctx.log.info({ lease: this.lease }, 'leads');
+      if (await this.put(key.leader, value)) context.log.info({ lease: this.lease }, 'leads');
     }
   }
 
   private async writeSession(lease: number): Promise<void> {
-    const { ctx } = this;
+    const { context } = this;
     const mine = this.mine;
-    const isOwn = mine?.lease === lease && mine.incarnation === ctx.incarnation;
+    const isOwn = mine?.lease === lease && mine.incarnation === context.incarnation;
     if (isOwn && (mine.draining === true) === this.isDraining) return;
-    await ctx.follower.fresh();
+    await context.follower.fresh();
     const value: SessionRecord = {
-      node: ctx.settings.node,
-      incarnation: ctx.incarnation,
+      node: context.settings.node,
+      incarnation: context.incarnation,
       lease,
-      zone: ctx.settings.zone,
+      zone: context.settings.zone,
       ...(this.isDraining ? { draining: true } : {}),
     };
-    const isWritten = await this.put(key.session(ctx.settings.node), value);
+    const isWritten = await this.put(key.session(context.settings.node), value);
     // A session under this node's name that is not this process's is its predecessor's: the platform runs one process per
     // node, so it can be ended without waiting for its lease. Only once it is replaced: were there no session for a
     // moment, the leader would give the slice away, and a plain restart would cost two changes of holder.
-    if (isWritten && !isOwn && mine !== undefined) await ctx.state.revoke(mine.lease);
+    if (isWritten && !isOwn && mine !== undefined) await context.state.revoke(mine.lease);
   }
 
   /** The slice of this node, where nobody holds it or its predecessor did, is taken at once. */
   private async takeOwnSlice(): Promise<void> {
-    const { ctx } = this;
-    const held = ctx.view.slices.get(ctx.settings.node);
-    if (held !== undefined && (held.holder !== ctx.settings.node || held.incarnation === ctx.incarnation))
+    const { context } = this;
+    const held = context.view.shards.get(context.settings.node);
+    if (
+      held !== undefined &&
+      (held.holder !== context.settings.node || held.incarnation === context.incarnation)
+    )
       return;
-    const k = key.slice(ctx.settings.node);
-    const value: SliceRecord = { holder: ctx.settings.node, incarnation: ctx.incarnation };
+    const k = key.shard(context.settings.node);
+    const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
     const op: Op = { key: k, value, reason: 'membership' };
-    const r = await ctx.state.txn([ctx.guard(k)], [op], URGENCY.session);
+    const r = await context.state.txn([context.guard(k)], [op], URGENCY.session);
     if (r.kind === 'ok') {
-      ctx.follower.applied([op], r.rev);
-      ctx.log.info({ slice: ctx.settings.node, token: r.rev }, 'slice taken');
-    } else if (r.kind === 'conflict') await ctx.follower.reached(r.rev, 1000);
+      context.follower.applied([op], r.rev);
+      context.log.info({ slice: context.settings.node, token: r.rev }, 'slice taken');
+    } else if (r.kind === 'conflict') await context.follower.reached(r.rev, 1000);
   }
 
   private async put(k: string, value: { lease: number }): Promise<boolean> {
-    const { ctx } = this;
+    const { context } = this;
     const op: Op = { key: k, value, lease: value.lease, reason: 'membership' };
-    const r = await ctx.state.txn([ctx.guard(k)], [op], URGENCY.session);
+    const r = await context.state.txn([context.guard(k)], [op], URGENCY.session);
     if (r.kind === 'ok') {
-      ctx.follower.applied([op], r.rev);
+      context.follower.applied([op], r.rev);
       return true;
     }
     if (r.kind === 'no_lease') this.lease = null;
-    if (r.kind === 'conflict') await ctx.follower.reached(r.rev, 1000);
+    if (r.kind === 'conflict') await context.follower.reached(r.rev, 1000);
     return false;
   }
 }
--- a/src/controller/owner/job-reconciler.ts
+++ b/src/controller/owner/job-reconciler.ts
@@ -29,7 +29,7 @@
   private readonly requested = new Set<JobId>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly health: Health,
   ) {}
 
@@ -39,7 +39,7 @@
 
   /** Results go before a cancellation, or with it: what is done stays done. */
   reconcile({ ended, open }: SettledResults): { ends: Group[]; cancellations: Group[] } {
-    const { jobs } = this.ctx.view;
+    const { jobs } = this.context.view;
     const ends = [...ended].map(([id, done]) =>
       this.finish(jobs.get(id)!, { state: 'done', done: done.count }),
     );
@@ -59,8 +59,8 @@
    * nothing for them, and users see it. One change for each try that failed, and those grow rare.
    */
   noteFailing(open: ResultsByJob): Group[] {
-    const { ctx } = this;
-    const { clock, view } = ctx;
+    const { context } = this;
+    const { clock, view } = context;
     const groups: Group[] = [];
     for (const [id, failures] of this.health.failures.blamed()) {
       const job = view.jobs.get(id);
@@ -71,11 +71,11 @@
         machines: [...failures.machines].slice(-MOST_MACHINES_NAMED),
         until: (clock.wallClock() + Math.max(0, failures.until - clock.now())) as WallClockMs,
       };
-      ctx.log.info({ job: id, ...failing }, 'job fails wherever it runs');
-      const value = ctx.storedJob({ ...job, failing });
+      context.log.info({ job: id, ...failing }, 'job fails wherever it runs');
+      const value = context.storedJob({ ...job, failing });
       groups.push({
         ops: [{ key: key.job(id), value, reason: 'failing' }],
-        guards: [ctx.guard(key.job(id))],
+        guards: [context.guard(key.job(id))],
       });
     }
     return groups;
@@ -83,61 +83,64 @@
 
   /** Requests that other controllers have left in the state service. */
   private takeRequestsLeft(ended: ResultsByJob, open: ResultsByJob): Group[] {
-    const { ctx } = this;
-    const { view } = ctx;
+    const { context } = this;
+    const { view } = context;
     const groups: Group[] = [];
     for (const id of view.cancellations) {
       const job = view.jobs.get(id);
       if (job !== undefined) {
-        if (ctx.ownsTeam(job.spec.team) && job.phase === 'active' && !ended.has(id))
+        if (context.ownsTeam(job.spec.team) && job.phase === 'active' && !ended.has(id))
           groups.push(this.beginCancellation(job, open.get(id)));
-      } else if (view.leader?.incarnation === ctx.incarnation) {
+      } else if (view.leader?.incarnation === context.incarnation) {
         const k = key.cancellation(id);
-        groups.push({ ops: [{ key: k, value: undefined, reason: 'cancellation' }], guards: [ctx.guard(k)] });
+        groups.push({
+          ops: [{ key: k, value: undefined, reason: 'cancellation' }],
+          guards: [context.guard(k)],
+        });
       }
     }
     return groups;
   }
 
   private takeRequests(ended: ResultsByJob, open: ResultsByJob): Group[] {
-    const { ctx } = this;
+    const { context } = this;
     const groups: Group[] = [];
     for (const id of this.requested) {
       if (ended.has(id)) continue;
-      const job = ctx.view.jobs.get(id);
-      const mine = job?.phase === 'active' && ctx.ownsTeam(job.spec.team);
-      if (mine && !ctx.view.cancellations.has(id)) groups.push(this.beginCancellation(job, open.get(id)));
+      const job = context.view.jobs.get(id);
+      const mine = job?.phase === 'active' && context.ownsTeam(job.spec.team);
+      if (mine && !context.view.cancellations.has(id)) groups.push(this.beginCancellation(job, open.get(id)));
       else this.requested.delete(id);
     }
     return groups;
   }
 
   private withdrawDependents(): Group[] {
-    const { ctx } = this;
-    const ledger = ctx.allocations();
+    const { context } = this;
+    const totals = context.allocations();
     const groups: Group[] = [];
-    for (const [id, dependency] of ctx.dependencies.all().of) {
+    for (const [id, dependency] of context.dependencies.all().of) {
       if (groups.length >= MOST_WITHDRAWN) break;
       if (dependency.kind !== 'withdrawn') continue;
-      const job = ctx.view.jobs.get(id);
+      const job = context.view.jobs.get(id);
       // It never started, so that there is nothing but its record. Its users are told already (`Jobs.find`).
-      if (job === undefined || !ctx.ownsTeam(job.spec.team) || ledger.jobs.has(id)) continue;
+      if (job === undefined || !context.ownsTeam(job.spec.team) || totals.jobs.has(id)) continue;
       groups.push(this.finish(job, { state: 'cancelled', done: 0, because: dependency.because }));
     }
     return groups;
   }
 
   private endCancelled(ended: ResultsByJob, open: ResultsByJob): Group[] {
-    const { ctx } = this;
-    const ledger = ctx.allocations();
-    const dependencies = ctx.dependencies.all().of;
+    const { context } = this;
+    const totals = context.allocations();
+    const dependencies = context.dependencies.all().of;
     const groups: Group[] = [];
-    for (const job of ctx.view.jobs.values()) {
+    for (const job of context.view.jobs.values()) {
       const { id, team } = job.spec;
-      if (job.phase !== 'cancelling' || ended.has(id) || !ctx.ownsTeam(team)) continue;
+      if (job.phase !== 'cancelling' || ended.has(id) || !context.ownsTeam(team)) continue;
       if (dependencies.get(id)?.kind === 'withdrawn') continue;
       // Said only once nothing of the job is on any machine: then there is nothing left that could run on.
-      if (ledger.jobs.has(id)) continue;
+      if (totals.jobs.has(id)) continue;
       const { count } = open.get(id) ?? job.done;
       groups.push(this.finish(job, { state: 'cancelled', done: count }));
     }
@@ -145,39 +148,39 @@
   }
 
   private beginCancellation(job: JobRecord, done = job.done): Group {
-    const { ctx } = this;
+    const { context } = this;
     const { id, team } = job.spec;
-    ctx.log.info({ job: id }, 'cancelling');
+    context.log.info({ job: id }, 'cancelling');
     return {
       ops: [
         {
           key: key.job(id),
-          value: ctx.storedJob({ ...job, done, phase: 'cancelling' }),
+          value: context.storedJob({ ...job, done, phase: 'cancelling' }),
           reason: 'cancellation',
         },
       ],
-      guards: [ctx.guard(key.job(id)), ...ctx.teamGuards(team)],
+      guards: [context.guard(key.job(id)), ...context.teamGuards(team)],
     };
   }
 
   private finish(job: JobRecord, final: FinalRecord): Group {
-    const { ctx } = this;
+    const { context } = this;
     const { id, team } = job.spec;
-    ctx.log.info({ job: id, state: final.state, done: final.done }, 'job is over');
+    context.log.info({ job: id, state: final.state, done: final.done }, 'job is over');
     const ops: Op[] = [
       { key: key.job(id), value: undefined, reason: 'end' },
       {
         key: key.final(id),
-        value: { ...final, at: ctx.clock.wallClock() } satisfies FinalRecord,
+        value: { ...final, at: context.clock.wallClock() } satisfies FinalRecord,
         reason: 'end',
       },
     ];
-    const guards: Guard[] = [ctx.guard(key.job(id)), { key: key.final(id), version: NO_VERSION }];
-    if (final.state === 'cancelled') guards.push(...ctx.teamGuards(team));
+    const guards: Guard[] = [context.guard(key.job(id)), { key: key.final(id), version: NO_VERSION }];
+    if (final.state === 'cancelled') guards.push(...context.teamGuards(team));
     // Where a transaction takes fewer changes, the leader removes what is left of the request.
-    if (ctx.view.cancellations.has(id) && ops.length < ctx.state.settings.txnOps) {
+    if (context.view.cancellations.has(id) && ops.length < context.state.settings.txnOps) {
       ops.push({ key: key.cancellation(id), value: undefined, reason: 'cancellation' });
-      guards.push(ctx.guard(key.cancellation(id)));
+      guards.push(context.guard(key.cancellation(id)));
     }
     return { ops, guards };
   }
--- a/src/controller/owner/machine-reconciler.ts
+++ b/src/controller/owner/machine-reconciler.ts
@@ -29,7 +29,7 @@
 /** Makes the changes that records of machines need. */
 export class MachineReconciler {
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly sessions: AgentSessions,
     private readonly health: Health,
     private readonly results: Results,
@@ -46,14 +46,14 @@
   }
 
   private presence(): ReadonlyMap<Zone, ZonePresence> {
-    return (this.zones ??= presenceByZone(this.ctx, this.sessions));
+    return (this.zones ??= presenceByZone(this.context, this.sessions));
   }
 
   /** The change that the machine's record needs now, if any; results of its tasks are added to `found`. */
   reconcile(name: MachineName, wanted: DesiredState, found: FoundResults): MachineChange | null {
-    const { ctx } = this;
-    const machine = ctx.view.machines.get(name);
-    if (machine === undefined || !ctx.isMine(machine)) {
+    const { context } = this;
+    const machine = context.view.machines.get(name);
+    if (machine === undefined || !context.isOwned(machine)) {
       this.sessions.forget(name);
       this.results.forget(name);
       return null;
@@ -69,22 +69,22 @@
   }
 
   private noteExit(machine: MachineRecord, memory: AgentSession, { placed, index, reason }: TaskExit): void {
-    const { ctx } = this;
+    const { context } = this;
     const k = taskKey(placed.job, index, placed.attempt);
     if (memory.exitedTasks.has(k)) return;
-    memory.exitedTasks.set(k, { exitedAt: ctx.clock.now(), why: reason });
+    memory.exitedTasks.set(k, { exitedAt: context.clock.now(), why: reason });
     this.taskLeft();
     this.health.exit(machine, placed, reason);
     const { job, attempt } = placed;
-    if (ctx.events.isActive)
-      ctx.events.emit({
+    if (context.events.isActive)
+      context.events.emit({
         kind: 'task_exited',
         task: { job, index, attempt, machine: machine.name },
         why: reason,
       });
-    ctx.log.info(
+    context.log.info(
       {
-        task: ctx.task(placed.job, index),
+        task: context.task(placed.job, index),
         attempt: placed.attempt,
         machine: machine.name,
         token: memory.token,
@@ -99,10 +99,10 @@
     memory: AgentSession,
     left: readonly TaskExit[],
   ): MachineChange | null {
-    const { ctx } = this;
+    const { context } = this;
     const noticed = memory.heartbeat?.preemptionNoticeS != null;
     const drain = machine.drain === true || noticed || this.health.sick(machine);
-    const unreachable = isUnreachable(ctx, machine, memory, () => this.presence());
+    const unreachable = isUnreachable(context, machine, memory, () => this.presence());
     const cameUp = machine.phase === 'booting' && memory.heartbeat !== null;
     const gone = left.filter((e) => !this.results.mayStay(e) || this.results.isDurable(e));
     const kept = removeExits(machine.placed, gone);
@@ -124,7 +124,7 @@
     const group: Group = {
       ops: [{ key: key.machine(machine.name), value, reason: urgent ? 'machine_state' : 'tidying' }],
       // The slice is guarded too: whoever has lost it must not write its machines any more.
-      guards: [ctx.guard(key.machine(machine.name)), ctx.guard(key.slice(machine.owner))],
+      guards: [context.guard(key.machine(machine.name)), context.guard(key.shard(machine.owner))],
     };
     return { group, urgent };
   }
@@ -137,7 +137,7 @@
     kept: readonly Allocation[],
     cameUp: boolean,
   ): boolean {
-    const { clock, state } = this.ctx;
+    const { clock, state } = this.context;
     const now = clock.now();
     const { spare } = state;
     const stayMs = spare ? SPARE_STAY_MS : kept.length === 0 ? EMPTY_STAY_MS : MOST_STAY_MS;
@@ -155,7 +155,7 @@
   }
 
   private leavesOnNotice(placed: Allocation): boolean {
-    const job = this.ctx.view.jobs.get(placed.job);
+    const job = this.context.view.jobs.get(placed.job);
     return job !== undefined && (job.spec.kind === 'service' || job.spec.checkpointS > 0);
   }
 
@@ -171,8 +171,12 @@
   }
 
   private logUnreachable(machine: MachineRecord, memory: AgentSession): void {
-    this.ctx.log.info(
-      { machine: machine.name, token: memory.token, heardMs: this.ctx.clock.now() - memory.lastContactAt },
+    this.context.log.info(
+      {
+        machine: machine.name,
+        token: memory.token,
+        heardMs: this.context.clock.now() - memory.lastContactAt,
+      },
       'machine unreachable: given up',
     );
   }
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/owner/machine-sessions.ts
@@ -51,12 +51,12 @@
   private readonly heartbeatIntervalMs: number;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly agents: AgentGateway,
     private readonly health: Health,
     private readonly learned: MachineListener,
   ) {
-    this.heartbeatIntervalMs = ctx.settings.workers.report_s * 1000;
+    this.heartbeatIntervalMs = context.settings.workers.report_s * 1000;
   }
 
   names(): Iterable<MachineName> {
@@ -65,10 +65,10 @@
 
   /** What is remembered under the machine's present token; nothing yet where that is new. */
   of(machine: MachineRecord): AgentSession {
-    const token = this.ctx.view.tokenOf(machine);
+    const token = this.context.view.tokenOf(machine);
     let memory = this.sessions.get(machine.name);
     if (memory?.token !== token) {
-      memory = newAgentSession(token, this.ctx.clock.now());
+      memory = newAgentSession(token, this.context.clock.now());
       this.sessions.set(machine.name, memory);
     }
     return memory;
@@ -85,16 +85,16 @@
 
   /** Takes in a report of one of this controller's machines and says what the worker is to do. */
   answerHeartbeat(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
-    const { ctx } = this;
+    const { context } = this;
     const memory = this.of(machine);
     const { token } = memory;
     if (heartbeat.token > token) return { kind: 'elsewhere', node: null };
     const first = memory.heartbeat === null;
-    const now = ctx.clock.now();
+    const now = context.clock.now();
     // Overtaken by the answer to a direct command, or late: the worker is kept, and told nothing.
     if (!recordHeartbeat(memory, heartbeat, now, true, this.heartbeatIntervalMs))
       return { kind: 'ok', token, commands: [] };
-    if (ctx.events.isActive) ctx.events.emit({ kind: 'heartbeat_recorded', heartbeat });
+    if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat });
     const wanted = this.desiredState();
     const tells = first || machine.phase === 'booting' || heartbeat.preemptionNoticeS !== null;
     if (tells || confirmedExits(machine, memory, wanted).length > 0) this.learned(machine.name, first);
@@ -104,11 +104,11 @@
   }
 
   private noteCommands(machine: MachineName, token: FencingToken, sent: readonly AgentCommand[]): void {
-    const { ctx } = this;
+    const { context } = this;
     for (const command of sent) {
       const { op, job, index, attempt } = command;
-      ctx.log.debug({ op, task: ctx.task(job, index), attempt, machine, token }, 'command');
-      if (ctx.events.isActive) ctx.events.emit({ kind: 'command_sent', machine, command });
+      context.log.debug({ op, task: context.task(job, index), attempt, machine, token }, 'command');
+      if (context.events.isActive) context.events.emit({ kind: 'command_sent', machine, command });
     }
   }
 
@@ -116,51 +116,53 @@
   sendDirectCommands(names: readonly MachineName[]): void {
     const wanted = this.desiredState();
     for (const name of names) {
-      const machine = this.ctx.view.machines.get(name);
-      if (machine !== undefined && this.ctx.isMine(machine)) this.sendTo(machine, wanted);
+      const machine = this.context.view.machines.get(name);
+      if (machine !== undefined && this.context.isOwned(machine)) this.sendTo(machine, wanted);
     }
   }
 
   private sendTo(machine: MachineRecord, wanted: DesiredState): void {
-    const { ctx } = this;
+    const { context } = this;
     const { name } = machine;
     const memory = this.of(machine);
-    const report = memory.heartbeat ?? this.health.lastHeartbeat(name);
-    const address = report?.address ?? machine.address;
+    const heartbeat = memory.heartbeat ?? this.health.lastHeartbeat(name);
+    const address = heartbeat?.address ?? machine.address;
     if (address === undefined || machine.phase === 'releasing' || this.inFlight.has(name)) return;
     let stops: AgentCommand[] = [];
-    if (report?.token === memory.token && memory.heartbeat !== null) {
-      stops = agentCommands(machine, memory, wanted, ctx.clock.now(), false).filter(
+    if (heartbeat?.token === memory.token && memory.heartbeat !== null) {
+      stops = agentCommands(machine, memory, wanted, context.clock.now(), false).filter(
         (c) => c.op === 'stop' && !this.stopSentOfLate(name, c),
       );
       if (stops.length === 0) return;
-    } else if (report !== null && report.token > memory.token) return;
+    } else if (heartbeat !== null && heartbeat.token > memory.token) return;
     this.inFlight.add(name);
     this.noteCommands(name, memory.token, stops);
     // Without any report the session is a guess: the refusal brings the report, and the next try has it.
-    const session = report?.agentEpoch ?? FIRST_SESSION;
+    const session = heartbeat?.agentEpoch ?? FIRST_SESSION;
     void this.agents.sendCommands(address, memory.token, session, stops).then((answer) => {
       if (answer?.machine === name) this.recordAnswer(answer);
-      ctx.clock.after(answer === null ? RETRY_MESSAGE_MS : NEXT_MESSAGE_MS, () => this.inFlight.delete(name));
+      context.clock.after(answer === null ? RETRY_MESSAGE_MS : NEXT_MESSAGE_MS, () =>
+        this.inFlight.delete(name),
+      );
     });
   }
 
   private recordAnswer(answer: Heartbeat): void {
-    const { ctx } = this;
+    const { context } = this;
     this.health.observeHeartbeat(answer);
-    const machine = ctx.view.machines.get(answer.machine);
-    if (machine === undefined || !ctx.isMine(machine)) return;
-    if (answer.token > ctx.view.tokenOf(machine)) return;
+    const machine = context.view.machines.get(answer.machine);
+    if (machine === undefined || !context.isOwned(machine)) return;
+    if (answer.token > context.view.tokenOf(machine)) return;
     const memory = this.of(machine);
-    if (!recordHeartbeat(memory, answer, ctx.clock.now(), false, this.heartbeatIntervalMs)) return;
-    if (ctx.events.isActive) ctx.events.emit({ kind: 'heartbeat_recorded', heartbeat: answer });
+    if (!recordHeartbeat(memory, answer, context.clock.now(), false, this.heartbeatIntervalMs)) return;
+    if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat: answer });
     this.learned(machine.name, false);
   }
 
   private stopSentOfLate(machine: MachineName, stop: AgentCommand): boolean {
     const k = `${machine} ${stop.job}/${stop.index}@${stop.attempt}`;
     const before = this.stopSentAt.get(k);
-    const now = this.ctx.clock.now();
+    const now = this.context.clock.now();
     if (before !== undefined && now - before < STOP_AGAIN_MS) return true;
     for (const [old, at] of this.stopSentAt) {
       if (now - at < STOP_AGAIN_MS) break;
@@ -172,6 +174,6 @@
   }
 
   private desiredState(): DesiredState {
-    return { jobs: this.ctx.view.jobs, ledger: this.ctx.allocations() };
+    return { jobs: this.context.view.jobs, ledger: this.context.allocations() };
   }
 }
--- a/src/controller/owner/owner.ts
+++ b/src/controller/owner/owner.ts
@@ -32,7 +32,7 @@
 const PLAN_PART = 3;
 
 /** The loop over this controller's machines and teams. */
-export class Owner {
+export class ShardController {
   private readonly notification: Notification;
   private readonly sessions: AgentSessions;
   private readonly results: Results;
@@ -48,21 +48,21 @@
   private placeNotBefore = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly ctx: Context,
-    workers: AgentGateway,
+    private readonly context: Context,
+    agents: AgentGateway,
     health: Health,
   ) {
-    this.notification = new Notification(ctx.clock);
-    this.sessions = new AgentSessions(ctx, workers, health, (name, mayPlace) => {
+    this.notification = new Notification(context.clock);
+    this.sessions = new AgentSessions(context, agents, health, (name, mayPlace) => {
       this.noteLearned(name, mayPlace);
     });
-    this.results = new Results(ctx);
-    this.machines = new MachineReconciler(ctx, this.sessions, health, this.results, () => {
+    this.results = new Results(context);
+    this.machines = new MachineReconciler(context, this.sessions, health, this.results, () => {
       this.placeDue = true;
     });
-    this.jobs = new JobReconciler(ctx, health);
-    this.starts = new Starts(ctx, this.sessions, health, this.results, this.machines);
-    ctx.listeners.push((changes) => {
+    this.jobs = new JobReconciler(context, health);
+    this.starts = new Starts(context, this.sessions, health, this.results, this.machines);
+    context.listeners.push((changes) => {
       this.noteChanges(changes);
     });
   }
@@ -73,8 +73,8 @@
   }
 
   /** Takes in a report of one of this controller's machines and says what the worker is to do. */
-  answerHeartbeat(machine: MachineRecord, report: Heartbeat): HeartbeatReply {
-    return this.sessions.answerHeartbeat(machine, report);
+  answerHeartbeat(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
+    return this.sessions.answerHeartbeat(machine, heartbeat);
   }
 
   /** A user asked this controller to cancel a job of its own team. */
@@ -84,25 +84,25 @@
   }
 
   async run(): Promise<never> {
-    const { ctx } = this;
+    const { context } = this;
     for (;;) {
       await this.notification.wait(IDLE_MS);
-      if (!ctx.follower.ready || ctx.view.types === null) continue;
+      if (!context.follower.ready || context.view.types === null) continue;
       const work = this.takeWork();
       try {
         const ok = await this.pass(work);
         if (!ok) for (const name of work) this.dirty.add(name);
-        await ctx.clock.sleep(ok ? PAUSE_MS : RETRY_MS);
+        await context.clock.sleep(ok ? PAUSE_MS : RETRY_MS);
       } catch (e) {
-        ctx.log.error({ err: e }, 'owner loop');
-        await ctx.clock.sleep(ERROR_MS);
+        context.log.error({ err: e }, 'owner loop');
+        await context.clock.sleep(ERROR_MS);
       }
     }
   }
 
   /** False: not all was committed, and what is left has to be worked out anew. */
   private async pass(work: readonly MachineName[]): Promise<boolean> {
-    const { state, follower } = this.ctx;
+    const { state, follower } = this.context;
     this.sessions.sendDirectCommands(work);
     const { now, later } = this.reconcile(work);
     // Starts go before what only tidies up: under a short budget they would wait for seconds behind it.
@@ -113,8 +113,8 @@
 
   /** Results, proofs of absence, cancellations and machines that came up; what can wait for starts stands apart. */
   private reconcile(work: readonly MachineName[]): { now: Group[]; later: Group[] } {
-    const { ctx } = this;
-    const wanted = { jobs: ctx.view.jobs, ledger: ctx.allocations() };
+    const { context } = this;
+    const wanted = { jobs: context.view.jobs, ledger: context.allocations() };
     const found: FoundResults = new Map();
     this.machines.beginPass();
     const urgent: Group[] = [];
@@ -131,7 +131,7 @@
   }
 
   private async placeIfDue(): Promise<boolean> {
-    const { clock } = this.ctx;
+    const { clock } = this.context;
     const start = clock.now();
     if (!this.placeDue || start < this.placeNotBefore) return true;
     this.placeDue = false;
@@ -145,12 +145,12 @@
 
   /** The machines to look at now. */
   private takeWork(): MachineName[] {
-    const { ctx } = this;
-    const now = ctx.clock.now();
+    const { context } = this;
+    const now = context.clock.now();
     if (now >= this.sweepAt) {
       this.sweepAt = now + SWEEP_MS;
       this.placeDue = true;
-      for (const m of ctx.myMachines()) this.dirty.add(m.name);
+      for (const m of context.ownedMachines()) this.dirty.add(m.name);
       for (const name of this.sessions.names()) this.dirty.add(name);
     }
     const work = [...this.dirty];
@@ -164,11 +164,11 @@
     this.notification.notify();
   }
 
-  private noteChanges({ machines, jobs, slices, teams, types, cancellations }: Changes): void {
+  private noteChanges({ machines, jobs, shards, teams, types, cancellations }: Changes): void {
     let concerned = cancellations.size > 0;
     for (const name of machines) concerned = this.noteMachine(name) || concerned;
     for (const id of jobs) concerned = this.noteJob(id) || concerned;
-    if (slices.size > 0 || teams.size > 0 || types) {
+    if (shards.size > 0 || teams.size > 0 || types) {
       this.sweepAt = Number.NEGATIVE_INFINITY;
       this.placeDue = true;
       concerned = true;
@@ -178,22 +178,22 @@
 
   /** Whether the change concerns this controller. */
   private noteMachine(name: MachineName): boolean {
-    const machine = this.ctx.view.machines.get(name);
-    if (machine !== undefined && !this.ctx.isMine(machine)) return false;
+    const machine = this.context.view.machines.get(name);
+    if (machine !== undefined && !this.context.isOwned(machine)) return false;
     this.dirty.add(name);
     this.placeDue = true;
     return true;
   }
 
   private noteJob(id: JobId): boolean {
-    const { ctx } = this;
-    const job = ctx.view.jobs.get(id);
+    const { context } = this;
+    const job = context.view.jobs.get(id);
     if (job?.phase === 'active') {
-      if (!ctx.ownsTeam(job.spec.team)) return false;
+      if (!context.ownsTeam(job.spec.team)) return false;
       this.placeDue = true;
       return true;
     }
-    for (const at of ctx.allocations().jobs.get(id)?.tasks.values() ?? []) this.dirty.add(at.machine);
+    for (const at of context.allocations().jobs.get(id)?.tasks.values() ?? []) this.dirty.add(at.machine);
     return true;
   }
 }
--- a/src/controller/owner/preemptor.ts
+++ b/src/controller/owner/preemptor.ts
@@ -36,11 +36,11 @@
   private readonly claims = new Map<MachineName, Claim>();
   private readonly waitingSince = new Map<JobId, MonotonicMs>();
 
-  constructor(private readonly ctx: Context) {}
+  constructor(private readonly context: Context) {}
 
   isClaimedByOther(job: JobId, machine: MachineName): boolean {
     const claim = this.claims.get(machine);
-    return claim !== undefined && claim.job !== job && claim.until > this.ctx.clock.now();
+    return claim !== undefined && claim.job !== job && claim.until > this.context.clock.now();
   }
 
   /** Something was placed on the machine: what was claimed there is used. */
@@ -49,36 +49,36 @@
   }
 
   /** The changes that stop tasks for one of the jobs passed over, if any may have tasks stopped for it. */
-  preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, slice: readonly MachineRecord[]): Group[] {
-    const { ctx } = this;
+  preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, shard: readonly MachineRecord[]): Group[] {
+    const { context } = this;
     this.forgetOld(waitReasons);
-    const startable = new Map(ctx.dependencies.all().startable.map((j) => [j.spec.id, j]));
+    const startable = new Map(context.dependencies.all().startable.map((j) => [j.spec.id, j]));
     for (const [id, reason] of waitReasons) {
       if (reason !== 'no_room') continue;
       const job = startable.get(id);
       if (!this.hasWaited(id) || job === undefined || !this.mayPreempt(job)) continue;
-      const groups = isSeveral(job) ? this.makeGangRoom(job, slice) : this.makeRoom(job, slice);
+      const groups = isSeveral(job) ? this.makeGangRoom(job, shard) : this.makeRoom(job, shard);
       if (groups.length > 0) return groups;
     }
     return [];
   }
 
   private forgetOld(waitReasons: ReadonlyMap<JobId, WaitReason>): void {
-    const now = this.ctx.clock.now();
+    const now = this.context.clock.now();
     for (const id of this.waitingSince.keys()) if (!waitReasons.has(id)) this.waitingSince.delete(id);
     for (const [machine, claim] of this.claims) if (claim.until <= now) this.claims.delete(machine);
   }
 
   /** Room may come by itself for a while. */
   private hasWaited(id: JobId): boolean {
-    const now = this.ctx.clock.now();
+    const now = this.context.clock.now();
     const since = this.waitingSince.get(id);
     if (since === undefined) this.waitingSince.set(id, now);
-    return since !== undefined && now - since >= this.ctx.operator.placement.patience_s * 1000;
+    return since !== undefined && now - since >= this.context.operator.placement.patience_s * 1000;
   }
 
   private isEntitled({ spec }: JobRecord): boolean {
-    return withinGuarantee(this.ctx.teams.get(spec.team), this.ctx.allocations(), spec, 1);
+    return withinGuarantee(this.context.teams.get(spec.team), this.context.allocations(), spec, 1);
   }
 
   private mayPreempt(job: JobRecord): boolean {
@@ -86,22 +86,22 @@
     // Nothing is stopped for what fails wherever it runs.
     if (job.failing !== undefined) return false;
     if (isSeveral(job)) return [...this.claims.values()].every((claim) => claim.job !== spec.id);
-    const placed = this.ctx.allocations().jobs.get(spec.id)?.tasks.size ?? 0;
+    const placed = this.context.allocations().jobs.get(spec.id)?.tasks.size ?? 0;
     let claimed = 0;
     for (const claim of this.claims.values()) if (claim.job === spec.id) claimed++;
     if (claimed >= spec.tasks - job.done.count - placed) return false;
     return spec.priority === 'production' || this.isEntitled(job);
   }
 
-  private makeRoom(job: JobRecord, slice: readonly MachineRecord[]): Group[] {
-    const found = pickVictims(this.input(job, slice));
+  private makeRoom(job: JobRecord, shard: readonly MachineRecord[]): Group[] {
+    const found = pickVictims(this.input(job, shard));
     if (found === null) return [];
     return [this.stop(job, found.machine, found.victims)];
   }
 
   /** A gang starts as a whole, so that all its room is made and kept at once. */
-  private makeGangRoom(job: JobRecord, slice: readonly MachineRecord[]): Group[] {
-    const places = pickGangVictims(this.input(job, slice)) ?? [];
+  private makeGangRoom(job: JobRecord, shard: readonly MachineRecord[]): Group[] {
+    const places = pickGangVictims(this.input(job, shard)) ?? [];
     const groups: Group[] = [];
     for (const { machine, victims } of places) {
       if (victims.length > 0) groups.push(this.stop(job, machine, victims));
@@ -110,32 +110,39 @@
     return groups;
   }
 
-  private input({ spec }: JobRecord, slice: readonly MachineRecord[]): PreemptInput {
-    const { ctx } = this;
+  private input({ spec }: JobRecord, shard: readonly MachineRecord[]): PreemptInput {
+    const { context } = this;
     const taken = (m: MachineRecord) => this.claims.has(m.name);
-    return { job: spec, jobs: ctx.view.jobs, slice, ledger: ctx.allocations(), teams: ctx.teams, taken };
+    return {
+      job: spec,
+      jobs: context.view.jobs,
+      slice: shard,
+      ledger: context.allocations(),
+      teams: context.teams,
+      taken,
+    };
   }
 
   private claim({ spec }: JobRecord, machine: MachineRecord): void {
-    const { clock, operator } = this.ctx;
+    const { clock, operator } = this.context;
     const until = clock.now() + operator.placement.claim_s * 1000;
     this.claims.set(machine.name, { job: spec.id, until });
   }
 
   /** The change that stops the victims; the room that they leave is kept for the job. */
   private stop(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): Group {
-    const { ctx } = this;
+    const { context } = this;
     this.claim(job, machine);
     const entitled = this.isEntitled(job);
     for (const v of victims) {
-      if (ctx.events.isActive)
+      if (context.events.isActive)
         for (const index of v.tasks)
-          ctx.events.emit({
+          context.events.emit({
             kind: 'task_preempted',
             task: { job: v.job, index, attempt: v.attempt, machine: machine.name },
             inFavourOf: job.spec.id,
           });
-      ctx.log.info(
+      context.log.info(
         {
           job: v.job,
           tasks: v.tasks,
@@ -151,7 +158,7 @@
     const k = key.machine(machine.name);
     return {
       ops: [{ key: k, value, reason: 'preemption' }],
-      guards: [ctx.guard(k), ctx.guard(key.slice(machine.owner))],
+      guards: [context.guard(k), context.guard(key.shard(machine.owner))],
     };
   }
 }
--- a/src/controller/owner/results.ts
+++ b/src/controller/owner/results.ts
@@ -52,7 +52,7 @@
   /** Since when results of unfinished jobs have been gathered. */
   private readonly gatheredSince = new Map<JobId, MonotonicMs>();
 
-  constructor(private readonly ctx: Context) {}
+  constructor(private readonly context: Context) {}
 
   /** Remembers which ended tasks of a machine may keep their entries for now. */
   remember(machine: MachineRecord, token: FencingToken, exits: readonly TaskExit[]): void {
@@ -73,7 +73,7 @@
   /** Tasks known to have ended whose entries are still in the record. */
   provenOn(machine: MachineRecord): TaskExit[] {
     const known = this.proven.get(machine.name);
-    if (known?.token !== this.ctx.view.tokenOf(machine)) return [];
+    if (known?.token !== this.context.view.tokenOf(machine)) return [];
     return known.exits.filter((e) =>
       machine.placed.some(
         (p) => p.job === e.placed.job && p.attempt === e.placed.attempt && p.tasks.includes(e.index),
@@ -83,12 +83,12 @@
 
   /** The entry of a task that is done harms nobody, except where its job's cancellation waits for it. */
   mayStay(exit: TaskExit): boolean {
-    return exit.reason === 'done' && this.ctx.view.jobs.get(exit.placed.job)?.phase !== 'cancelling';
+    return exit.reason === 'done' && this.context.view.jobs.get(exit.placed.job)?.phase !== 'cancelling';
   }
 
   /** The task's result is in the state service: only then may its machine forget it. */
   isDurable(exit: TaskExit): boolean {
-    const job = this.ctx.view.jobs.get(exit.placed.job);
+    const job = this.context.view.jobs.get(exit.placed.job);
     return job === undefined || isDone(job.done, exit.index);
   }
 
@@ -103,26 +103,26 @@
       return;
     }
     // The tasks of a gang complete together: one that is done says that all are.
-    const tasks = this.ctx.view.jobs.get(job)?.spec.tasks ?? 0;
+    const tasks = this.context.view.jobs.get(job)?.spec.tasks ?? 0;
     for (let i = 0; i < tasks; i++) indexes.add(i);
   }
 
   private gatheringSince(id: JobId): MonotonicMs {
-    const since = this.gatheredSince.get(id) ?? this.ctx.clock.now();
+    const since = this.gatheredSince.get(id) ?? this.context.clock.now();
     this.gatheredSince.set(id, since);
     return since;
   }
 
   /** Which jobs have ended, and which results are to be written now. */
   settle(found: FoundResults): SettledResults {
-    const { ctx } = this;
-    const now = ctx.clock.now();
+    const { context } = this;
+    const now = context.clock.now();
     const budgetMs = this.writeEveryMs(found.size);
     const ended = new Map<JobId, DoneSet>();
     const open = new Map<JobId, DoneSet>();
     const due: Group[] = [];
     for (const [id, indexes] of found) {
-      const job = ctx.view.jobs.get(id);
+      const job = context.view.jobs.get(id);
       if (job === undefined) continue;
       const done = markDone(job.done, indexes);
       if (done.count >= job.spec.tasks) {
@@ -136,11 +136,11 @@
       if (now - this.gatheringSince(id) < waitMs) continue;
       this.gatheredSince.set(id, now);
       due.push({
-        ops: [{ key: key.job(id), value: ctx.storedJob({ ...sound, done }), reason: 'results' }],
-        guards: [ctx.guard(key.job(id))],
+        ops: [{ key: key.job(id), value: context.storedJob({ ...sound, done }), reason: 'results' }],
+        guards: [context.guard(key.job(id))],
       });
     }
-    for (const id of this.gatheredSince.keys()) if (!ctx.view.jobs.has(id)) this.gatheredSince.delete(id);
+    for (const id of this.gatheredSince.keys()) if (!context.view.jobs.has(id)) this.gatheredSince.delete(id);
     return { ended, open, due };
   }
 
@@ -150,15 +150,15 @@
    * team belongs to another controller, which counts its tasks against the limit until their results are written.
    */
   private gatherMs(job: JobRecord, done: DoneSet): number {
-    const { ctx } = this;
-    if (!ctx.ownsTeam(job.spec.team)) return 0;
+    const { context } = this;
+    if (!context.ownsTeam(job.spec.team)) return 0;
     // The team waits for its limit: a task counts against it until its result is written.
-    if (!ctx.allocations().isWithinQuota(job.spec.team, job.spec.demand, 1)) return 0;
+    if (!context.allocations().isWithinQuota(job.spec.team, job.spec.demand, 1)) return 0;
     const runsHere = ([index, at]: [TaskIndex, { machine: MachineName }]) => {
-      const machine = ctx.view.machines.get(at.machine);
-      return machine !== undefined && ctx.isMine(machine) && !isDone(done, index);
+      const machine = context.view.machines.get(at.machine);
+      return machine !== undefined && context.isOwned(machine) && !isDone(done, index);
     };
-    const tasks = ctx.allocations().jobs.get(job.spec.id)?.tasks ?? [];
+    const tasks = context.allocations().jobs.get(job.spec.id)?.tasks ?? [];
     return [...tasks].some(runsHere) ? Math.min(job.spec.estimateS * 1000, MOST_GATHER_MS) : 0;
   }
 
@@ -167,7 +167,7 @@
    * lost with them but time: a task whose result is not written is still on its machine's record and in its reports.
    */
   private writeEveryMs(jobs: number): number {
-    const { settings, spare } = this.ctx.state;
+    const { settings, spare } = this.context.state;
     const rate = (settings.writeRps / settings.nodes) * (spare ? 2 * BUDGET_PART : BUDGET_PART);
     return Math.min(MOST_STAY_MS, Math.max(spare ? SWEEP_MS : GATHER_MS, (jobs * 1000) / rate));
   }
--- a/src/controller/owner/starts.ts
+++ b/src/controller/owner/starts.ts
@@ -51,13 +51,13 @@
   private readonly preemptor: Preemptor;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly sessions: AgentSessions,
     private readonly health: Health,
     private readonly results: Results,
     private readonly machines: MachineReconciler,
   ) {
-    this.preemptor = new Preemptor(ctx);
+    this.preemptor = new Preemptor(context);
   }
 
   /** Places waiting tasks; where none can be placed, makes room for one. */
@@ -69,7 +69,7 @@
 
   /** False: not all were committed. */
   async commit({ gangs, others }: Plan): Promise<boolean> {
-    const { state, follower } = this.ctx;
+    const { state, follower } = this.context;
     // Of a gang all tasks are committed, however long that takes: a part of it would only have to go again.
     const ok = await commitAll(state, follower, gangs, URGENCY.starts);
     return (await commitAll(state, follower, others, URGENCY.starts)) && ok;
@@ -77,43 +77,43 @@
 
   /** Machines that may be given work now. */
   private slice(): MachineRecord[] {
-    const { ctx } = this;
-    const heardMs = ctx.settings.workers.report_s * 1000 * HEARD_INTERVALS;
-    return ctx.myMachines().filter((m) => {
+    const { context } = this;
+    const heardMs = context.settings.workers.report_s * 1000 * HEARD_INTERVALS;
+    return context.ownedMachines().filter((m) => {
       const memory = this.sessions.get(m.name);
       if (m.phase === 'releasing' || m.drain === true || memory?.heartbeat == null) return false;
-      return ctx.clock.now() - memory.lastContactAt < heardMs && !this.health.sick(m);
+      return context.clock.now() - memory.lastContactAt < heardMs && !this.health.sick(m);
     });
   }
 
   private place(): readonly Placement[] {
-    const { ctx } = this;
-    const { placement } = ctx.operator;
-    const mine = ctx.dependencies.all().startable.filter((j) => ctx.ownsTeam(j.spec.team));
+    const { context } = this;
+    const { placement } = context.operator;
+    const mine = context.dependencies.all().startable.filter((j) => context.ownsTeam(j.spec.team));
     const ended = this.endedTasks();
-    const ledger = ctx.allocations();
-    for (const { machine, placed, isDurable } of ended) ledger.vacate(machine, placed, false, isDurable);
+    const totals = context.allocations();
+    for (const { machine, placed, isDurable } of ended) totals.vacate(machine, placed, false, isDurable);
     const { placements, waitReasons } = schedule({
       jobs: mine.filter((j) => !this.health.backedOff(j)),
       slice: this.slice(),
-      ledger,
+      ledger: totals,
       // A number for each start; the revision at which the team's slice got its holder is put before it below,
       // so that no attempt is ever used twice.
       newAttempt: () => attempt(++this.counter),
       fetchRank: (m, image) => this.fetchRank(m, image),
       avoid: (job, m) => this.health.avoids(job, m) || this.preemptor.isClaimedByOther(job, m),
-      recordRoom: (name) => ctx.recordRoom(ctx.view.machines.get(name)!),
+      recordRoom: (name) => context.recordRoom(context.view.machines.get(name)!),
       most: MOST_PLANNED,
       mostMachines: this.mostMachines(),
-      order: ctx.order(),
+      order: context.order(),
       keepWhole: this.areGangsAbout(),
-      yields: ctx.yielding(),
-      mayHold: (j) => ctx.mayHold(j),
-      overdue: (j) => ctx.clock.wallClock() - j.submitted > placement.behind_s * 1000,
+      yields: context.yielding(),
+      mayHold: (j) => context.mayHold(j),
+      overdue: (j) => context.clock.wallClock() - j.submitted > placement.behind_s * 1000,
       fails: (j) => this.health.fails(j),
       hSlack: placement.h_slack,
     });
-    for (const { machine, placed, isDurable } of ended) ledger.vacate(machine, placed, true, isDurable);
+    for (const { machine, placed, isDurable } of ended) totals.vacate(machine, placed, true, isDurable);
     const backedOff = mine.filter((j) => this.health.backedOff(j));
     this.waitReasons = new Map([...waitReasons, ...backedOff.map((j) => [j.spec.id, 'failing'] as const)]);
     this.logWaiting(mine);
@@ -125,7 +125,7 @@
   private endedTasks(): EndedTask[] {
     const ended: EndedTask[] = [];
     for (const name of this.results.machines()) {
-      const machine = this.ctx.view.machines.get(name);
+      const machine = this.context.view.machines.get(name);
       if (machine === undefined) continue;
       for (const e of this.results.provenOn(machine)) {
         const placed = { ...e.placed, tasks: [e.index] };
@@ -136,13 +136,13 @@
   }
 
   private mostMachines(): number {
-    return Math.max(LEAST_MACHINES, Math.min(MOST_MACHINES, this.ctx.state.writesWithin(PASS_MS)));
+    return Math.max(LEAST_MACHINES, Math.min(MOST_MACHINES, this.context.state.writesWithin(PASS_MS)));
   }
 
   /** Gangs have been seen of late, in whatever team. */
   private areGangsAbout(): boolean {
-    const now = this.ctx.clock.now();
-    for (const j of this.ctx.view.jobs.values())
+    const now = this.context.clock.now();
+    for (const j of this.context.view.jobs.values())
       if (j.spec.kind === 'gang') {
         this.gangSeenAt = now;
         break;
@@ -155,7 +155,7 @@
     if (this.health.cached(machine, image)) return 0;
     let rank = 2;
     for (const p of machine.placed) {
-      const other = this.ctx.view.jobs.get(p.job)?.spec.image;
+      const other = this.context.view.jobs.get(p.job)?.spec.image;
       if (other === image) return 1;
       if (other !== undefined && !this.health.cached(machine, other)) rank = BUSY_FETCHING;
     }
@@ -164,7 +164,7 @@
 
   /** Why a job waits is asked for afterwards, too: it is logged now and then of those that wait for long. */
   private logWaiting(mine: readonly JobRecord[]): void {
-    const wall = this.ctx.clock.wallClock();
+    const wall = this.context.clock.wallClock();
     for (const id of this.loggedAt.keys()) if (!this.waitReasons.has(id)) this.loggedAt.delete(id);
     for (const { spec, submitted } of mine) {
       const why = this.waitReasons.get(spec.id);
@@ -172,7 +172,7 @@
       if (why === undefined || wall - since < LOG_WAIT_MS) continue;
       this.loggedAt.set(spec.id, wall);
       const waitsS = Math.round((wall - submitted) / 1000);
-      this.ctx.log.info({ job: spec.id, team: spec.team, priority: spec.priority, waitsS, why }, 'waits');
+      this.context.log.info({ job: spec.id, team: spec.team, priority: spec.priority, waitsS, why }, 'waits');
     }
   }
 
@@ -187,17 +187,17 @@
     const others: Group[] = [];
     for (const [name, list] of byMachine) {
       const isGang = list.some((p) => p.job.kind === 'gang');
-      (isGang ? gangs : others).push(this.groupOf(this.ctx.view.machines.get(name)!, list));
+      (isGang ? gangs : others).push(this.groupOf(this.context.view.machines.get(name)!, list));
     }
     return { gangs, others };
   }
 
   /** The change that starts tasks on one machine, and takes out those that have ended. */
   private groupOf(machine: MachineRecord, placements: readonly Placement[]): Group {
-    const { ctx } = this;
+    const { context } = this;
     const k = key.machine(machine.name);
-    const guards = new GuardSet(ctx.state.settings.txnOps * GUARDS_PER_OP);
-    guards.add([ctx.guard(k), ctx.guard(key.slice(machine.owner))]);
+    const guards = new GuardSet(context.state.settings.txnOps * GUARDS_PER_OP);
+    guards.add([context.guard(k), context.guard(key.shard(machine.owner))]);
     const gone = this.results.provenOn(machine).filter((e) => this.results.isDurable(e));
     let placed: readonly Allocation[] = removeExits(machine.placed, gone);
     // Gangs first: of a gang no task may be left out.
@@ -205,7 +205,7 @@
     for (const p of gangsFirst) {
       // Tasks of dozens of small jobs on one machine need more guards than a transaction takes: it would be rejected for
       // ever, and the machine get nothing more. What does not fit is left to the next pass.
-      if (!guards.add([...ctx.teamGuards(p.job.team), ctx.guard(key.job(p.job.id))])) continue;
+      if (!guards.add([...context.teamGuards(p.job.team), context.guard(key.job(p.job.id))])) continue;
       const full = attempt(this.epochOf(p.job.team) * ATTEMPT_COUNTER + (p.attempt % ATTEMPT_COUNTER));
       placed = addAllocation(placed, allocationFor(p.job, full, [p.index]));
       this.logPlacement(p, full);
@@ -221,22 +221,22 @@
 
   /** The revision at which the team's slice got its holder. */
   private epochOf(team: TeamName): number {
-    const { view } = this.ctx;
-    return view.versionOf(key.slice(view.teams.get(team)!.owner));
+    const { view } = this.context;
+    return view.versionOf(key.shard(view.teams.get(team)!.owner));
   }
 
   private logPlacement(p: Placement, full: number): void {
-    const { ctx } = this;
+    const { context } = this;
     const { id, team } = p.job;
     const task = { job: id, index: p.index, attempt: attempt(full), machine: p.machine.name };
-    if (ctx.events.isActive) ctx.events.emit({ kind: 'task_placed', task, team });
-    ctx.log.info(
+    if (context.events.isActive) context.events.emit({ kind: 'task_placed', task, team });
+    context.log.info(
       {
-        task: ctx.task(id, p.index),
+        task: context.task(id, p.index),
         team,
         attempt: full,
         machine: p.machine.name,
-        token: ctx.view.tokenOf(p.machine),
+        token: context.view.tokenOf(p.machine),
         share: Number(p.share.toPrecision(5)),
         h: Number(p.h.toPrecision(5)),
         fetch: p.fetch,
--- a/src/controller/owner/unreachable.ts
+++ b/src/controller/owner/unreachable.ts
@@ -28,11 +28,11 @@
 }
 
 /** What is heard of each zone now; worked out once a pass, since a silent zone has many machines to judge. */
-export function presenceByZone(ctx: Context, sessions: AgentSessions): ReadonlyMap<Zone, ZonePresence> {
+export function presenceByZone(context: Context, sessions: AgentSessions): ReadonlyMap<Zone, ZonePresence> {
   const zones = new Map<Zone, { machines: number; heard: boolean }>();
-  const { report_s } = ctx.settings.workers;
-  const now = ctx.clock.now();
-  for (const machine of ctx.myMachines()) {
+  const { report_s } = context.settings.workers;
+  const now = context.clock.now();
+  for (const machine of context.ownedMachines()) {
     if (machine.phase === 'booting') continue;
     const zone = zones.get(machine.zone) ?? { machines: 0, heard: false };
     zones.set(machine.zone, zone);
@@ -54,20 +54,20 @@
  * the machine is returned, and only the cloud's answer to that frees its tasks.
  */
 export function isUnreachable(
-  ctx: Context,
+  context: Context,
   machine: MachineRecord,
   memory: AgentSession,
   zones: () => ReadonlyMap<Zone, ZonePresence>,
 ): boolean {
-  if (machine.phase === 'releasing' || ctx.substituteOf(machine) !== null) return false;
+  if (machine.phase === 'releasing' || context.proxyOf(machine) !== null) return false;
   if (machine.phase === 'booting' && memory.heartbeat === null) return false;
-  if (!ctx.state.reachable(STATE_FRESH_MS)) return false;
-  const { report_s, lease_s } = ctx.settings.workers;
+  if (!context.state.reachable(STATE_FRESH_MS)) return false;
+  const { report_s, lease_s } = context.settings.workers;
   const reportMs = report_s * 1000;
-  const now = ctx.clock.now();
+  const now = context.clock.now();
   const quietMs = now - memory.lastContactAt;
   // A worker that has not reported to this owner yet may have to try every other controller first.
-  const hops = memory.lastPushedAt === null ? ctx.settings.nodes : 1;
+  const hops = memory.lastPushedAt === null ? context.settings.nodes : 1;
   if (quietMs < turnsAwayMs(report_s, hops)) return false;
   // Where its whole zone is silent, or it is alone there, the network is the more likely cause: then time is given to
   // try every controller, one after the other, and to be written down by one of them. Only those count that were heard
@@ -78,7 +78,7 @@
   // And another lease: until then its machines may be back at once, while new ones must boot and fetch. Where several
   // are silent together it is hardly they that failed, and what would replace them needs a boot: so much longer they
   // are waited for. Those that did fail are listed as failed by the cloud, and returned for that.
-  const bootS = others >= FEW_OTHERS ? (ctx.types.get(machine.type)?.bootS ?? 0) : 0;
-  const triesAllMs = LATEST_REPORT * reportMs + ctx.settings.nodes * HOP_MS + LONG_SLACK_MS;
+  const bootS = others >= FEW_OTHERS ? (context.types.get(machine.type)?.bootS ?? 0) : 0;
+  const triesAllMs = LATEST_REPORT * reportMs + context.settings.nodes * HOP_MS + LONG_SLACK_MS;
   return quietMs > triesAllMs + (lease_s + bootS) * 1000;
 }
