--- a/src/controller/report-router.ts
+++ b/src/controller/report-router.ts
@@ -19,18 +19,18 @@
 import type { Health } from './health.js';
 import { leaderOf, type Leader } from './leader/leader.js';
 import type { Membership } from './membership.js';
-import type { Owner, ReportAnswer } from './owner/owner.js';
+import type { ShardController, ReportAnswer } from './owner/owner.js';
 import type { Availability } from './availability.js';
-import { SubstituteList } from './substitute-list.js';
+import { ProxiedMachineList } from './substitute-list.js';
 
-interface Substituted {
+interface ProxiedAgent {
   /** The owner's token; under another one everything begins anew. */
   readonly token: FencingToken;
   /** Since when this worker is answered here, and when it was last heard. */
   since: MonotonicMs;
-  heard: MonotonicMs;
+  lastHeartbeatAt: MonotonicMs;
   /** It has come back soon after an answer, so it hears this controller and not only the other way round. */
-  hears: boolean;
+  receivesAnswers: boolean;
   /** For how long it is kept before it is sent to its owner again, to see whether that works now. */
   keepMs: number;
 }
@@ -43,37 +43,37 @@
 
 /** Answers workers' reports, or tells them which controller does. */
 export class HeartbeatRouter {
-  private readonly substituted = new Map<MachineName, Substituted>();
+  private readonly proxied = new Map<MachineName, ProxiedAgent>();
   /** Workers that were sent to their owner, and when. */
-  private readonly sentOn = new Map<MachineName, { token: FencingToken; at: MonotonicMs }>();
+  private readonly redirectedAt = new Map<MachineName, { token: FencingToken; at: MonotonicMs }>();
   /** Workers that were sent on by this controller, alone as it is, and are back since then: nobody else has them. */
-  private readonly cameBack = new Map<MachineName, { token: FencingToken; at: MonotonicMs }>();
+  private readonly returnedAt = new Map<MachineName, { token: FencingToken; at: MonotonicMs }>();
   private readonly tokens = new Map<MachineName, { token: FencingToken; since: MonotonicMs }>();
-  private readonly list: SubstituteList;
+  private readonly proxiedMachineList: ProxiedMachineList;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly owner: Owner,
+    private readonly context: Context,
+    private readonly owner: ShardController,
     private readonly leader: Leader,
     private readonly health: Health,
     private readonly membership: Membership,
     private readonly availability: Availability,
   ) {
-    this.list = new SubstituteList(ctx);
-    ctx.listeners.push(({ machines, slices }) => {
-      for (const name of slices.size > 0 ? ctx.view.machines.keys() : machines) this.noteToken(name);
+    this.proxiedMachineList = new ProxiedMachineList(context);
+    context.listeners.push(({ machines, shards }) => {
+      for (const name of shards.size > 0 ? context.view.machines.keys() : machines) this.noteToken(name);
       // Those that have just gone are not in the view any more.
-      if (slices.size > 0) for (const name of machines) this.noteToken(name);
+      if (shards.size > 0) for (const name of machines) this.noteToken(name);
     });
   }
 
   private noteToken(name: MachineName): void {
-    const { view, clock } = this.ctx;
+    const { view, clock } = this.context;
     const m = view.machines.get(name);
     if (m === undefined) {
       this.tokens.delete(name);
-      this.sentOn.delete(name);
-      this.cameBack.delete(name);
+      this.redirectedAt.delete(name);
+      this.returnedAt.delete(name);
       return;
     }
     const token = view.tokenOf(m);
@@ -81,28 +81,28 @@
   }
 
   answer(r: Heartbeat): ReportAnswer {
-    const { ctx } = this;
-    if (!ctx.follower.ready) return { kind: 'busy' };
+    const { context } = this;
+    if (!context.follower.ready) return { kind: 'busy' };
     this.health.observeHeartbeat(r);
-    const m = ctx.view.machines.get(r.machine);
+    const m = context.view.machines.get(r.machine);
     if (m === undefined) {
-      const leader = leaderOf(ctx);
-      if (leader !== ctx.settings.node) return { kind: 'elsewhere', node: leader };
+      const leader = leaderOf(context);
+      if (leader !== context.settings.node) return { kind: 'elsewhere', node: leader };
       this.leader.recordUnregistered(r);
       return { kind: 'elsewhere', node: null };
     }
-    if (ctx.isMine(m)) {
+    if (context.isOwned(m)) {
       if (!this.availability.mayAnswerWorkers) return this.answerIsolated(m, r);
-      this.sentOn.delete(m.name);
-      this.cameBack.delete(m.name);
+      this.redirectedAt.delete(m.name);
+      this.returnedAt.delete(m.name);
       return this.owner.answerHeartbeat(m, r);
     }
     // Kept, and told nothing, for the moment until the view holds what its former owner has committed.
-    if (ctx.isBecomingMine(m)) return { kind: 'ok', token: ctx.view.tokenOf(m), commands: [] };
-    if (!this.fresh()) return this.answerIsolated(m, r);
-    const holder = ctx.holderOf(m);
-    if (!this.substitutes(m, r, holder !== null)) return { kind: 'elsewhere', node: holder };
-    return { kind: 'ok', token: ctx.view.tokenOf(m), commands: this.stops(r) };
+    if (context.isBecomingOwned(m)) return { kind: 'ok', token: context.view.tokenOf(m), commands: [] };
+    if (!this.isStateFresh()) return this.answerIsolated(m, r);
+    const holder = context.holderOf(m);
+    if (!this.shouldProxy(m, r, holder !== null)) return { kind: 'elsewhere', node: holder };
+    return { kind: 'ok', token: context.view.tokenOf(m), commands: this.stopCommandsFor(r) };
   }
 
   /**
@@ -114,53 +114,55 @@
    * machine up.
    */
   private answerIsolated(m: MachineRecord, r: Heartbeat): ReportAnswer {
-    const { ctx } = this;
+    const { context } = this;
     if (!this.availability.isolated)
-      return { kind: 'elsewhere', node: ctx.isMine(m) ? null : ctx.holderOf(m) };
-    const t = ctx.clock.now();
-    const token = ctx.view.tokenOf(m);
-    const kept = this.cameBack.get(m.name);
-    const sent = this.sentOn.get(m.name);
+      return { kind: 'elsewhere', node: context.isOwned(m) ? null : context.holderOf(m) };
+    const t = context.clock.now();
+    const token = context.view.tokenOf(m);
+    const kept = this.returnedAt.get(m.name);
+    const sent = this.redirectedAt.get(m.name);
     const away = sent?.token === token ? t - sent.at : Number.POSITIVE_INFINITY;
     // Each try costs it a second at least; one that another controller sent straight back is here sooner.
-    const triedAll = away > ctx.settings.nodes * 1000 - 500 && away < BACK_LATEST_MS;
-    const came = triedAll || (!(away < BACK_LATEST_MS) && !ctx.isMine(m) && this.leftOwner(r, token));
-    const keepMs = ctx.settings.workers.lease_s * 1000;
+    const triedAll = away > context.settings.nodes * 1000 - 500 && away < BACK_LATEST_MS;
+    const came = triedAll || (!(away < BACK_LATEST_MS) && !context.isOwned(m) && this.leftOwner(r, token));
+    const keepMs = context.settings.workers.lease_s * 1000;
     const stays = kept?.token === token && t - kept.at < keepMs;
     if (r.token > token || !(came || stays)) {
-      this.cameBack.delete(m.name);
-      this.sentOn.set(m.name, { token, at: t });
+      this.returnedAt.delete(m.name);
+      this.redirectedAt.set(m.name, { token, at: t });
       return { kind: 'elsewhere', node: null };
     }
-    if (!stays) this.cameBack.set(m.name, { token, at: t });
-    this.sentOn.delete(m.name);
+    if (!stays) this.returnedAt.set(m.name, { token, at: t });
+    this.redirectedAt.delete(m.name);
     return { kind: 'ok', token, commands: [] };
   }
 
   /** It has the present token and has had it for a while: it knew its owner and left it. */
   private leftOwner(r: Heartbeat, token: FencingToken): boolean {
     const known = this.tokens.get(r.machine);
-    const reportMs = this.ctx.settings.workers.report_s * 1000;
-    return r.token === token && known !== undefined && this.ctx.clock.now() - known.since >= reportMs * 1.5;
+    const reportMs = this.context.settings.workers.report_s * 1000;
+    return (
+      r.token === token && known !== undefined && this.context.clock.now() - known.since >= reportMs * 1.5
+    );
   }
 
-  private substitutes(m: MachineRecord, r: Heartbeat, ownerLives: boolean): boolean {
-    const { ctx } = this;
-    const t = ctx.clock.now();
-    const reportMs = ctx.settings.workers.report_s * 1000;
+  private shouldProxy(m: MachineRecord, r: Heartbeat, ownerLives: boolean): boolean {
+    const { context } = this;
+    const t = context.clock.now();
+    const reportMs = context.settings.workers.report_s * 1000;
     const soon = reportMs * 1.25 + 500;
-    const token = ctx.view.tokenOf(m);
+    const token = context.view.tokenOf(m);
     if (r.token > token) return false;
-    const before = this.substituted.get(m.name);
+    const before = this.proxied.get(m.name);
     // After a change of owner the worker is sent to the new one first.
     const s = before?.token === token ? before : undefined;
-    if (s === undefined) this.substituted.delete(m.name);
+    if (s === undefined) this.proxied.delete(m.name);
     if (!ownerLives) {
-      this.substituted.set(m.name, {
+      this.proxied.set(m.name, {
         token,
         since: s?.since ?? t,
-        heard: t,
-        hears: s !== undefined && (s.hears || t - s.heard < soon),
+        lastHeartbeatAt: t,
+        receivesAnswers: s !== undefined && (s.receivesAnswers || t - s.lastHeartbeatAt < soon),
         keepMs: s?.keepMs ?? reportMs * 2,
       });
       return true;
@@ -169,18 +171,24 @@
       // One that left its owner is kept. Any other is sent there first. One that comes back from there does not reach
       // it; it may not even have the token yet, where its machine got a new owner while zones were apart.
       const left = this.leftOwner(r, token);
-      const sent = this.sentOn.get(m.name);
+      const sent = this.redirectedAt.get(m.name);
       const away = sent?.token === token ? t - sent.at : Number.POSITIVE_INFINITY;
       if (!left && (away < BACK_SOONEST_MS || away > BACK_LATEST_MS)) {
-        if (away > BACK_LATEST_MS) this.sentOn.set(m.name, { token, at: t });
+        if (away > BACK_LATEST_MS) this.redirectedAt.set(m.name, { token, at: t });
         return false;
       }
-      this.sentOn.delete(m.name);
-      this.substituted.set(m.name, { token, since: t, heard: t, hears: false, keepMs: reportMs * 2 });
+      this.redirectedAt.delete(m.name);
+      this.proxied.set(m.name, {
+        token,
+        since: t,
+        lastHeartbeatAt: t,
+        receivesAnswers: false,
+        keepMs: reportMs * 2,
+      });
       return true;
     }
-    s.hears ||= t - s.heard < soon;
-    s.heard = t;
+    s.receivesAnswers ||= t - s.lastHeartbeatAt < soon;
+    s.lastHeartbeatAt = t;
     if (t - s.since < s.keepMs) return true;
     // Back to its owner; if it returns from there it is kept for longer.
     s.since = (t + reportMs) as MonotonicMs;
@@ -188,16 +196,16 @@
     return false;
   }
 
-  private fresh(): boolean {
-    return this.ctx.clock.now() - this.ctx.state.contactAt < 2500 && this.membership.valid;
+  private isStateFresh(): boolean {
+    return this.context.clock.now() - this.context.state.contactAt < 2500 && this.membership.valid;
   }
 
   /** Only what the state says is over may be stopped in the owner's place. */
-  private stops(r: Heartbeat): AgentCommand[] {
+  private stopCommandsFor(r: Heartbeat): AgentCommand[] {
     const out: AgentCommand[] = [];
     for (const t of r.tasks) {
       if (t.state === 'exited') continue;
-      const job = this.ctx.view.jobs.get(t.job);
+      const job = this.context.view.jobs.get(t.job);
       if (job === undefined || job.phase === 'cancelling')
         out.push({ op: 'stop', job: t.job, index: t.index, attempt: t.attempt, gracePeriodS: 0 });
     }
@@ -206,21 +214,21 @@
 
   /** Keeps the list of machines answered here for others current in the state service. */
   async run(): Promise<never> {
-    const { ctx } = this;
+    const { context } = this;
     for (;;) {
       // A long list takes several changes each time.
-      await ctx.clock.sleep(LIST_EVERY_MS * Math.max(1, this.list.records));
-      if (!ctx.follower.ready) continue;
-      const reportMs = ctx.settings.workers.report_s * 1000;
-      for (const [name, s] of [...this.substituted]) {
-        const m = ctx.view.machines.get(name);
-        const keepMs = s.hears ? reportMs * 2 + 6000 : reportMs * 1.25 + 500;
-        if (m === undefined || ctx.isMine(m) || ctx.clock.now() - s.heard > keepMs)
-          this.substituted.delete(name);
+      await context.clock.sleep(LIST_EVERY_MS * Math.max(1, this.proxiedMachineList.records));
+      if (!context.follower.ready) continue;
+      const reportMs = context.settings.workers.report_s * 1000;
+      for (const [name, s] of [...this.proxied]) {
+        const m = context.view.machines.get(name);
+        const keepMs = s.receivesAnswers ? reportMs * 2 + 6000 : reportMs * 1.25 + 500;
+        if (m === undefined || context.isOwned(m) || context.clock.now() - s.lastHeartbeatAt > keepMs)
+          this.proxied.delete(name);
       }
       const lease = this.membership.currentLease;
       if (lease === null) continue;
-      await this.list.publish(this.substituted.keys(), lease);
+      await this.proxiedMachineList.publish(this.proxied.keys(), lease);
     }
   }
 }
--- a/src/controller/slice-transfer.ts
+++ b/src/controller/slice-transfer.ts
@@ -4,46 +4,46 @@
  * a holder is guarded on the slice record, so that nothing of the former holder can follow.
  */
 import { key } from '../core/keys.js';
-import type { NodeName, SessionRecord, SliceRecord } from '../core/types.js';
+import type { NodeName, SessionRecord, ShardRecord } from '../core/types.js';
 import { URGENCY } from '../io/rate-limiter.js';
 import { Unavailable } from '../io/state/client.js';
 import type { Guard, Op } from '../io/wire.js';
-import type { SliceControl, SliceFact, SliceOutcome } from '../packages/api.js';
+import type { ShardControl, ShardFact, ShardTransferOutcome } from '../packages/api.js';
 import type { Context } from './context.js';
 import type { Membership } from './membership.js';
 
-const OVERTAKEN: SliceOutcome = { kind: 'overtaken' };
-const UNAVAILABLE: SliceOutcome = { kind: 'unavailable' };
+const OVERTAKEN: ShardTransferOutcome = { kind: 'overtaken' };
+const UNAVAILABLE: ShardTransferOutcome = { kind: 'unavailable' };
 /** How long the view may take to show what overtook a transaction. */
 const VIEW_WAIT_MS = 1000;
 
 /** Changes the holders of slices. */
-export class SliceTransfer implements SliceControl {
+export class ShardTransfer implements ShardControl {
   constructor(
-    private readonly ctx: Context,
+    private readonly context: Context,
     private readonly membership: Membership,
   ) {}
 
-  async takeOver(slice: SliceFact): Promise<SliceOutcome> {
-    const { ctx, membership } = this;
+  async takeOver(shard: ShardFact): Promise<ShardTransferOutcome> {
+    const { context, membership } = this;
     if (!membership.valid) return UNAVAILABLE;
-    const session = ctx.view.sessions.get(slice.holder);
+    const session = context.view.sessions.get(shard.holder);
     // A new life of the holder takes its slice back by itself.
-    if (session !== undefined && session.incarnation !== slice.incarnation) return OVERTAKEN;
-    const sessionKey = key.session(slice.holder);
-    const value: SliceRecord = { holder: ctx.settings.node, incarnation: ctx.incarnation };
+    if (session !== undefined && session.incarnation !== shard.incarnation) return OVERTAKEN;
+    const sessionKey = key.session(shard.holder);
+    const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
     const guards = [
-      { key: key.slice(slice.slice), version: slice.epoch },
-      ctx.guard(sessionKey),
-      ctx.guard(key.session(ctx.settings.node)),
+      { key: key.shard(shard.shard), version: shard.epoch },
+      context.guard(sessionKey),
+      context.guard(key.session(context.settings.node)),
     ];
-    const ops: Op[] = [{ key: key.slice(slice.slice), value, reason: 'membership' }];
+    const ops: Op[] = [{ key: key.shard(shard.shard), value, reason: 'membership' }];
     // With the slice, in one transaction: were the session ended first, the leader might give the slice to another one.
-    const { txnOps } = ctx.state.settings;
+    const { txnOps } = context.state.settings;
     if (session !== undefined && ops.length < txnOps)
       ops.push({ key: sessionKey, value: undefined, reason: 'membership' });
-    if (ctx.view.leader?.incarnation === slice.incarnation && ops.length < txnOps) {
-      guards.push(ctx.guard(key.leader));
+    if (context.view.leader?.incarnation === shard.incarnation && ops.length < txnOps) {
+      guards.push(context.guard(key.leader));
       ops.push({ key: key.leader, value: undefined, reason: 'membership' });
     }
     const outcome = await this.commit(guards, ops);
@@ -54,29 +54,33 @@
   /** The former holder's other keys go with its lease. Where that fails they go when the lease runs out. */
   private async endLease(lease: number): Promise<void> {
     try {
-      await this.ctx.state.revoke(lease);
+      await this.context.state.revoke(lease);
     } catch (e) {
       if (!(e instanceof Unavailable)) throw e;
     }
   }
 
-  async handOver(slices: readonly SliceFact[], to: NodeName, drainForMs: number): Promise<SliceOutcome> {
-    const { ctx, membership } = this;
-    const receiver = ctx.view.sessions.get(to);
-    const mine = ctx.view.sessions.get(ctx.settings.node);
-    if (!membership.valid || mine?.incarnation !== ctx.incarnation) return UNAVAILABLE;
+  async handOver(
+    shards: readonly ShardFact[],
+    to: NodeName,
+    drainForMs: number,
+  ): Promise<ShardTransferOutcome> {
+    const { context, membership } = this;
+    const receiver = context.view.sessions.get(to);
+    const mine = context.view.sessions.get(context.settings.node);
+    if (!membership.valid || mine?.incarnation !== context.incarnation) return UNAVAILABLE;
     if (receiver === undefined || receiver.draining === true) return OVERTAKEN;
     membership.drainFor(drainForMs);
-    const value: SliceRecord = { holder: receiver.node, incarnation: receiver.incarnation };
-    const perTransaction = Math.max(1, ctx.state.settings.txnOps - 2);
-    let outcome: SliceOutcome = OVERTAKEN;
-    for (let i = 0; i < slices.length; i += perTransaction) {
-      const part = slices.slice(i, i + perTransaction);
-      const ops: Op[] = part.map(({ slice }) => ({ key: key.slice(slice), value, reason: 'membership' }));
-      const guards: Guard[] = part.map(({ slice, epoch }) => ({ key: key.slice(slice), version: epoch }));
+    const value: ShardRecord = { holder: receiver.node, incarnation: receiver.incarnation };
+    const perTransaction = Math.max(1, context.state.settings.txnOps - 2);
+    let outcome: ShardTransferOutcome = OVERTAKEN;
+    for (let i = 0; i < shards.length; i += perTransaction) {
+      const part = shards.slice(i, i + perTransaction);
+      const ops: Op[] = part.map(({ shard }) => ({ key: key.shard(shard), value, reason: 'membership' }));
+      const guards: Guard[] = part.map(({ shard, epoch }) => ({ key: key.shard(shard), version: epoch }));
       const leaving = this.leaving(mine);
       outcome = await this.commit(
-        [...guards, ctx.guard(key.session(to)), ...leaving.guards],
+        [...guards, context.guard(key.session(to)), ...leaving.guards],
         [...ops, ...leaving.ops],
       );
       if (outcome.kind !== 'committed') break;
@@ -87,20 +91,20 @@
 
   /** In the same transaction as the slices, or the leader would give them back at once. */
   private leaving(mine: SessionRecord): { guards: Guard[]; ops: Op[] } {
-    const { ctx, membership } = this;
-    const sessionKey = key.session(ctx.settings.node);
+    const { context, membership } = this;
+    const sessionKey = key.session(context.settings.node);
     const session: SessionRecord = { ...mine, draining: true };
-    const guards = [ctx.guard(sessionKey)];
+    const guards = [context.guard(sessionKey)];
     const ops: Op[] = [{ key: sessionKey, value: session, lease: mine.lease, reason: 'membership' }];
     if (membership.isLeader) {
-      guards.push(ctx.guard(key.leader));
+      guards.push(context.guard(key.leader));
       ops.push({ key: key.leader, value: undefined, reason: 'membership' });
     }
     return { guards, ops };
   }
 
-  private async commit(guards: readonly Guard[], ops: readonly Op[]): Promise<SliceOutcome> {
-    const { state, follower } = this.ctx;
+  private async commit(guards: readonly Guard[], ops: readonly Op[]): Promise<ShardTransferOutcome> {
+    const { state, follower } = this.context;
     const result = await state.txn(guards, ops, URGENCY.session);
     if (result.kind === 'ok') {
       follower.applied(ops, result.rev);
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -4,7 +4,7 @@
 import { key } from '../core/keys.js';
 import type { Context } from './context.js';
 import { leaderOf } from './leader/leader.js';
-import type { Owner } from './owner/owner.js';
+import type { ShardController } from './owner/owner.js';
 
 /** Lists are cut to this length, so that an answer stays readable and small. */
 const MOST = 200;
@@ -19,40 +19,40 @@
 const amounts = (a: ResourceVector) => ({ cpus: a[CPU] / MICRO_UNITS, gpus: a[GPU] / MICRO_UNITS });
 
 /** The state of the fleet as this controller sees it, for operators. */
-export function status(ctx: Context, owner: Owner, healthy: boolean) {
-  const { view } = ctx;
-  const ledger = ctx.allocations();
-  const wall = ctx.clock.wallClock();
+export function status(context: Context, owner: ShardController, healthy: boolean) {
+  const { view } = context;
+  const totals = context.allocations();
+  const wall = context.clock.wallClock();
   const waiting = [...view.jobs.values()].flatMap((j) => {
-    const placed = ledger.jobs.get(j.spec.id)?.tasks.size ?? 0;
+    const placed = totals.jobs.get(j.spec.id)?.tasks.size ?? 0;
     const tasks = j.spec.tasks - j.done.count - placed;
     if (tasks <= 0) return [];
     const { id, team, kind, priority } = j.spec;
-    const need = ctx.dependencies.all().of.get(id);
+    const need = context.dependencies.all().of.get(id);
     const why =
       need !== undefined && need.kind !== 'ready'
         ? waitsFor(need)
-        : ctx.ownsTeam(team)
+        : context.ownsTeam(team)
           ? (owner.waitReasons.get(id) ?? (j.phase === 'cancelling' ? 'cancelling' : 'about to be placed'))
-          : `ask ${ctx.holderOf(view.teams.get(team)) ?? 'again: its slice has no holder now'}`;
+          : `ask ${context.holderOf(view.teams.get(team)) ?? 'again: its slice has no holder now'}`;
     return [{ job: id, team, kind, priority, tasks, waitsS: Math.round((wall - j.submitted) / 1000), why }];
   });
   return {
-    node: ctx.settings.node,
+    node: context.settings.node,
     healthy,
     revision: view.rev,
-    leader: leaderOf(ctx),
-    slices: [...view.slices].map(([name, s]) => ({
+    leader: leaderOf(context),
+    slices: [...view.shards].map(([name, s]) => ({
       slice: name,
-      holder: ctx.holderOf({ owner: name }),
-      token: view.versionOf(key.slice(name)),
+      holder: context.holderOf({ owner: name }),
+      token: view.versionOf(key.shard(name)),
       last: s.holder,
     })),
-    teams: [...ctx.teams.values()].map((t) => ({
+    teams: [...context.teams.values()].map((t) => ({
       team: t.name,
       slice: view.teams.get(t.name)?.owner ?? null,
-      share: Number(ledger.dominantShareOf(t.name).toPrecision(5)),
-      uses: amounts(ledger.usedBy(t.name)),
+      share: Number(totals.dominantShareOf(t.name).toPrecision(5)),
+      uses: amounts(totals.usedBy(t.name)),
       guaranteed: amounts(t.guarantee),
       limit: {
         cpus: t.limitCpu === null ? null : t.limitCpu / MICRO_UNITS,
@@ -67,9 +67,9 @@
       spot: m.spot,
       phase: m.phase,
       drain: m.drain === true,
-      answeredBy: ctx.substituteOf(m) ?? ctx.holderOf(m),
-      free: amounts(ledger.freeByMachine.get(m.name) ?? NO_RESOURCES),
-      tasks: m.placed.flatMap((p) => p.tasks.map((i) => ctx.task(p.job, i))),
+      answeredBy: context.proxyOf(m) ?? context.holderOf(m),
+      free: amounts(totals.freeByMachine.get(m.name) ?? NO_RESOURCES),
+      tasks: m.placed.flatMap((p) => p.tasks.map((i) => context.task(p.job, i))),
     })),
     waiting: waiting.sort((a, b) => b.waitsS - a.waitsS).slice(0, MOST),
   };
--- a/src/controller/substitute-list.ts
+++ b/src/controller/substitute-list.ts
@@ -4,20 +4,20 @@
  */
 import { key } from '../core/keys.js';
 import { splitBySize } from '../core/records.js';
-import type { MachineName, SubstitutesRecord } from '../core/types.js';
+import type { MachineName, ProxiedMachinesRecord } from '../core/types.js';
 import { URGENCY } from '../io/rate-limiter.js';
 import type { Op } from '../io/wire.js';
 import type { Context } from './context.js';
 
 /** What a record takes beside the names in it. */
-const RECORD_BYTES = 100;
+const RECORD_OVERHEAD_BYTES = 100;
 
 /** Writes the list whenever it, or the lease that it hangs on, has changed. */
-export class SubstituteList {
+export class ProxiedMachineList {
   /** What stands in each record, as text. */
   private readonly written: string[] = [];
 
-  constructor(private readonly ctx: Context) {}
+  constructor(private readonly context: Context) {}
 
   /** How many records the list takes now. */
   get records(): number {
@@ -25,7 +25,10 @@
   }
 
   async publish(names: Iterable<MachineName>, lease: number): Promise<void> {
-    const parts = splitBySize([...names].sort(), this.ctx.state.settings.valueBytes - RECORD_BYTES);
+    const parts = splitBySize(
+      [...names].sort(),
+      this.context.state.settings.valueBytes - RECORD_OVERHEAD_BYTES,
+    );
     const last = Math.max(parts.length, this.written.length);
     for (let part = 0; part < last; part++) await this.publishPart(part, parts[part] ?? [], lease);
     // A record whose removal was refused stands until its lease ends: it is removed with the next list.
@@ -33,19 +36,19 @@
   }
 
   private isGone(part: number): boolean {
-    return this.ctx.view.versionOf(key.substitutes(this.ctx.settings.node, part)) === 0;
+    return this.context.view.versionOf(key.proxiedMachines(this.context.settings.node, part)) === 0;
   }
 
   private async publishPart(part: number, machines: readonly MachineName[], lease: number): Promise<void> {
-    const { ctx } = this;
+    const { context } = this;
     const text = `${lease} ${machines.join(' ')}`;
-    const k = key.substitutes(ctx.settings.node, part);
+    const k = key.proxiedMachines(context.settings.node, part);
     if (text === this.written[part] || (machines.length === 0 && this.isGone(part))) return;
-    const value: SubstitutesRecord | undefined = machines.length === 0 ? undefined : { machines, lease };
+    const value: ProxiedMachinesRecord | undefined = machines.length === 0 ? undefined : { machines, lease };
     const op: Op = { key: k, value, reason: 'machine_state', ...(value === undefined ? {} : { lease }) };
-    const result = await ctx.state.txn([ctx.guard(k)], [op], URGENCY.users);
+    const result = await context.state.txn([context.guard(k)], [op], URGENCY.users);
     if (result.kind !== 'ok') return;
-    ctx.follower.applied([op], result.rev);
+    context.follower.applied([op], result.rev);
     this.written[part] = text;
   }
 }
--- a/src/core/changes.ts
+++ b/src/core/changes.ts
@@ -7,7 +7,7 @@
   readonly jobs: ReadonlySet<JobId>;
   readonly machines: ReadonlySet<MachineName>;
   readonly teams: ReadonlySet<TeamName>;
-  readonly slices: ReadonlySet<NodeName>;
+  readonly shards: ReadonlySet<NodeName>;
   readonly sessions: ReadonlySet<NodeName>;
   readonly cancellations: ReadonlySet<JobId>;
   readonly leader: boolean;
@@ -22,7 +22,7 @@
   const jobs = new Set<JobId>();
   const machines = new Set<MachineName>();
   const teams = new Set<TeamName>();
-  const slices = new Set<NodeName>();
+  const shards = new Set<NodeName>();
   const sessions = new Set<NodeName>();
   const cancellations = new Set<JobId>();
   let leader = false;
@@ -39,8 +39,8 @@
       case 'team':
         teams.add(parsed.team);
         break;
-      case 'slice':
-        slices.add(parsed.slice);
+      case 'shard':
+        shards.add(parsed.shard);
         break;
       case 'session':
         sessions.add(parsed.node);
@@ -55,10 +55,10 @@
         types = true;
         break;
       case 'rental':
-      case 'substitutes':
+      case 'proxied_machines':
       case 'final':
       case 'unknown':
     }
   }
-  return { jobs, machines, teams, slices, sessions, cancellations, leader, types };
+  return { jobs, machines, teams, shards, sessions, cancellations, leader, types };
 }
--- a/src/core/fleet-levelling.ts
+++ b/src/core/fleet-levelling.ts
@@ -17,8 +17,8 @@
   bins: readonly Bin[],
   rest: readonly Want[],
 ): { bin: Bin; to: NodeName }[] {
-  const { ledger, owners } = input;
-  const size = (a: ResourceVector) => dominantShare(a, ledger.fleetCapacity);
+  const { ledger: totals, owners } = input;
+  const size = (a: ResourceVector) => dominantShare(a, totals.fleetCapacity);
   const has = new Map<NodeName, number>();
   let all = 0;
   let machines = 0;
@@ -31,12 +31,12 @@
     machines++;
   }
   const wants = new Map<TeamName, number>();
-  for (const team of owners.keys()) wants.set(team, ledger.dominantShareOf(team) * ledger.weightOf(team));
+  for (const team of owners.keys()) wants.set(team, totals.dominantShareOf(team) * totals.weightOf(team));
   for (const { spec, tasks } of rest)
     wants.set(spec.team, (wants.get(spec.team) ?? 0) + size(spec.demand) * tasks);
   // The level up to which everybody gets what it wants: those who want less than that leave the rest to the others.
   const teams = [...wants]
-    .map(([team, want]) => ({ team, want, weight: ledger.weightOf(team) }))
+    .map(([team, want]) => ({ team, want, weight: totals.weightOf(team) }))
     .sort((a, b) => a.want / a.weight - b.want / b.weight);
   let left = all;
   let weights = teams.reduce((n, t) => n + t.weight, 0);
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -116,7 +116,7 @@
 
 /** Machines that are there or being rented, with the room that they have now. */
 function binsOf(input: FleetInput): Bin[] {
-  const { ledger } = input;
+  const { ledger: totals } = input;
   const bins: Bin[] = [];
   const typeOf = new Map(input.types.map((t) => [t.name, t]));
   for (const m of input.machines) {
@@ -128,7 +128,7 @@
       spot: m.spot,
       empty: m.placed.length === 0,
       owner: m.owner,
-      free: ledger.freeByMachine.get(m.name)!,
+      free: totals.freeByMachine.get(m.name)!,
       taken: 0,
     });
   }
@@ -151,10 +151,10 @@
 
 /** Plans moves, rentals and returns; pure, and made anew from the present state each time. */
 export function planFleet(input: FleetInput): FleetPlan {
-  const { ledger } = input;
+  const { ledger: totals } = input;
   const waiting = [...input.jobs]
     .filter((j) => j.phase === 'active' && input.owners.has(j.spec.team))
-    .sort(jobOrder({ ...input.order, hasTasks: (id) => ledger.jobs.has(id) }));
+    .sort(jobOrder({ ...input.order, hasTasks: (id) => totals.jobs.has(id) }));
   const bins = binsOf(input);
   const perZone = new Map<Zone, number>();
   for (const b of bins) perZone.set(b.zone, (perZone.get(b.zone) ?? 0) + 1);
@@ -287,7 +287,7 @@
 
   const headroom = new Map<TeamName, ResourceVector>();
   const fitsLimit = (spec: JobSpec) =>
-    ledger.tasksWithinQuota(spec.team, spec.demand, headroom.get(spec.team) ?? NO_RESOURCES);
+    totals.tasksWithinQuota(spec.team, spec.demand, headroom.get(spec.team) ?? NO_RESOURCES);
   const count = (spec: JobSpec, n: number) =>
     headroom.set(spec.team, addResources(headroom.get(spec.team) ?? NO_RESOURCES, spec.demand, n));
 
@@ -299,7 +299,7 @@
   for (const j of waiting) {
     const { spec } = j;
     const node = input.owners.get(spec.team)!;
-    const placement = ledger.jobs.get(spec.id);
+    const placement = totals.jobs.get(spec.id);
     const zones = new Map<Zone, number>(placement?.tasksPerZone);
     const w: Want = {
       spec,
@@ -333,7 +333,7 @@
   // What is to spare goes to the team with the lowest share first, as it does within a slice; what has priority before.
   const rank = (w: Want) => PRIORITY_RANK[w.spec.priority];
   rest.sort(
-    (a, b) => rank(a) - rank(b) || ledger.dominantShareOf(a.spec.team) - ledger.dominantShareOf(b.spec.team),
+    (a, b) => rank(a) - rank(b) || totals.dominantShareOf(a.spec.team) - totals.dominantShareOf(b.spec.team),
   );
   for (const w of rest) {
     if (w.spec.kind === 'gang' && !keeping.has(w)) {
--- a/src/core/keys.ts
+++ b/src/core/keys.ts
@@ -22,10 +22,10 @@
   job: 'p/j/',
   machine: 'p/m/',
   team: 'p/t/',
-  slice: 'p/o/',
+  shard: 'p/o/',
   session: 'p/s/',
   rental: 'p/r/',
-  substitutes: 'p/a/',
+  proxiedMachines: 'p/a/',
   cancellation: 'p/c/',
   moreTypes: 'p/types/',
   final: 'f/',
@@ -38,12 +38,12 @@
   job: (id: JobId) => PREFIX.job + id,
   machine: (name: MachineName) => PREFIX.machine + name,
   team: (name: TeamName) => PREFIX.team + encodeURIComponent(name),
-  slice: (name: string) => PREFIX.slice + encodeURIComponent(name),
+  shard: (name: string) => PREFIX.shard + encodeURIComponent(name),
   session: (node: string) => PREFIX.session + encodeURIComponent(node),
   rental: (name: string) => PREFIX.rental + name,
   /** Machines that a controller answers in place of their owners; a long list goes on in further parts. */
-  substitutes: (node: string, part = 0) =>
-    PREFIX.substitutes + encodeURIComponent(node) + (part === 0 ? '' : `/${part}`),
+  proxiedMachines: (node: string, part = 0) =>
+    PREFIX.proxiedMachines + encodeURIComponent(node) + (part === 0 ? '' : `/${part}`),
   cancellation: (id: JobId) => PREFIX.cancellation + id,
   leader: LEADER,
   /** The list of machine types; what does not fit into one value goes on in `moreTypes`. */
@@ -58,10 +58,10 @@
   | { readonly kind: 'job'; readonly job: JobId }
   | { readonly kind: 'machine'; readonly machine: MachineName }
   | { readonly kind: 'team'; readonly team: TeamName }
-  | { readonly kind: 'slice'; readonly slice: NodeName }
+  | { readonly kind: 'shard'; readonly shard: NodeName }
   | { readonly kind: 'session'; readonly node: NodeName }
   | { readonly kind: 'rental'; readonly rental: string }
-  | { readonly kind: 'substitutes'; readonly node: NodeName }
+  | { readonly kind: 'proxied_machines'; readonly node: NodeName }
   | { readonly kind: 'cancellation'; readonly job: JobId }
   | { readonly kind: 'leader' }
   | { readonly kind: 'types' }
@@ -72,12 +72,12 @@
   [PREFIX.job, (rest) => ({ kind: 'job', job: jobId(rest) })],
   [PREFIX.machine, (rest) => ({ kind: 'machine', machine: machineName(rest) })],
   [PREFIX.team, (rest) => ({ kind: 'team', team: teamName(decodeURIComponent(rest)) })],
-  [PREFIX.slice, (rest) => ({ kind: 'slice', slice: nodeName(decodeURIComponent(rest)) })],
+  [PREFIX.shard, (rest) => ({ kind: 'shard', shard: nodeName(decodeURIComponent(rest)) })],
   [PREFIX.session, (rest) => ({ kind: 'session', node: nodeName(decodeURIComponent(rest)) })],
   [PREFIX.rental, (rest) => ({ kind: 'rental', rental: rest })],
   [
-    PREFIX.substitutes,
-    (rest) => ({ kind: 'substitutes', node: nodeName(decodeURIComponent(rest.split('/')[0]!)) }),
+    PREFIX.proxiedMachines,
+    (rest) => ({ kind: 'proxied_machines', node: nodeName(decodeURIComponent(rest.split('/')[0]!)) }),
   ],
   [PREFIX.cancellation, (rest) => ({ kind: 'cancellation', job: jobId(rest) })],
   [PREFIX.moreTypes, () => ({ kind: 'types' })],
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -124,9 +124,12 @@
 }
 
 /** Most machines are full most of the time: only those are looked at that can take the least of the demands. */
-function openRooms({ slice, ledger, recordRoom }: ScheduleInput, least: ResourceVector | null): Room[] {
+function openRooms(
+  { slice: shard, ledger: totals, recordRoom }: ScheduleInput,
+  least: ResourceVector | null,
+): Room[] {
   if (least === null) return [];
-  const open = slice.filter((m) => fitsWithin(least, ledger.freeByMachine.get(m.name)!));
+  const open = shard.filter((m) => fitsWithin(least, totals.freeByMachine.get(m.name)!));
   return open.map((m) => ({
     m,
     bytes: recordRoom(m.name),
@@ -139,11 +142,11 @@
 
 /** Places waiting tasks; the ledger is left as it was. */
 export function schedule(input: ScheduleInput): ScheduleResult {
-  const { ledger } = input;
+  const { ledger: totals } = input;
   const placements: Placement[] = [];
   const waitReasons = new Map<JobId, WaitReason>();
 
-  const order = jobOrder({ ...input.order, hasTasks: (id) => ledger.jobs.has(id) });
+  const order = jobOrder({ ...input.order, hasTasks: (id) => totals.jobs.has(id) });
   const queues = queuesByTeam(input.jobs, order);
   const rooms = openRooms(input, leastDemand(queues.values()));
   const next = new Map<JobId, Iterator<TaskIndex>>();
@@ -179,9 +182,9 @@
       if ((zones.get(m.zone) ?? 0) >= cap) continue;
       const n = taken.get(m.name) ?? 0;
       if (slots(room, spec) <= n) continue;
-      const free: ResourceVector = addResources(ledger.freeByMachine.get(m.name)!, spec.demand, -n);
+      const free: ResourceVector = addResources(totals.freeByMachine.get(m.name)!, spec.demand, -n);
       if (!fitsWithin(spec.demand, free) || input.avoid(spec.id, m.name)) continue;
-      const h = fitness(spec.demand, free, ledger.fleetCapacity);
+      const h = fitness(spec.demand, free, totals.fleetCapacity);
       // H decides among the machines in use. An empty one is opened only when nothing in use fits: H looks at
       // shape and not at size, and would else put something small on every machine that a gang needs whole.
       // Of the empty ones, those go first that fewer jobs may use.
@@ -228,7 +231,7 @@
     const { m } = room;
     if (kept(room, spec) || !typeAllowed(spec, m.type) || (m.spot && !spec.spot)) return 0;
     if ((zone ?? spec.zone ?? m.zone) !== m.zone) return 0;
-    return Math.min(slots(room, spec), tasksThatFit(spec.demand, ledger.freeByMachine.get(m.name)!));
+    return Math.min(slots(room, spec), tasksThatFit(spec.demand, totals.freeByMachine.get(m.name)!));
   };
 
   /** Kept for a gang of at least the same priority. */
@@ -262,13 +265,13 @@
     room.bytes -= TASK_INDEX_BYTES + (room.entries.has(spec.id) ? 0 : allocationBytes(spec));
     room.entries.add(spec.id);
     room.used++;
-    ledger.addAllocation(room.m, allocationFor(spec, att, [index]));
+    totals.addAllocation(room.m, allocationFor(spec, att, [index]));
   };
 
   const tryGang = (j: JobRecord, share: number): WaitReason | null => {
     const { spec } = j;
-    if (ledger.jobs.has(spec.id)) return 'old_attempt';
-    if (!ledger.isWithinQuota(spec.team, spec.demand, spec.tasks)) return 'team_limit';
+    if (totals.jobs.has(spec.id)) return 'old_attempt';
+    if (!totals.isWithinQuota(spec.team, spec.demand, spec.tasks)) return 'team_limit';
     const zones: (Zone | null)[] = spec.oneZone ? [...new Set(rooms.map((r) => r.m.zone))].sort() : [null];
     let best: { room: Room; h: number }[] | null = null;
     let bestH = 0;
@@ -307,7 +310,7 @@
       it = openTasks(j);
       next.set(spec.id, it);
     }
-    const placement = ledger.jobs.get(spec.id);
+    const placement = totals.jobs.get(spec.id);
     let index: TaskIndex;
     for (;;) {
       const r = it.next();
@@ -318,7 +321,7 @@
       }
     }
     if (placement !== undefined && input.fails(j)) return 'failing';
-    if (!ledger.isWithinQuota(spec.team, spec.demand, 1)) return 'team_limit';
+    if (!totals.isWithinQuota(spec.team, spec.demand, 1)) return 'team_limit';
     const zones = placement?.tasksPerZone ?? new Map<Zone, number>();
     const only = spec.oneZone ? ([...zones].find(([, n]) => n > 0)?.[0] ?? null) : null;
     const c = pick(spec, new Map(), only, zones, input.yields(j));
@@ -336,7 +339,7 @@
     let team: TeamName | null = null;
     let share = Number.POSITIVE_INFINITY;
     for (const name of queues.keys()) {
-      const s = ledger.dominantShareOf(name);
+      const s = totals.dominantShareOf(name);
       if (s < share || (s === share && team !== null && name < team)) {
         team = name;
         share = s;
@@ -363,7 +366,7 @@
         if (
           why === 'team_limit' &&
           spec.kind === 'gang' &&
-          ledger.willFitQuota(spec.team, spec.demand, spec.tasks)
+          totals.willFitQuota(spec.team, spec.demand, spec.tasks)
         ) {
           const behind = queue.splice(0);
           for (const later of behind) {
@@ -376,6 +379,6 @@
     if (queue.length === 0) queues.delete(team);
   }
   // The ledger is everybody's: what was put on paper here counts once it is committed.
-  for (const p of placements) ledger.removeAllocation(p.machine, allocationFor(p.job, p.attempt, [p.index]));
+  for (const p of placements) totals.removeAllocation(p.machine, allocationFor(p.job, p.attempt, [p.index]));
   return { placements, waitReasons };
 }
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -23,19 +23,19 @@
 /** Whether the team, with so much more, stays within what it is guaranteed. */
 export function withinGuarantee(
   team: Team | undefined,
-  ledger: AllocationTotals,
+  totals: AllocationTotals,
   spec: JobSpec,
   tasks: number,
 ): boolean {
   if (team === undefined) return false;
-  const used = addResources(ledger.usedBy(team.name), spec.demand, tasks);
+  const used = addResources(totals.usedBy(team.name), spec.demand, tasks);
   const asked = [CPU, GPU].filter((r) => team.guarantee[r as 0 | 2] > 0 && spec.demand[r as 0 | 2] > 0);
   return asked.length > 0 && asked.every((r) => used[r as 0 | 2] <= team.guarantee[r as 0 | 2]);
 }
 
-function beyondGuarantee(team: Team | undefined, ledger: AllocationTotals): boolean {
+function beyondGuarantee(team: Team | undefined, totals: AllocationTotals): boolean {
   if (team === undefined) return true;
-  const used = ledger.usedBy(team.name);
+  const used = totals.usedBy(team.name);
   // All that a team without any guarantee runs is beyond it.
   if (team.guarantee.every((amount) => amount === 0)) return used.some((amount) => amount > 0);
   return [CPU, GPU].some(
@@ -64,13 +64,13 @@
 
 /** One machine on which one task of the job fits once the victims are gone. */
 export function pickVictims(input: PreemptInput): { machine: MachineRecord; victims: Allocation[] } | null {
-  const { job, jobs, ledger, teams } = input;
-  const entitled = withinGuarantee(teams.get(job.team), ledger, job, 1);
-  const zones = ledger.jobs.get(job.id)?.tasksPerZone;
+  const { job, jobs, ledger: totals, teams } = input;
+  const entitled = withinGuarantee(teams.get(job.team), totals, job, 1);
+  const zones = totals.jobs.get(job.id)?.tasksPerZone;
   const may = (p: Allocation): boolean => {
     if (p.stop === true || p.kind === 'service' || p.job === job.id) return false;
     if (PRIORITY_RANK[p.priority] > PRIORITY_RANK[job.priority]) return true;
-    return entitled && p.team !== job.team && beyondGuarantee(teams.get(p.team), ledger);
+    return entitled && p.team !== job.team && beyondGuarantee(teams.get(p.team), totals);
   };
   let best: { machine: MachineRecord; victims: Allocation[] } | null = null;
   let bestLoss = Number.POSITIVE_INFINITY;
@@ -85,7 +85,7 @@
       .flatMap((p) => (p.kind === 'array' ? p.tasks.map((i) => ({ ...p, tasks: [i] })) : [p]))
       .map((p) => ({ p, cost: loss(p, jobs.get(p.job)) }))
       .sort((a, b) => a.cost - b.cost);
-    let free = ledger.freeByMachine.get(machine.name)!;
+    let free = totals.freeByMachine.get(machine.name)!;
     let cost = 0;
     const victims: Allocation[] = [];
     for (const { p, cost: c } of order) {
@@ -108,8 +108,8 @@
 }
 
 /** Tasks that the machine can take of a gang, now or once its low-priority work is gone, and what that loses. */
-function gangPlaceOn(machine: MachineRecord, { job, jobs, ledger }: PreemptInput) {
-  const free = ledger.freeByMachine.get(machine.name)!;
+function gangPlaceOn(machine: MachineRecord, { job, jobs, ledger: totals }: PreemptInput) {
+  const free = totals.freeByMachine.get(machine.name)!;
   const victims = machine.placed.filter((p) => p.priority === 'low' && p.kind === 'array' && p.stop !== true);
   const now = tasksThatFit(job.demand, free);
   const all = victims.reduce((room, p) => addResources(room, p.demand, p.tasks.length), free);
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -276,7 +276,7 @@
 }
 
 /** Who holds a slice: its machines and its teams. Written only when that changes. */
-export interface SliceRecord {
+export interface ShardRecord {
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
 }
@@ -299,7 +299,7 @@
 }
 
 /** Machines that answer to a controller which is not their owner, since they do not reach that one. */
-export interface SubstitutesRecord {
+export interface ProxiedMachinesRecord {
   readonly machines: readonly MachineName[];
   readonly lease: number;
 }
--- a/src/core/view.ts
+++ b/src/core/view.ts
@@ -12,7 +12,7 @@
   type Incarnation,
   type JobId,
   type JobRecord,
-  type SubstitutesRecord,
+  type ProxiedMachinesRecord,
   type LeaderRecord,
   type MachineName,
   type MachineRecord,
@@ -20,7 +20,7 @@
   type RentalRecord,
   type Revision,
   type SessionRecord,
-  type SliceRecord,
+  type ShardRecord,
   type TeamName,
   type TeamRecord,
   type FencingToken,
@@ -50,11 +50,11 @@
   readonly machines = new Map<MachineName, MachineRecord>();
   readonly teams = new Map<TeamName, TeamRecord>();
   readonly sessions = new Map<string, SessionRecord>();
-  readonly slices = new Map<string, SliceRecord>();
+  readonly shards = new Map<string, ShardRecord>();
   readonly rentals = new Map<string, RentalRecord>();
   readonly cancellations = new Set<JobId>();
   /** By key: a controller, and machines that reach it and not their owner. */
-  readonly substitutes = new Map<
+  readonly proxiedMachines = new Map<
     string,
     { readonly node: string; readonly machines: ReadonlySet<MachineName> }
   >();
@@ -66,7 +66,7 @@
   jobChanges = 0;
   /** The list of types by key: where it does not fit one value it goes on in others. */
   private readonly typeParts = new Map<string, readonly MachineType[]>();
-  private readonly sliceVersions = new Map<string, Version>();
+  private readonly shardVersions = new Map<string, Version>();
   /** Removals known before the watch told of them: an older event must not bring such a key back. */
   private readonly removed = new Map<string, Version>();
 
@@ -80,7 +80,7 @@
    * command a machine gives it a higher token, and a whole slice changes hands with a single write.
    */
   tokenOf(m: MachineRecord): FencingToken {
-    return fencingToken(Math.max(this.sliceVersions.get(m.owner) ?? NO_VERSION, m.floor));
+    return fencingToken(Math.max(this.shardVersions.get(m.owner) ?? NO_VERSION, m.floor));
   }
 
   /**
@@ -88,9 +88,9 @@
    * gives itself a slice knows so from the answer, before the watch has told of the last starts of the one before it: it
    * would start those tasks once more.
    */
-  isHeldBy(slice: string, incarnation: Incarnation): boolean {
-    if (this.slices.get(slice)?.incarnation !== incarnation) return false;
-    return (this.sliceVersions.get(slice) ?? NO_VERSION) <= this.rev;
+  isHeldBy(shard: string, incarnation: Incarnation): boolean {
+    if (this.shards.get(shard)?.incarnation !== incarnation) return false;
+    return (this.shardVersions.get(shard) ?? NO_VERSION) <= this.rev;
   }
 
   /** Applies one change unless a newer one to the same key is known. True if it changed anything. */
@@ -146,10 +146,10 @@
       case 'team':
         set(this.teams, parsed.team);
         break;
-      case 'slice':
-        set(this.slices, parsed.slice);
-        if (value === undefined) this.sliceVersions.delete(parsed.slice);
-        else this.sliceVersions.set(parsed.slice, v);
+      case 'shard':
+        set(this.shards, parsed.shard);
+        if (value === undefined) this.shardVersions.delete(parsed.shard);
+        else this.shardVersions.set(parsed.shard, v);
         break;
       case 'session':
         set(this.sessions, parsed.node);
@@ -157,11 +157,11 @@
       case 'rental':
         set(this.rentals, parsed.rental);
         break;
-      case 'substitutes':
-        if (value === undefined) this.substitutes.delete(k);
+      case 'proxied_machines':
+        if (value === undefined) this.proxiedMachines.delete(k);
         else {
-          const machines = new Set((value as SubstitutesRecord).machines);
-          this.substitutes.set(k, { node: parsed.node, machines });
+          const machines = new Set((value as ProxiedMachinesRecord).machines);
+          this.proxiedMachines.set(k, { node: parsed.node, machines });
         }
         break;
       case 'cancellation':
--- a/src/core/worker-reports.ts
+++ b/src/core/worker-reports.ts
@@ -84,27 +84,28 @@
  * one that gets an answer reports here again soon, one that gets none waits for it in vain and tries the others first.
  */
 export function recordHeartbeat(
-  mem: AgentSession,
-  report: Heartbeat,
+  session: AgentSession,
+  heartbeat: Heartbeat,
   now: MonotonicMs,
   posted: boolean,
   reportMs: number,
 ): boolean {
   let gap = false;
-  if (posted && (mem.lastPushed === null || isNewer(report, mem.lastPushed))) {
-    mem.lastPushed = { agentEpoch: report.agentEpoch, sequence: report.sequence };
+  if (posted && (session.lastPushed === null || isNewer(heartbeat, session.lastPushed))) {
+    session.lastPushed = { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence };
     const soon = Math.max(AGENT_ANSWER_TIMEOUT_MS, reportMs * 1.25) + 500;
-    gap = mem.lastPushedAt !== null && now - mem.lastPushedAt > soon;
-    if (gap || mem.uninterruptedSince === null) mem.uninterruptedSince = now;
-    mem.lastPushedAt = now;
+    gap = session.lastPushedAt !== null && now - session.lastPushedAt > soon;
+    if (gap || session.uninterruptedSince === null) session.uninterruptedSince = now;
+    session.lastPushedAt = now;
   }
-  if (mem.heartbeat !== null && !isNewer(report, mem.heartbeat)) return false;
+  if (session.heartbeat !== null && !isNewer(heartbeat, session.heartbeat)) return false;
   // Under an older token it is a late copy, or its worker has not got this owner's answers; after a gap the next one
   // will tell. Neither is a sign of life.
-  if (mem.heartbeat === null || !posted || (report.token === mem.token && !gap)) mem.lastContactAt = now;
-  mem.heartbeat = report;
-  mem.firstHeartbeatAt ??= now;
-  for (const t of report.tasks) mem.observedTasks.add(taskKey(t.job, t.index, t.attempt));
+  if (session.heartbeat === null || !posted || (heartbeat.token === session.token && !gap))
+    session.lastContactAt = now;
+  session.heartbeat = heartbeat;
+  session.firstHeartbeatAt ??= now;
+  for (const t of heartbeat.tasks) session.observedTasks.add(taskKey(t.job, t.index, t.attempt));
   return true;
 }
 
@@ -146,13 +147,13 @@
   readonly reason: ExitReason | null;
 }
 
-const tasksByKey = (report: Heartbeat): Map<string, ReportedTask> =>
-  new Map(report.tasks.map((t) => [taskKey(t.job, t.index, t.attempt), t]));
+const tasksByKey = (heartbeat: Heartbeat): Map<string, ReportedTask> =>
+  new Map(heartbeat.tasks.map((t) => [taskKey(t.job, t.index, t.attempt), t]));
 
 /** The tasks that the newest report proves to be gone. Nothing is proved before the token was seen. */
-export function confirmedExits(record: MachineRecord, mem: AgentSession, w: DesiredState): TaskExit[] {
-  if (mem.heartbeat?.token !== mem.token) return [];
-  const { heartbeat } = mem;
+export function confirmedExits(record: MachineRecord, session: AgentSession, w: DesiredState): TaskExit[] {
+  if (session.heartbeat?.token !== session.token) return [];
+  const { heartbeat } = session;
   const listed = tasksByKey(heartbeat);
   const out: TaskExit[] = [];
   for (const placed of record.placed) {
@@ -160,8 +161,9 @@
       const k = taskKey(placed.job, i, placed.attempt);
       // Its start may still be on its way. That goes for a task reported as ended, too: one whose gang was incomplete is
       // started once more under its attempt, by the answer to the very report that tells of its end.
-      const start = mem.startSentIn.get(k);
-      if (start !== undefined && (mem.lastPushed === null || !isNewer(mem.lastPushed, start))) continue;
+      const start = session.startSentIn.get(k);
+      if (start !== undefined && (session.lastPushed === null || !isNewer(session.lastPushed, start)))
+        continue;
       const t = listed.get(k);
       if (t !== undefined) {
         // Its gang never started, and the others still fetch their image: it only has to wait anew.
@@ -170,14 +172,14 @@
         continue;
       }
       // Its worker has lost its lease since and forgotten the exit; the task is gone all the more.
-      const left = mem.exitedTasks.get(k);
+      const left = session.exitedTasks.get(k);
       if (left !== undefined) {
         out.push({ placed, index: i, reason: left.why });
         continue;
       }
       // A wanted task that is absent is simply started (again); one of a gang that was there before has
       // been lost, and the gang with it.
-      const lost = placed.kind === 'gang' && mem.observedTasks.has(k);
+      const lost = placed.kind === 'gang' && session.observedTasks.has(k);
       if (lost || stopReasonFor(placed, i, w) !== null) out.push({ placed, index: i, reason: null });
     }
   }
@@ -187,12 +189,12 @@
 /** The answer to the newest report. `start` is false where this controller may only stop things. */
 export function agentCommands(
   record: MachineRecord,
-  mem: AgentSession,
+  session: AgentSession,
   w: DesiredState,
   now: MonotonicMs,
   start: boolean,
 ): AgentCommand[] {
-  const { heartbeat } = mem;
+  const { heartbeat } = session;
   if (heartbeat === null) return [];
   const listed = tasksByKey(heartbeat);
   const known = new Map<string, { placed: Allocation; index: TaskIndex }>();
@@ -208,8 +210,8 @@
       else if (start && t.exitReason === 'incomplete' && stopReasonFor(mine.placed, mine.index, w) === null) {
         // Forgotten, the attempt can be started once more; the gang is completed under the number that it has.
         // A new attempt instead would give up every fetch that takes longer than a task may wait.
-        mem.startSentIn.set(k, { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence });
-        mem.observedTasks.delete(k);
+        session.startSentIn.set(k, { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence });
+        session.observedTasks.delete(k);
         out.push({ op: 'forget', ...at }, { op: 'start', ...at });
       }
       continue;
@@ -218,8 +220,8 @@
     if (why === null) continue;
     const job = w.jobs.get(t.job);
     const graceS = gracePeriodFor(job, why);
-    const before = mem.stopRequestedAt.get(k);
-    if (before === undefined) mem.stopRequestedAt.set(k, now);
+    const before = session.stopRequestedAt.get(k);
+    if (before === undefined) session.stopRequestedAt.set(k, now);
     // A task that is saving must not be told twice with a grace; one whose time is up is ended.
     if (t.state === 'saving' && graceS > 0 && now - (before ?? now) < graceS * 1000) continue;
     out.push({ op: 'stop', ...at, gracePeriodS: t.state === 'saving' ? 0 : graceS });
@@ -231,11 +233,11 @@
   let room = w.ledger.freeByMachine.get(record.name) ?? NO_RESOURCES;
   for (const [k, { placed }] of known) if (!alive(k)) room = addResources(room, placed.demand);
   for (const [k, { placed, index: i }] of known) {
-    if (listed.has(k) || mem.exitedTasks.has(k) || stopReasonFor(placed, i, w) !== null) continue;
-    if (placed.kind === 'gang' && mem.observedTasks.has(k)) continue;
+    if (listed.has(k) || session.exitedTasks.has(k) || stopReasonFor(placed, i, w) !== null) continue;
+    if (placed.kind === 'gang' && session.observedTasks.has(k)) continue;
     if (!fitsWithin(placed.demand, room)) continue;
     room = addResources(room, placed.demand, -1);
-    mem.startSentIn.set(k, { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence });
+    session.startSentIn.set(k, { agentEpoch: heartbeat.agentEpoch, sequence: heartbeat.sequence });
     out.push({ op: 'start', job: placed.job, index: i, attempt: placed.attempt });
   }
   return out;
--- a/src/io/state/follower.ts
+++ b/src/io/state/follower.ts
@@ -138,7 +138,7 @@
       if (!o.key.startsWith(WATCHED_PREFIX)) continue;
       if (!this.view.apply({ key: o.key, value: o.value, version: version(rev) })) continue;
       keys.add(o.key);
-      if (parseKey(o.key).kind === 'slice') this.ahead.set(o.key, version(rev));
+      if (parseKey(o.key).kind === 'shard') this.ahead.set(o.key, version(rev));
     }
     if (keys.size > 0) this.changed(keys);
   }
--- a/src/io/users.ts
+++ b/src/io/users.ts
@@ -114,9 +114,9 @@
   app.get(wire.paths.status, async (_req, reply) => reply.send(o.status()));
 
   app.post(wire.paths.heartbeat, async (req, reply) => {
-    const report = wire.heartbeatFromWire(req.body);
-    if (report === null) return reply.code(400).send({ error: 'not a report' });
-    const a = o.heartbeats.answer(report);
+    const heartbeat = wire.heartbeatFromWire(req.body);
+    if (heartbeat === null) return reply.code(400).send({ error: 'not a report' });
+    const a = o.heartbeats.answer(heartbeat);
     if (a.kind === 'ok') return reply.send(wire.commandsToWire(a.token, a.commands));
     if (a.kind === 'busy') return reply.code(503).send(later);
     return reply.code(421).send(wire.redirectToWire(a.node));
--- a/src/io/wire.ts
+++ b/src/io/wire.ts
@@ -234,16 +234,16 @@
   ...(c.op === 'stop' ? { windDownS: c.gracePeriodS } : {}),
 });
 /** No line may exceed 64 KiB, so what does not fit waits for the next report. */
-export function commandsToWire(tok: FencingToken, commands: readonly AgentCommand[]) {
-  return { mandate: tok, orders: commands.slice(0, 400).map(commandToWire) };
+export function commandsToWire(token: FencingToken, commands: readonly AgentCommand[]) {
+  return { mandate: token, orders: commands.slice(0, 400).map(commandToWire) };
 }
 /** The body of a direct command to a worker. */
 export const directCommandsToWire = (
-  tok: FencingToken,
+  token: FencingToken,
   session: number,
   commands: readonly AgentCommand[],
 ) => ({
-  ...commandsToWire(tok, commands),
+  ...commandsToWire(token, commands),
   shift: session,
 });
 /** The answer to a worker that should report to another controller. */
--- a/src/io/workers.ts
+++ b/src/io/workers.ts
@@ -11,7 +11,7 @@
   /** The worker's report after the commands, or null where no answer came or too many are under way. */
   sendCommands(
     address: string,
-    tok: FencingToken,
+    token: FencingToken,
     session: number,
     commands: readonly AgentCommand[],
   ): Promise<Heartbeat | null>;
@@ -33,7 +33,7 @@
 
   async sendCommands(
     address: string,
-    tok: FencingToken,
+    token: FencingToken,
     session: number,
     commands: readonly AgentCommand[],
   ): Promise<Heartbeat | null> {
@@ -49,7 +49,7 @@
         method: 'POST',
         signal: abort.signal,
         headers: { 'content-type': 'application/json' },
-        body: JSON.stringify(wire.directCommandsToWire(tok, session, commands)),
+        body: JSON.stringify(wire.directCommandsToWire(token, session, commands)),
       });
       return wire.heartbeatFromWire(await r.body.json());
     } catch {
--- a/src/packages/api.ts
+++ b/src/packages/api.ts
@@ -22,8 +22,8 @@
 } from '../core/types.js';
 
 /** A slice as it is committed. */
-export interface SliceFact {
-  readonly slice: NodeName;
+export interface ShardFact {
+  readonly shard: NodeName;
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
   /** The revision at which it got this holder: the fencing token of its machines. */
@@ -44,22 +44,22 @@
 export interface CommittedFacts {
   /** The view holds a complete picture. */
   readonly isReady: boolean;
-  slices(): SliceFact[];
-  slice(name: NodeName): SliceFact | null;
+  shards(): ShardFact[];
+  shard(name: NodeName): ShardFact | null;
   sessions(): SessionFact[];
   machine(name: MachineName): MachineRecord | null;
-  machinesOf(slice: NodeName): MachineRecord[];
+  machinesOf(shard: NodeName): MachineRecord[];
   /** Whether the job is unfinished. */
   hasJob(job: JobId): boolean;
   /** This process holds the slice, and its view has all that was committed before it did. */
-  isHeldCompletely(slice: NodeName): boolean;
+  isHeldCompletely(shard: NodeName): boolean;
   /** Nothing suggests that the state service is out of reach. */
   isStateReachable(withinMs: number): boolean;
   subscribe(listener: (changes: Changes) => void): void;
 }
 
 /** What became of an attempt to take or give a slice. */
-export type SliceOutcome =
+export type ShardTransferOutcome =
   | { readonly kind: 'committed'; readonly revision: Revision }
   /** Somebody else has changed the slice or a session meanwhile. */
   | { readonly kind: 'overtaken' }
@@ -67,11 +67,11 @@
   | { readonly kind: 'unavailable' };
 
 /** Changes who holds a slice, by guarded transactions only. */
-export interface SliceControl {
+export interface ShardControl {
   /** Takes the slice and ends the session of the holder's life in one transaction, if nothing else has changed. */
-  takeOver(slice: SliceFact): Promise<SliceOutcome>;
+  takeOver(shard: ShardFact): Promise<ShardTransferOutcome>;
   /** Gives slices that this process holds to a controller with a session, and takes on nothing for a while. */
-  handOver(slices: readonly SliceFact[], to: NodeName, drainForMs: number): Promise<SliceOutcome>;
+  handOver(shards: readonly ShardFact[], to: NodeName, drainForMs: number): Promise<ShardTransferOutcome>;
 }
 
 /** Another controller. */
@@ -125,7 +125,7 @@
   readonly random: () => number;
   readonly log: Logger;
   readonly facts: CommittedFacts;
-  readonly slices: SliceControl;
+  readonly shardControl: ShardControl;
   readonly channel: PeerChannel;
   /** Learns what another controller has learned. */
   learn(hint: Hint): void;
--- a/src/packages/facts.ts
+++ b/src/packages/facts.ts
@@ -3,35 +3,35 @@
 import { key } from '../core/keys.js';
 import { nodeName, type JobId, type MachineName, type MachineRecord, type NodeName } from '../core/types.js';
 import type { Context } from '../controller/context.js';
-import type { CommittedFacts, SessionFact, SliceFact } from './api.js';
+import type { CommittedFacts, SessionFact, ShardFact } from './api.js';
 
 /** Reads the view of one controller. */
 export class ViewFacts implements CommittedFacts {
-  constructor(private readonly ctx: Context) {}
+  constructor(private readonly context: Context) {}
 
   get isReady(): boolean {
-    return this.ctx.follower.ready;
+    return this.context.follower.ready;
   }
 
-  slices(): SliceFact[] {
-    return [...this.ctx.view.slices.keys()].map((name) => this.slice(nodeName(name))!);
+  shards(): ShardFact[] {
+    return [...this.context.view.shards.keys()].map((name) => this.shard(nodeName(name))!);
   }
 
-  slice(name: NodeName): SliceFact | null {
-    const { view } = this.ctx;
-    const record = view.slices.get(name);
+  shard(name: NodeName): ShardFact | null {
+    const { view } = this.context;
+    const record = view.shards.get(name);
     if (record === undefined) return null;
     return {
-      slice: name,
+      shard: name,
       holder: record.holder,
       incarnation: record.incarnation,
-      epoch: view.versionOf(key.slice(name)),
+      epoch: view.versionOf(key.shard(name)),
       hasSession: view.sessions.get(record.holder)?.incarnation === record.incarnation,
     };
   }
 
   sessions(): SessionFact[] {
-    return [...this.ctx.view.sessions.values()].map((s) => ({
+    return [...this.context.view.sessions.values()].map((s) => ({
       node: s.node,
       incarnation: s.incarnation,
       isDraining: s.draining === true,
@@ -39,26 +39,26 @@
   }
 
   machine(name: MachineName): MachineRecord | null {
-    return this.ctx.view.machines.get(name) ?? null;
+    return this.context.view.machines.get(name) ?? null;
   }
 
-  machinesOf(slice: NodeName): MachineRecord[] {
-    return [...this.ctx.view.machines.values()].filter((m) => m.owner === slice);
+  machinesOf(shard: NodeName): MachineRecord[] {
+    return [...this.context.view.machines.values()].filter((m) => m.owner === shard);
   }
 
   hasJob(job: JobId): boolean {
-    return this.ctx.view.jobs.has(job);
+    return this.context.view.jobs.has(job);
   }
 
-  isHeldCompletely(slice: NodeName): boolean {
-    return this.ctx.view.isHeldBy(slice, this.ctx.incarnation);
+  isHeldCompletely(shard: NodeName): boolean {
+    return this.context.view.isHeldBy(shard, this.context.incarnation);
   }
 
   isStateReachable(withinMs: number): boolean {
-    return this.ctx.state.reachable(withinMs);
+    return this.context.state.reachable(withinMs);
   }
 
   subscribe(listener: (changes: Changes) => void): void {
-    this.ctx.listeners.push(listener);
+    this.context.listeners.push(listener);
   }
 }
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -231,7 +231,7 @@
 test('a slice that a process has given itself is its own once its view holds what was committed before', () => {
   const view = new View();
   view.reached(revision(10));
-  const slice = key.slice('c-1');
+  const slice = key.shard('c-1');
   view.apply({ key: slice, value: { holder: 'c-0', incarnation: 'me' }, version: version(20) });
   assert.equal(view.isHeldBy('c-1', incarnation('me')), false, 'a start of its former holder may be at 19');
   view.reached(revision(20));
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -225,7 +225,8 @@
   await until(sim, () => job(sim, small).toldFinal === 'done', 30_000);
   for (const n of sim.nodes.values())
     for (const [id, j] of n.controller!.ctx.view.jobs)
-      if (j.spec.needs !== undefined) assert.equal(n.controller!.owner.waitReasons.get(id), undefined);
+      if (j.spec.needs !== undefined)
+        assert.equal(n.controller!.shardController.waitReasons.get(id), undefined);
 });
 
 test('jobs that the version before accepted, ended and cancelled may be named once all are new', async () => {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -4,8 +4,8 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import type { Context } from '../src/controller/context.js';
-import { UnknownMachines } from '../src/controller/leader/unknown-machines.js';
-import { SubstituteList } from '../src/controller/substitute-list.js';
+import { UnregisteredMachines } from '../src/controller/leader/unknown-machines.js';
+import { ProxiedMachineList } from '../src/controller/substitute-list.js';
 import { AllocationTotals } from '../src/core/ledger.js';
 import { key, parseKey } from '../src/core/keys.js';
 import { allocationFor } from '../src/core/placed.js';
@@ -137,17 +137,17 @@
   const names = (from: number) => [...Array(700).keys()].map((i) => machineName(`n-${from + i}`));
   for (const part of [0, 1, 2])
     view.apply({
-      key: key.substitutes('c-1', part),
+      key: key.proxiedMachines('c-1', part),
       value: { machines: names(part * 700), lease: 3 },
       version: version(10 + part),
     });
-  const nodes = new Set([...view.substitutes.values()].map((s) => s.node));
+  const nodes = new Set([...view.proxiedMachines.values()].map((s) => s.node));
   assert.deepEqual(nodes, new Set(['c-1']));
-  const listed = [...view.substitutes.values()].reduce((n, s) => n + s.machines.size, 0);
+  const listed = [...view.proxiedMachines.values()].reduce((n, s) => n + s.machines.size, 0);
   assert.equal(listed, 2100);
-  view.apply({ key: key.substitutes('c-1', 1), value: undefined, version: version(20) });
+  view.apply({ key: key.proxiedMachines('c-1', 1), value: undefined, version: version(20) });
   assert.equal(
-    [...view.substitutes.values()].reduce((n, s) => n + s.machines.size, 0),
+    [...view.proxiedMachines.values()].reduce((n, s) => n + s.machines.size, 0),
     1400,
   );
 });
@@ -174,12 +174,12 @@
       },
     },
   };
-  const list = new SubstituteList(ctx as unknown as Context);
+  const list = new ProxiedMachineList(ctx as unknown as Context);
   const names = [...Array(Math.floor(MACHINES / 3)).keys()].map((i) =>
     machineName(`n-${String(i).padStart(6, '0')}`),
   );
   const written = () =>
-    [...view.substitutes.values()]
+    [...view.proxiedMachines.values()]
       .filter((s) => s.node === 'c-1')
       .flatMap((s) => [...s.machines])
       .sort();
@@ -197,13 +197,13 @@
   await list.publish(names.slice(0, 3), 3);
   assert.deepEqual(written(), names.slice(0, 3));
   await list.publish([], 3);
-  assert.equal(view.substitutes.size, 0);
+  assert.equal(view.proxiedMachines.size, 0);
 });
 
 test('4,000 machines that no record knows are believed as soon as each has reported twice', () => {
   let now = 0;
   const ctx = { clock: { now: () => monotonicMs(now) }, settings: { cloudLimits: { list_lag_s: 5 } } };
-  const unknown = new UnknownMachines(ctx as unknown as Context);
+  const unknown = new UnregisteredMachines(ctx as unknown as Context);
   for (const tally of [1, 2])
     for (let i = 0; i < MACHINES; i++) {
       now += 0.6;
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -62,7 +62,7 @@
   const view = viewOf({
     [key.job(id)]: JOB_BEFORE,
     [key.machine(machineName('n-000001'))]: MACHINE_BEFORE,
-    [key.slice('c-0')]: '{"holder":"c-0","incarnation":"x"}',
+    [key.shard('c-0')]: '{"holder":"c-0","incarnation":"x"}',
   });
   const ledger = new AllocationTotals(view.machines.values(), types, new Map());
   assert.equal(ledger.jobs.get(id)?.tasks.size, 3);
--- a/test/silent-controllers.test.ts
+++ b/test/silent-controllers.test.ts
@@ -16,7 +16,7 @@
 
 const owners = (sim: Sim) => all(sim).filter((n) => n !== leads(sim));
 const holderOf = (sim: Sim, slice: string) =>
-  (sim.state.rows.get(key.slice(slice))?.value as { holder: string } | undefined)?.holder;
+  (sim.state.rows.get(key.shard(slice))?.value as { holder: string } | undefined)?.holder;
 
 async function silent(sim: Sim, nodes: readonly Node[], ms: number): Promise<void> {
   for (const n of nodes) n.clock.pause();
