--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -36,7 +36,7 @@
   victim.clock.pause();
   const before = [...sim.state.rows.keys()].filter((k) => k === key.session(victim.name) || k === key.leader);
   assert.equal(before.length, 2);
-  taker.controller!.ctx.state.revoke = () => Promise.reject(new Unavailable('revoke'));
+  taker.controller!.ctx.state.revokeLease = () => Promise.reject(new Unavailable('revoke'));
   assert.equal(await outcomeOf(sim, () => transferOf(taker).takeOver(fact)), 'committed');
   assert.equal(holderOf(sim, slice), taker.name);
   assert.equal(sim.state.rows.has(key.session(victim.name)), false);
--- a/src/controller/availability.ts
+++ b/src/controller/availability.ts
@@ -45,15 +45,15 @@
    */
   get healthy(): boolean {
     const { context } = this;
-    if (!context.follower.ready || context.view.types === null) return false;
-    return context.state.reachable(3000) || this.outage;
+    if (!context.watcher.isReady || context.view.types === null) return false;
+    return context.state.isReachable(3000) || this.outage;
   }
 
   async run(): Promise<never> {
     const { context } = this;
     for (;;) {
       await context.clock.sleep(ASK_MS);
-      if (context.state.reachable(1500)) {
+      if (context.state.isReachable(1500)) {
         this.isolated = false;
         continue;
       }
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -8,7 +8,7 @@
 import { AllocationTotals } from '../core/ledger.js';
 import { key } from '../core/keys.js';
 import { jsonBytes, toStoredJob, type StoredJob } from '../core/records.js';
-import { FinalStates } from './final-states.js';
+import { FinalStateCache } from './final-states.js';
 import { DependencyTracker } from './dependency-tracker.js';
 import {
   incarnation,
@@ -23,14 +23,14 @@
   type TeamName,
   type TypeName,
 } from '../core/types.js';
-import { changesOf, type Changes } from '../core/changes.js';
-import { View } from '../core/view.js';
+import { viewChangesOf, type ViewChanges } from '../core/changes.js';
+import { ClusterView } from '../core/view.js';
 import { StateClient } from '../io/state/client.js';
-import { Follower } from '../io/state/follower.js';
+import { StateWatcher } from '../io/state/follower.js';
 import { commit } from '../io/state/transactions.js';
 import type { Transport } from '../io/http.js';
-import type { Urgency } from '../io/rate-limiter.js';
-import type { Guard, Op } from '../io/wire.js';
+import type { RequestPriority } from '../io/rate-limiter.js';
+import type { Guard, WriteOperation } from '../io/wire.js';
 
 const MOST_IMAGES_BYTES = 300;
 /** An entry may be marked as stopping; a machine may get an address, drain, hear a token, be given up. */
@@ -40,16 +40,16 @@
 /** What one controller knows: its settings, its view of the shared state, and sums over that. */
 export class Context {
   readonly incarnation: Incarnation;
-  readonly view = new View();
+  readonly view = new ClusterView();
   readonly state: StateClient;
-  readonly follower: Follower;
-  readonly finalStates: FinalStates;
+  readonly watcher: StateWatcher;
+  readonly finalStates: FinalStateCache;
   readonly dependencies: DependencyTracker;
   readonly teams: ReadonlyMap<TeamName, Team>;
   /** Sessions as this process saw them appear. */
   readonly sessionSince = new Map<string, MonotonicMs>();
   /** Told of changes after the view has taken them in. */
-  readonly listeners: ((changes: Changes) => void)[] = [];
+  readonly listeners: ((changes: ViewChanges) => void)[] = [];
   /** What this controller does and learns, for packages. */
   readonly events = new EventBus();
   private allocationTotals: AllocationTotals | null = null;
@@ -75,38 +75,38 @@
         lowRps: Math.min(s.rps, s.next?.rps ?? s.rps),
         lowWriteRps: Math.min(s.write_rps, s.next?.write_rps ?? s.write_rps),
         // The lower limits hold from some moment on, without notice: nothing larger is ever written.
-        txnOps: Math.min(s.txn_ops, s.next?.txn_ops ?? s.txn_ops),
+        operationsPerTransaction: Math.min(s.txn_ops, s.next?.txn_ops ?? s.txn_ops),
         valueBytes: Math.min(s.value_kb, s.next?.value_kb ?? s.value_kb) * 1024,
         nodes: settings.nodes,
       },
       clock,
       stateHttp,
       watchHttp,
-      (ops, answer) => {
-        log.error({ keys: ops.map((o) => o.key), answer }, 'transaction rejected');
+      (operations, answer) => {
+        log.error({ keys: operations.map((o) => o.key), answer }, 'transaction rejected');
       },
-      (ops, outcome, since) => {
+      (operations, outcome, since) => {
         if (this.events.isActive)
-          this.events.emit({ kind: 'transaction', keys: ops.map((o) => o.key), outcome, since });
+          this.events.emit({ kind: 'transaction', keys: operations.map((o) => o.key), outcome, since });
       },
     );
-    this.finalStates = new FinalStates(this.state);
+    this.finalStates = new FinalStateCache(this.state);
     this.dependencies = new DependencyTracker(this, this.finalStates);
     this.teams = new Map(settings.teams.map((t) => [t.name, t]));
-    this.follower = new Follower(
+    this.watcher = new StateWatcher(
       this.state,
       this.view,
       (keys) => {
-        this.notify(changesOf(keys));
+        this.publish(viewChangesOf(keys));
       },
-      (ops) => {
-        this.finalStates.committed(ops);
+      (operations) => {
+        this.finalStates.recordCommitted(operations);
       },
     );
   }
 
   /** Tells all listeners of changes. */
-  notify(changes: Changes): void {
+  publish(changes: ViewChanges): void {
     for (const listener of this.listeners) listener(changes);
   }
 
@@ -124,8 +124,9 @@
     if (this.allocationTotals === null || this.allocationTypes !== types) {
       this.allocationTypes = types;
       this.allocationTotals = new AllocationTotals(view.machines.values(), types, this.teams);
-    } else for (const name of view.touched) this.allocationTotals.setMachine(name, view.machines.get(name));
-    view.touched.clear();
+    } else
+      for (const name of view.dirtyMachines) this.allocationTotals.setMachine(name, view.machines.get(name));
+    view.dirtyMachines.clear();
     return this.allocationTotals;
   }
 
@@ -196,7 +197,7 @@
 
   /** How many bytes more may be placed in a machine's record, everything counted that may still be added to it. */
   recordRoom(m: MachineRecord): number {
-    const { valueBytes } = this.state.settings;
+    const { valueBytes } = this.state.limits;
     let size = this.recordSizes.get(m);
     if (size === undefined) {
       // Records are never changed in place. The images are counted with the most that they may take.
@@ -208,7 +209,7 @@
 
   /** How much of a machine's record the names of its images may take. */
   get imagesBytes(): number {
-    return Math.min(MOST_IMAGES_BYTES, Math.floor(this.state.settings.valueBytes / 8));
+    return Math.min(MOST_IMAGES_BYTES, Math.floor(this.state.limits.valueBytes / 8));
   }
 
   ownedMachines(): MachineRecord[] {
@@ -226,12 +227,12 @@
 
   /** The job's record as it is written, within the limit for a value where that is possible. */
   storedJob(job: JobRecord): StoredJob {
-    const limit = this.state.settings.valueBytes;
+    const limit = this.state.limits.valueBytes;
     return toStoredJob(job, limit) ?? toStoredJob({ ...job, failing: undefined }, limit) ?? job;
   }
 
-  commit(guards: readonly Guard[], ops: readonly Op[], urgency: Urgency) {
-    return commit(this.state, this.follower, guards, ops, urgency);
+  commit(guards: readonly Guard[], operations: readonly WriteOperation[], priority: RequestPriority) {
+    return commit(this.state, this.watcher, guards, operations, priority);
   }
 
   task(job: JobId, index: number): string {
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -129,7 +129,7 @@
 
   async run(): Promise<void> {
     await Promise.all([
-      this.ctx.follower.run(),
+      this.ctx.watcher.run(),
       this.membership.run(),
       this.shardController.run(),
       this.leader.run(),
@@ -173,7 +173,7 @@
   const controller = new Controller(settings, operator, log, outside, packages);
   const peerServer = new PeerServer(
     (job) => Promise.resolve(controller.jobs.takeCancel(jobId(job))),
-    () => controller.ctx.state.reachable(1500),
+    () => controller.ctx.state.isReachable(1500),
     Math.max(8, settings.nodes * 4),
     (topic, payload, from) => controller.channel.answer(topic, payload, from),
   );
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -9,10 +9,10 @@
   type Dependency,
 } from '../core/dependencies.js';
 import type { JobId, JobRecord } from '../core/types.js';
-import { jobChanges } from '../core/changes.js';
+import { viewChangesOfJobs } from '../core/changes.js';
 import { Unavailable } from '../io/state/client.js';
 import type { Context } from './context.js';
-import type { FinalStates } from './final-states.js';
+import type { FinalStateCache } from './final-states.js';
 
 /** So many final states are read at once; a takeover may have hundreds of jobs that wait. */
 const READS_AT_ONCE = 8;
@@ -29,7 +29,7 @@
 
   constructor(
     private readonly context: Context,
-    private readonly finalStates: FinalStates,
+    private readonly finalStates: FinalStateCache,
   ) {
     // Not waited for until somebody plans: what follows from an end is wanted at once.
     context.listeners.push(({ jobs }) => {
@@ -54,9 +54,9 @@
 
   /** What the view and the final states read so far say. */
   all(): Dependencies {
-    const { jobChanges } = this.context.view;
-    if (this.now === null || this.at !== jobChanges) {
-      this.at = jobChanges;
+    const { jobChangeCount } = this.context.view;
+    if (this.now === null || this.at !== jobChangeCount) {
+      this.at = jobChangeCount;
       this.now = judgeDependencies(this.input);
       this.incomplete = [...this.now.of.values()].some((d) => unreadOf(d).length > 0);
     }
@@ -72,7 +72,7 @@
       const open = d?.kind === 'blocked' || d?.kind === 'unknown' ? this.unread(job) : [];
       if (open.length === 0) return d;
       for (const id of open.slice(0, READS_AT_ONCE))
-        if ((await this.finalStates.read(id, this.context.view.rev)) === undefined)
+        if ((await this.finalStates.read(id, this.context.view.revision)) === undefined)
           throw new Unavailable(`${id} is neither open nor over`);
       this.now = null;
     }
@@ -104,13 +104,13 @@
       if (unread.size === 0) return;
       const some = [...unread].slice(0, READS_AT_ONCE);
       const read = await Promise.all(
-        some.map(([need]) => this.finalStates.read(need, context.view.rev).catch(() => undefined)),
+        some.map(([need]) => this.finalStates.read(need, context.view.revision).catch(() => undefined)),
       );
       const changed = some.filter((_, i) => read[i] !== undefined);
       if (changed.length > 0) {
         this.now = null;
         // As if the records of those that wait had changed: their owners and the leader look again.
-        context.notify(jobChanges(new Set(changed.map(([, job]) => job))));
+        context.publish(viewChangesOfJobs(new Set(changed.map(([, job]) => job))));
       }
       if (changed.length < some.length) await context.clock.sleep(AGAIN_MS);
     }
--- a/src/controller/final-states.ts
+++ b/src/controller/final-states.ts
@@ -2,9 +2,9 @@
 import { dropOldest } from '../core/bounded.js';
 import type { FinalRecord, JobId, Revision } from '../core/types.js';
 import { key, parseKey } from '../core/keys.js';
-import { URGENCY } from '../io/rate-limiter.js';
+import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
 import { Unavailable, type StateClient } from '../io/state/client.js';
-import type { Op } from '../io/wire.js';
+import type { WriteOperation } from '../io/wire.js';
 
 /** So many are remembered: a few MB. What is forgotten is read again when it is asked for. */
 const KEPT = 15_000;
@@ -19,7 +19,7 @@
 }
 
 /** A bounded cache of final states over reads of the state service. */
-export class FinalStates {
+export class FinalStateCache {
   private readonly known = new Map<JobId, FinalRecord>();
   private readonly reading = new Map<JobId, Promise<FinalRead>>();
   /** How many final states were asked for. */
@@ -32,8 +32,8 @@
   }
 
   /** Takes in final states that this process has just committed. */
-  committed(ops: readonly Op[]): void {
-    for (const op of ops) {
+  recordCommitted(operations: readonly WriteOperation[]): void {
+    for (const op of operations) {
       const parsed = parseKey(op.key);
       if (parsed.kind === 'final' && op.value !== undefined)
         this.remember(parsed.job, op.value as FinalRecord);
@@ -53,13 +53,13 @@
     for (let i = 0; i < MOST_READS; i++) {
       const known = this.known.get(id);
       if (known !== undefined) return known;
-      const { final, rev } = await this.shared(id);
+      const { final, rev } = await this.readShared(id);
       if (final !== undefined || rev >= atLeast) return final;
     }
     throw new Unavailable(`${id}: answers older than what is known`);
   }
 
-  private shared(id: JobId): Promise<FinalRead> {
+  private readShared(id: JobId): Promise<FinalRead> {
     let reading = this.reading.get(id);
     if (reading === undefined) {
       reading = this.request(id).finally(() => this.reading.delete(id));
@@ -70,7 +70,7 @@
 
   private async request(id: JobId): Promise<FinalRead> {
     this.reads++;
-    const { value, rev } = await this.state.get(key.final(id), URGENCY.users);
+    const { value, rev } = await this.state.get(key.final(id), REQUEST_PRIORITY.users);
     if (value === undefined) return { final: undefined, rev };
     const final = value as FinalRecord;
     this.remember(id, final);
--- a/src/controller/jobs.ts
+++ b/src/controller/jobs.ts
@@ -13,9 +13,9 @@
 import { key } from '../core/keys.js';
 import { Unavailable } from '../io/state/client.js';
 import { GroupCommit } from '../io/state/group-commit.js';
-import { URGENCY } from '../io/rate-limiter.js';
+import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
 import type { Peer } from '../io/peers.js';
-import type { Op } from '../io/wire.js';
+import type { WriteOperation } from '../io/wire.js';
 import type { Context } from './context.js';
 import type { ShardController } from './owner/owner.js';
 
@@ -72,7 +72,7 @@
   async submit(spec: JobSpec): Promise<Submitted> {
     const { context } = this;
     const { view } = context;
-    if (!context.follower.ready || view.types === null || !context.state.reachable(1500))
+    if (!context.watcher.isReady || view.types === null || !context.state.isReachable(1500))
       return { kind: 'later' };
     const verdict = judge(spec, context.teams, view.types);
     if (verdict !== 'ok') return this.knownOrImpossible(spec.id, verdict);
@@ -100,20 +100,20 @@
       submitted: context.clock.wallClock(),
     };
     // One that does not fit is refused with its status: its change would be refused for ever.
-    const stored = toStoredJob(record, context.state.settings.valueBytes);
+    const stored = toStoredJob(record, context.state.limits.valueBytes);
     if (stored === null) return this.knownOrImpossible(spec.id, 'too_large');
     return this.accept(spec, { key: key.job(spec.id), value: stored, reason: 'submission' }, 'pending');
   }
 
   /** Commits an accepted job, in whatever state it is from the first moment. */
-  private async accept(spec: JobSpec, op: Op, state: JobState): Promise<Submitted> {
+  private async accept(spec: JobSpec, op: WriteOperation, state: JobState): Promise<Submitted> {
     const { context } = this;
     const { id, team, kind, tasks } = spec;
     const since = context.clock.now();
     const guards = [key.job(id), key.final(id)].map((k) => ({ key: k, version: NO_VERSION }));
-    const result = await this.submissions.commit(id, { guards, ops: [op] });
+    const result = await this.submissions.commit(id, { guards, operations: [op] });
     if (result.kind === 'ok') {
-      context.follower.applied([op], result.rev);
+      context.watcher.applyCommitted([op], result.revision);
       context.log.info({ job: id, team, kind, tasks, class: spec.class }, 'accepted');
       if (context.events.isActive) context.events.emit({ kind: 'job_accepted', job: id, team, since });
       return { kind: 'accepted', state };
@@ -141,11 +141,12 @@
     const left: JobId[] = [];
     let because: JobId | null = null;
     if (named.includes(of)) return { kind: 'impossible' };
-    if (named.some((id) => context.finalStates.cached(id) === undefined)) await context.follower.fresh();
+    if (named.some((id) => context.finalStates.cached(id) === undefined))
+      await context.watcher.waitUntilFresh();
     for (const id of named) {
       const job = context.view.jobs.get(id);
       if (job === undefined) {
-        const final = await context.finalStates.read(id, context.view.rev);
+        const final = await context.finalStates.read(id, context.view.revision);
         if (final === undefined) return { kind: 'impossible' };
         if (final.state === 'cancelled') because ??= final.because ?? id;
         continue;
@@ -168,8 +169,8 @@
     const cached = this.context.finalStates.cached(id);
     if (cached !== undefined) return this.finalStatus(cached);
     // Without the state service nothing but final states can be told: said at once, not after a wait.
-    if (!context.follower.ready || !context.state.reachable(1500)) throw new Unavailable('not ready');
-    await context.follower.fresh();
+    if (!context.watcher.isReady || !context.state.isReachable(1500)) throw new Unavailable('not ready');
+    await context.watcher.waitUntilFresh();
     const job = context.view.jobs.get(id);
     if (job !== undefined) {
       const d = await context.dependencies.decide(job);
@@ -183,7 +184,7 @@
         ...this.failuresOf(job),
       };
     }
-    const final = await this.context.finalStates.read(id, context.view.rev);
+    const final = await this.context.finalStates.read(id, context.view.revision);
     return final === undefined ? undefined : this.finalStatus(final);
   }
 
@@ -218,9 +219,9 @@
     const taken = peer === undefined ? null : await peer.cancel(id, 800);
     // Where the owner cannot be reached directly, the request is left in the state service for it.
     if (taken !== 'taken' && !context.view.cancellations.has(id)) {
-      const op: Op = { key: key.cancellation(id), value: {}, reason: 'cancellation' };
-      const r = await context.state.txn([context.guard(op.key)], [op], URGENCY.users);
-      if (r.kind === 'ok') context.follower.applied([op], r.rev);
+      const op: WriteOperation = { key: key.cancellation(id), value: {}, reason: 'cancellation' };
+      const r = await context.state.transact([context.guard(op.key)], [op], REQUEST_PRIORITY.users);
+      if (r.kind === 'ok') context.watcher.applyCommitted([op], r.revision);
     }
     await wait;
     context.log.debug({ job: id, ms: this.context.clock.now() - start, taken }, 'cancel forwarded');
@@ -243,7 +244,7 @@
 
   private async outcome(id: JobId): Promise<Cancelled> {
     if (this.context.view.jobs.has(id)) return { kind: 'later' };
-    const final = await this.context.finalStates.read(id, this.context.view.rev);
+    const final = await this.context.finalStates.read(id, this.context.view.revision);
     return final === undefined ? { kind: 'later' } : { kind: 'final', state: final.state };
   }
 
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -3,8 +3,8 @@
 import { splitBySize } from '../../core/records.js';
 import type { MachineName, MachineRecord, MachineType, NodeName, MonotonicMs } from '../../core/types.js';
 import type { CloudClient } from '../../io/cloud.js';
-import { URGENCY } from '../../io/rate-limiter.js';
-import type { ListedMachine, Op } from '../../io/wire.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import type { ListedMachine, WriteOperation } from '../../io/wire.js';
 import type { Context } from '../context.js';
 import type { Membership } from '../membership.js';
 import type { LeaderTransactions } from './leader-transactions.js';
@@ -41,7 +41,7 @@
     const { context } = this;
     for (let round = 0; ; round++) {
       await context.clock.sleep(LIST_EVERY_MS);
-      if (!this.membership.isLeader || !context.follower.ready) continue;
+      if (!this.membership.isLeader || !context.watcher.isReady) continue;
       try {
         if (round % TYPES_EVERY === 0) await this.refreshTypes();
         const askedAt = context.clock.now();
@@ -58,21 +58,24 @@
     const types = await this.cloud.types();
     if (types === null) return;
     if (JSON.stringify(context.view.types) === JSON.stringify(types)) return;
-    const parts = splitBySize(types, context.state.settings.valueBytes);
+    const parts = splitBySize(types, context.state.limits.valueBytes);
     const names = (list: readonly MachineType[] | null) => JSON.stringify(list?.map((t) => t.name));
     // A longer list that stands in one value, from before the limit fell, is left: only its prices are a little old, and
     // a process of the version before would miss what it can't find there.
     if (parts.length > 1 && names(context.view.types) === names(types)) return;
-    const ops: Op[] = parts.map((value, i) => ({ key: i === 0 ? key.types : key.moreTypes(i), value }));
+    const operations: WriteOperation[] = parts.map((value, i) => ({
+      key: i === 0 ? key.types : key.moreTypes(i),
+      value,
+    }));
     for (let i = parts.length; context.view.entries.has(key.moreTypes(i)); i++)
-      ops.push({ key: key.moreTypes(i), value: undefined });
+      operations.push({ key: key.moreTypes(i), value: undefined });
     // A list longer than a transaction takes is written in several: its parts are read one by one in any case.
-    await this.transactions.commitEach(ops, URGENCY.starts);
+    await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
   }
 
   private async compare(list: readonly ListedMachine[], askedAt: MonotonicMs): Promise<void> {
     const { context } = this;
-    const failed: Op[] = [];
+    const failed: WriteOperation[] = [];
     const withoutRecord = new Set<MachineName>();
     for (const l of list) {
       const machine = context.view.machines.get(l.name);
@@ -89,7 +92,7 @@
       context.log.info({ machine: machine.name }, 'not listed any more');
       failed.push(markForReturn(machine));
     }
-    if (failed.length > 0) await this.transactions.commitEach(failed, URGENCY.starts);
+    if (failed.length > 0) await this.transactions.commitEach(failed, REQUEST_PRIORITY.starts);
     if (this.unknown.size > 0) this.found();
   }
 
@@ -118,16 +121,16 @@
     if (this.unknown.size === 0) return;
     const count = new Map<NodeName, number>();
     for (const m of context.view.machines.values()) count.set(m.owner, (count.get(m.owner) ?? 0) + 1);
-    const ops: Op[] = [];
+    const operations: WriteOperation[] = [];
     for (const [name, known] of this.unknown.take()) {
       if (context.view.machines.has(name)) continue;
       const owner = [...shards].sort((a, b) => (count.get(a) ?? 0) - (count.get(b) ?? 0))[0]!;
       count.set(owner, (count.get(owner) ?? 0) + 1);
       const value = newMachine(context, name, known, owner);
       context.log.info({ machine: name, to: owner, floor: value.floor }, 'machine adopted');
-      ops.push({ key: key.machine(name), value, reason: 'machine_state' });
+      operations.push({ key: key.machine(name), value, reason: 'machine_state' });
     }
-    await this.transactions.commitEach(ops, URGENCY.starts);
+    await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
   }
 
   /** Returns the machines that are marked for it, unless that is under way. */
@@ -157,7 +160,7 @@
     context.log.info({ machines: there }, 'machines released');
     await this.transactions.commitEach(
       there.map((n) => ({ key: key.machine(n), value: undefined, reason: 'return' })),
-      URGENCY.results,
+      REQUEST_PRIORITY.results,
     );
   }
 }
--- a/src/controller/leader/fleet-planner.ts
+++ b/src/controller/leader/fleet-planner.ts
@@ -53,7 +53,7 @@
       owners: new Map([...view.teams].map(([team, r]) => [team, r.owner])),
       order: context.order(),
       usable: (m) => this.isUsable(m),
-      movable: (m) => (m.heard ?? 0) >= view.tokenOf(m) && !this.strayed.isMisrouted(m.name),
+      movable: (m) => (m.heard ?? 0) >= view.fencingTokenOf(m) && !this.strayed.isMisrouted(m.name),
       yields: context.yielding(),
       mayHold: (j) => context.mayHold(j),
       reserve: this.reserve(),
--- a/src/controller/leader/leader-transactions.ts
+++ b/src/controller/leader/leader-transactions.ts
@@ -1,8 +1,8 @@
 /** Commits that only the present leader can make: each transaction is guarded on the leadership. */
 import { key, parseKey } from '../../core/keys.js';
-import type { Urgency } from '../../io/rate-limiter.js';
-import { pack, type Group } from '../../io/state/transactions.js';
-import type { Guard, Op } from '../../io/wire.js';
+import type { RequestPriority } from '../../io/rate-limiter.js';
+import { packTransactions, type ChangeSet } from '../../io/state/transactions.js';
+import type { Guard, WriteOperation } from '../../io/wire.js';
 import type { Context } from '../context.js';
 import type { Membership } from '../membership.js';
 
@@ -14,38 +14,43 @@
   ) {}
 
   /** Commits one transaction as it is. */
-  async commit({ ops, guards }: Group, urgency: Urgency): Promise<boolean> {
+  async commit({ operations, guards }: ChangeSet, priority: RequestPriority): Promise<boolean> {
     if (!this.membership.isLeader) return false;
-    const outcome = await this.context.commit([this.context.guard(key.leader), ...guards], ops, urgency);
+    const outcome = await this.context.commit(
+      [this.context.guard(key.leader), ...guards],
+      operations,
+      priority,
+    );
     return outcome === 'ok';
   }
 
   /** Commits groups in order, as many to a transaction as fit, and stops at the first that fails. */
-  async commitInOrder(groups: readonly Group[], urgency: Urgency): Promise<boolean> {
-    for (const txn of this.packed(groups)) if (!(await this.commit(txn, urgency))) return false;
+  async commitInOrder(groups: readonly ChangeSet[], priority: RequestPriority): Promise<boolean> {
+    for (const transaction of this.packed(groups))
+      if (!(await this.commit(transaction, priority))) return false;
     return true;
   }
 
   /** Single-key changes, as many to a transaction as fit; one that fails does not hold up the others. */
-  async commitEach(ops: readonly Op[], urgency: Urgency): Promise<boolean> {
+  async commitEach(operations: readonly WriteOperation[], priority: RequestPriority): Promise<boolean> {
     // Taken before the first wait: a value goes with the versions that it was made from. Were the guards of a later
     // transaction read when its turn comes, it would overwrite what was committed in between, such as a start.
-    const groups = ops.map((o) => ({ ops: [o], guards: this.guardsOf(o) }));
+    const groups = operations.map((o) => ({ operations: [o], guards: this.guardsOf(o) }));
     let ok = true;
-    for (const txn of this.packed(groups)) ok = (await this.commit(txn, urgency)) && ok;
+    for (const transaction of this.packed(groups)) ok = (await this.commit(transaction, priority)) && ok;
     return ok;
   }
 
-  private packed(groups: readonly Group[]): Generator<Group> {
+  private packed(groups: readonly ChangeSet[]): Generator<ChangeSet> {
     const { context } = this;
-    return pack(groups, [context.guard(key.leader)], context.state.settings, context.view);
+    return packTransactions(groups, [context.guard(key.leader)], context.state.limits, context.view);
   }
 
   /**
    * The key written, and for a machine the slice it is in: the floor that a move gives it is above its token
    * only as long as that slice has not got another holder.
    */
-  private guardsOf(op: Op): Guard[] {
+  private guardsOf(op: WriteOperation): Guard[] {
     const { context } = this;
     const before = context.view.entries.get(op.key)?.value as { owner?: string } | undefined;
     const shard = parseKey(op.key).kind === 'machine' ? before?.owner : undefined;
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -14,8 +14,8 @@
   type TeamRecord,
 } from '../../core/types.js';
 import type { CloudClient } from '../../io/cloud.js';
-import { URGENCY } from '../../io/rate-limiter.js';
-import type { Op } from '../../io/wire.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import type { WriteOperation } from '../../io/wire.js';
 import type { Context } from '../context.js';
 import type { Membership } from '../membership.js';
 import { Notification } from '../notification.js';
@@ -79,7 +79,7 @@
       await context.clock.sleep(pauseMs);
       await this.notification.wait(IDLE_MS);
       pauseMs = PAUSE_MS;
-      if (!context.follower.ready || !this.membership.isLeader) {
+      if (!context.watcher.isReady || !this.membership.isLeader) {
         this.leadingSince = null;
         this.unknown.clear();
         continue;
@@ -126,29 +126,31 @@
 
   private async moveMisroutedMachines(live: readonly LiveController[]): Promise<boolean> {
     const moves = this.strayed.update(live);
-    const ops = moves.map(({ machine, to }) => this.moveOperation(machine, to, 'reaches only that one'));
-    return ops.length === 0 || this.transactions.commitEach(ops, URGENCY.results);
+    const operations = moves.map(({ machine, to }) =>
+      this.moveOperation(machine, to, 'reaches only that one'),
+    );
+    return operations.length === 0 || this.transactions.commitEach(operations, REQUEST_PRIORITY.results);
   }
 
   private async assignTeams(shards: readonly NodeName[]): Promise<boolean> {
     const { context } = this;
-    const ops: Op[] = [];
+    const operations: WriteOperation[] = [];
     for (const [team, owner] of assignTeamsToShards(
       shards,
       [...context.teams.values()],
       context.view.teams,
     )) {
       context.log.info({ team, slice: owner }, 'team assigned');
-      ops.push({ key: key.team(team), value: { owner } satisfies TeamRecord, reason: 'membership' });
+      operations.push({ key: key.team(team), value: { owner } satisfies TeamRecord, reason: 'membership' });
     }
-    return ops.length === 0 || this.transactions.commitEach(ops, URGENCY.session);
+    return operations.length === 0 || this.transactions.commitEach(operations, REQUEST_PRIORITY.session);
   }
 
   private async assignShards(shards: readonly NodeName[], live: readonly LiveController[]): Promise<boolean> {
     const { context } = this;
     const { view } = context;
     const early = context.clock.now() - this.leadingSince! < SETTLE_MS;
-    const ops: Op[] = [];
+    const operations: WriteOperation[] = [];
     for (const [shard, to] of assignShardHolders(
       shards,
       live,
@@ -158,9 +160,9 @@
       if (early && !view.shards.has(shard)) continue;
       context.log.info({ slice: shard, from: view.shards.get(shard)?.holder, to: to.node }, 'slice assigned');
       const value: ShardRecord = { holder: to.node, incarnation: to.incarnation };
-      ops.push({ key: key.shard(shard), value, reason: 'membership' });
+      operations.push({ key: key.shard(shard), value, reason: 'membership' });
     }
-    return ops.length === 0 || this.transactions.commitEach(ops, URGENCY.session);
+    return operations.length === 0 || this.transactions.commitEach(operations, REQUEST_PRIORITY.session);
   }
 
   private async resizeFleet(shards: readonly NodeName[]): Promise<void> {
@@ -168,19 +170,25 @@
     const start = context.clock.now();
     const plan = this.planner.plan();
     this.planMs = context.clock.now() - start;
-    const ops: Op[] = plan.moves.map(({ machine, to }) => this.moveOperation(machine, to, 'slices'));
+    const operations: WriteOperation[] = plan.moves.map(({ machine, to }) =>
+      this.moveOperation(machine, to, 'slices'),
+    );
     for (const machine of plan.releases) {
       const { name, phase } = machine;
       context.log.info({ machine: name, phase, ageS: this.planner.ageS(machine) }, 'to be returned');
-      ops.push(markForReturn(machine));
+      operations.push(markForReturn(machine));
     }
-    if (ops.length > 0) await this.transactions.commitEach(ops, URGENCY.starts);
+    if (operations.length > 0) await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
     this.rentals.start(plan.rentals, shards);
   }
 
   /** Gives a machine to another slice, with a token above the one that it has. */
-  private moveOperation(machine: MachineRecord, to: NodeName, why: string): Op {
-    const value: MachineRecord = { ...machine, owner: to, floor: this.context.view.tokenOf(machine) + 1 };
+  private moveOperation(machine: MachineRecord, to: NodeName, why: string): WriteOperation {
+    const value: MachineRecord = {
+      ...machine,
+      owner: to,
+      floor: this.context.view.fencingTokenOf(machine) + 1,
+    };
     this.context.log.info(
       { machine: machine.name, from: machine.owner, to, floor: value.floor, why },
       'machine assigned',
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -13,9 +13,9 @@
   type Zone,
 } from '../../core/types.js';
 import type { CloudClient } from '../../io/cloud.js';
-import { URGENCY } from '../../io/rate-limiter.js';
-import type { Group } from '../../io/state/transactions.js';
-import type { Op } from '../../io/wire.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import type { ChangeSet } from '../../io/state/transactions.js';
+import type { WriteOperation } from '../../io/wire.js';
 import type { Context } from '../context.js';
 import type { LeaderTransactions } from './leader-transactions.js';
 import type { UnregisteredMachine } from './unknown-machines.js';
@@ -47,7 +47,7 @@
 });
 
 /** The change that has a machine returned to the cloud; only the cloud's answer to that frees its tasks. */
-export function markForReturn(machine: MachineRecord): Op {
+export function markForReturn(machine: MachineRecord): WriteOperation {
   const value: MachineRecord = { ...machine, phase: 'releasing' };
   return { key: key.machine(machine.name), value, reason: 'return' };
 }
@@ -100,10 +100,10 @@
       };
       const k = key.rental(rental.name);
       const group = {
-        ops: [{ key: k, value: rental, reason: 'rental' as const }],
+        operations: [{ key: k, value: rental, reason: 'rental' as const }],
         guards: [{ key: k, version: NO_VERSION }],
       };
-      if (!(await this.transactions.commit(group, URGENCY.starts))) return;
+      if (!(await this.transactions.commit(group, REQUEST_PRIORITY.starts))) return;
       await this.carryOut(rental, shards);
     }
   }
@@ -111,10 +111,7 @@
   /** The rental's record names a slice for each machine, and has to fit the limit for a value. */
   private mostAtOnce(shards: readonly NodeName[]): number {
     const longest = Math.max(...shards.map((s) => jsonBytes(s))) + 1;
-    return Math.min(
-      MOST_RENTED,
-      Math.floor((this.context.state.settings.valueBytes - RENTAL_BYTES) / longest),
-    );
+    return Math.min(MOST_RENTED, Math.floor((this.context.state.limits.valueBytes - RENTAL_BYTES) / longest));
   }
 
   private async carryOut(rental: RentalRecord, shards: readonly NodeName[]): Promise<void> {
@@ -129,24 +126,28 @@
         kindOf(rental),
         (context.clock.now() + context.operator.fleet.refused_s * 1000) as MonotonicMs,
       );
-    await this.transactions.commitInOrder(this.recordsOf(rental, got, shards), URGENCY.starts);
+    await this.transactions.commitInOrder(this.recordsOf(rental, got, shards), REQUEST_PRIORITY.starts);
   }
 
-  private recordsOf(rental: RentalRecord, got: readonly MachineName[], shards: readonly NodeName[]): Group[] {
+  private recordsOf(
+    rental: RentalRecord,
+    got: readonly MachineName[],
+    shards: readonly NodeName[],
+  ): ChangeSet[] {
     const { context } = this;
     const guard = context.guard(key.rental(rental.name));
-    const groups: Group[] = [];
+    const groups: ChangeSet[] = [];
     got.forEach((name, i) => {
       if (context.view.machines.has(name)) return;
       const owner = rental.owners.find((o, at) => at >= i && shards.includes(o)) ?? shards[0]!;
       const value = newMachine(context, name, { ...rental, token: 0 }, owner);
       groups.push({
-        ops: [{ key: key.machine(name), value, reason: 'rental' }],
+        operations: [{ key: key.machine(name), value, reason: 'rental' }],
         guards: [guard, { key: key.machine(name), version: NO_VERSION }],
       });
     });
     // The rental stays on record until all its machines are: whoever goes on with it gets the same answer.
-    groups.push({ ops: [{ key: guard.key, value: undefined, reason: 'rental' }], guards: [guard] });
+    groups.push({ operations: [{ key: guard.key, value: undefined, reason: 'rental' }], guards: [guard] });
     return groups;
   }
 }
--- a/src/controller/leader/strayed-machines.ts
+++ b/src/controller/leader/strayed-machines.ts
@@ -77,7 +77,7 @@
   private shouldFollowProxy(machine: MachineRecord): boolean {
     const { context } = this;
     const now = context.clock.now();
-    const token = context.view.tokenOf(machine);
+    const token = context.view.fencingTokenOf(machine);
     const before = this.proxiedSince.get(machine.name);
     const since = before?.token === token ? before.since : now;
     this.proxiedSince.set(machine.name, { since, token });
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -1,9 +1,9 @@
 /** This process's session and, if it gets it, the leadership; both hang on one lease of the state service. */
 import type { SessionRecord, LeaderRecord, ShardRecord } from '../core/types.js';
 import { key } from '../core/keys.js';
-import type { Op } from '../io/wire.js';
+import type { WriteOperation } from '../io/wire.js';
 import { Unavailable } from '../io/state/client.js';
-import { URGENCY } from '../io/rate-limiter.js';
+import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
 import type { Context } from './context.js';
 import { Notification } from './notification.js';
 
@@ -69,12 +69,14 @@
     const { operator } = this.context;
     for (;;) {
       try {
-        if (this.context.follower.ready) await this.step();
+        if (this.context.watcher.isReady) await this.step();
       } catch (e) {
         if (!(e instanceof Unavailable)) throw e;
         await this.context.clock.sleep(150);
       }
-      await this.notification.wait(this.context.follower.ready ? operator.sessions.renew_every_s * 1000 : 30);
+      await this.notification.wait(
+        this.context.watcher.isReady ? operator.sessions.renew_every_s * 1000 : 30,
+      );
     }
   }
 
@@ -83,14 +85,14 @@
     const ttl = context.operator.sessions.ttl_s * 1000;
     const sent = this.context.clock.now();
     if (this.lease !== null) {
-      if (await context.state.renew(this.lease)) this.validUntil = sent + ttl * DRIFT;
+      if (await context.state.renewLease(this.lease)) this.validUntil = sent + ttl * DRIFT;
       else {
         context.log.info({ lease: this.lease }, 'session lease is over');
         this.lease = null;
       }
     }
     if (this.lease === null) {
-      this.lease = await context.state.grant(ttl);
+      this.lease = await context.state.grantLease(ttl);
       this.validUntil = sent + ttl * DRIFT;
     }
     await this.writeSession(this.lease);
@@ -110,7 +112,7 @@
     const mine = this.mine;
     const isOwn = mine?.lease === lease && mine.incarnation === context.incarnation;
     if (isOwn && (mine.draining === true) === this.isDraining) return;
-    await context.follower.fresh();
+    await context.watcher.waitUntilFresh();
     const value: SessionRecord = {
       node: context.settings.node,
       incarnation: context.incarnation,
@@ -122,7 +124,7 @@
     // A session under this node's name that is not this process's is its predecessor's: the platform runs one process per
     // node, so it can be ended without waiting for its lease. Only once it is replaced: were there no session for a
     // moment, the leader would give the slice away, and a plain restart would cost two changes of holder.
-    if (isWritten && !isOwn && mine !== undefined) await context.state.revoke(mine.lease);
+    if (isWritten && !isOwn && mine !== undefined) await context.state.revokeLease(mine.lease);
   }
 
   /** The slice of this node, where nobody holds it or its predecessor did, is taken at once. */
@@ -136,24 +138,24 @@
       return;
     const k = key.shard(context.settings.node);
     const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
-    const op: Op = { key: k, value, reason: 'membership' };
-    const r = await context.state.txn([context.guard(k)], [op], URGENCY.session);
+    const op: WriteOperation = { key: k, value, reason: 'membership' };
+    const r = await context.state.transact([context.guard(k)], [op], REQUEST_PRIORITY.session);
     if (r.kind === 'ok') {
-      context.follower.applied([op], r.rev);
-      context.log.info({ slice: context.settings.node, token: r.rev }, 'slice taken');
-    } else if (r.kind === 'conflict') await context.follower.reached(r.rev, 1000);
+      context.watcher.applyCommitted([op], r.revision);
+      context.log.info({ slice: context.settings.node, token: r.revision }, 'slice taken');
+    } else if (r.kind === 'conflict') await context.watcher.waitForRevision(r.revision, 1000);
   }
 
   private async put(k: string, value: { lease: number }): Promise<boolean> {
     const { context } = this;
-    const op: Op = { key: k, value, lease: value.lease, reason: 'membership' };
-    const r = await context.state.txn([context.guard(k)], [op], URGENCY.session);
+    const op: WriteOperation = { key: k, value, lease: value.lease, reason: 'membership' };
+    const r = await context.state.transact([context.guard(k)], [op], REQUEST_PRIORITY.session);
     if (r.kind === 'ok') {
-      context.follower.applied([op], r.rev);
+      context.watcher.applyCommitted([op], r.revision);
       return true;
     }
     if (r.kind === 'no_lease') this.lease = null;
-    if (r.kind === 'conflict') await context.follower.reached(r.rev, 1000);
+    if (r.kind === 'conflict') await context.watcher.waitForRevision(r.revision, 1000);
     return false;
   }
 }
--- a/src/controller/owner/job-reconciler.ts
+++ b/src/controller/owner/job-reconciler.ts
@@ -9,8 +9,8 @@
   type JobRecord,
   type WallClockMs,
 } from '../../core/types.js';
-import type { Group } from '../../io/state/transactions.js';
-import type { Guard, Op } from '../../io/wire.js';
+import type { ChangeSet } from '../../io/state/transactions.js';
+import type { Guard, WriteOperation } from '../../io/wire.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
 import type { SettledResults } from './results.js';
@@ -38,7 +38,7 @@
   }
 
   /** Results go before a cancellation, or with it: what is done stays done. */
-  reconcile({ ended, open }: SettledResults): { ends: Group[]; cancellations: Group[] } {
+  reconcile({ ended, open }: SettledResults): { ends: ChangeSet[]; cancellations: ChangeSet[] } {
     const { jobs } = this.context.view;
     const ends = [...ended].map(([id, done]) =>
       this.finish(jobs.get(id)!, { state: 'done', done: done.count }),
@@ -58,10 +58,10 @@
    * Notes in their records which jobs fail wherever they run: another owner goes on with their waits, the leader rents
    * nothing for them, and users see it. One change for each try that failed, and those grow rare.
    */
-  noteFailing(open: ResultsByJob): Group[] {
+  noteFailing(open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const { clock, view } = context;
-    const groups: Group[] = [];
+    const groups: ChangeSet[] = [];
     for (const [id, failures] of this.health.failures.blamed()) {
       const job = view.jobs.get(id);
       if (job?.phase !== 'active' || open.has(id) || failures.rounds <= (job.failing?.rounds ?? 0)) continue;
@@ -74,7 +74,7 @@
       context.log.info({ job: id, ...failing }, 'job fails wherever it runs');
       const value = context.storedJob({ ...job, failing });
       groups.push({
-        ops: [{ key: key.job(id), value, reason: 'failing' }],
+        operations: [{ key: key.job(id), value, reason: 'failing' }],
         guards: [context.guard(key.job(id))],
       });
     }
@@ -82,10 +82,10 @@
   }
 
   /** Requests that other controllers have left in the state service. */
-  private takeRequestsLeft(ended: ResultsByJob, open: ResultsByJob): Group[] {
+  private takeRequestsLeft(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const { view } = context;
-    const groups: Group[] = [];
+    const groups: ChangeSet[] = [];
     for (const id of view.cancellations) {
       const job = view.jobs.get(id);
       if (job !== undefined) {
@@ -94,7 +94,7 @@
       } else if (view.leader?.incarnation === context.incarnation) {
         const k = key.cancellation(id);
         groups.push({
-          ops: [{ key: k, value: undefined, reason: 'cancellation' }],
+          operations: [{ key: k, value: undefined, reason: 'cancellation' }],
           guards: [context.guard(k)],
         });
       }
@@ -102,9 +102,9 @@
     return groups;
   }
 
-  private takeRequests(ended: ResultsByJob, open: ResultsByJob): Group[] {
+  private takeRequests(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
-    const groups: Group[] = [];
+    const groups: ChangeSet[] = [];
     for (const id of this.requested) {
       if (ended.has(id)) continue;
       const job = context.view.jobs.get(id);
@@ -115,10 +115,10 @@
     return groups;
   }
 
-  private withdrawDependents(): Group[] {
+  private withdrawDependents(): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations();
-    const groups: Group[] = [];
+    const groups: ChangeSet[] = [];
     for (const [id, dependency] of context.dependencies.all().of) {
       if (groups.length >= MOST_WITHDRAWN) break;
       if (dependency.kind !== 'withdrawn') continue;
@@ -130,11 +130,11 @@
     return groups;
   }
 
-  private endCancelled(ended: ResultsByJob, open: ResultsByJob): Group[] {
+  private endCancelled(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations();
     const dependencies = context.dependencies.all().of;
-    const groups: Group[] = [];
+    const groups: ChangeSet[] = [];
     for (const job of context.view.jobs.values()) {
       const { id, team } = job.spec;
       if (job.phase !== 'cancelling' || ended.has(id) || !context.ownsTeam(team)) continue;
@@ -147,12 +147,12 @@
     return groups;
   }
 
-  private beginCancellation(job: JobRecord, done = job.done): Group {
+  private beginCancellation(job: JobRecord, done = job.done): ChangeSet {
     const { context } = this;
     const { id, team } = job.spec;
     context.log.info({ job: id }, 'cancelling');
     return {
-      ops: [
+      operations: [
         {
           key: key.job(id),
           value: context.storedJob({ ...job, done, phase: 'cancelling' }),
@@ -163,11 +163,11 @@
     };
   }
 
-  private finish(job: JobRecord, final: FinalRecord): Group {
+  private finish(job: JobRecord, final: FinalRecord): ChangeSet {
     const { context } = this;
     const { id, team } = job.spec;
     context.log.info({ job: id, state: final.state, done: final.done }, 'job is over');
-    const ops: Op[] = [
+    const operations: WriteOperation[] = [
       { key: key.job(id), value: undefined, reason: 'end' },
       {
         key: key.final(id),
@@ -178,10 +178,13 @@
     const guards: Guard[] = [context.guard(key.job(id)), { key: key.final(id), version: NO_VERSION }];
     if (final.state === 'cancelled') guards.push(...context.teamGuards(team));
     // Where a transaction takes fewer changes, the leader removes what is left of the request.
-    if (context.view.cancellations.has(id) && ops.length < context.state.settings.txnOps) {
-      ops.push({ key: key.cancellation(id), value: undefined, reason: 'cancellation' });
+    if (
+      context.view.cancellations.has(id) &&
+      operations.length < context.state.limits.operationsPerTransaction
+    ) {
+      operations.push({ key: key.cancellation(id), value: undefined, reason: 'cancellation' });
       guards.push(context.guard(key.cancellation(id)));
     }
-    return { ops, guards };
+    return { operations, guards };
   }
 }
--- a/src/controller/owner/machine-reconciler.ts
+++ b/src/controller/owner/machine-reconciler.ts
@@ -12,7 +12,7 @@
   type DesiredState,
 } from '../../core/worker-reports.js';
 import type { MachineName, MachineRecord, Allocation, Zone } from '../../core/types.js';
-import type { Group } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
 import type { AgentSessions } from './machine-sessions.js';
@@ -22,7 +22,7 @@
 
 /** A change to a machine's record; what only tidies up can wait for starts. */
 export interface MachineChange {
-  readonly group: Group;
+  readonly group: ChangeSet;
   readonly urgent: boolean;
 }
 
@@ -121,8 +121,8 @@
       ...this.learned(machine, memory),
       ...(drain ? { drain } : {}),
     };
-    const group: Group = {
-      ops: [{ key: key.machine(machine.name), value, reason: urgent ? 'machine_state' : 'tidying' }],
+    const group: ChangeSet = {
+      operations: [{ key: key.machine(machine.name), value, reason: urgent ? 'machine_state' : 'tidying' }],
       // The slice is guarded too: whoever has lost it must not write its machines any more.
       guards: [context.guard(key.machine(machine.name)), context.guard(key.shard(machine.owner))],
     };
@@ -139,14 +139,16 @@
   ): boolean {
     const { clock, state } = this.context;
     const now = clock.now();
-    const { spare } = state;
-    const stayMs = spare ? SPARE_STAY_MS : kept.length === 0 ? EMPTY_STAY_MS : MOST_STAY_MS;
+    const { hasSpareBudget } = state;
+    const stayMs = hasSpareBudget ? SPARE_STAY_MS : kept.length === 0 ? EMPTY_STAY_MS : MOST_STAY_MS;
     const leftAt = (e: TaskExit) =>
       memory.exitedTasks.get(taskKey(e.placed.job, e.index, e.placed.attempt))!.exitedAt;
     if (gone.some((e) => now - leftAt(e) > stayMs)) return true;
     const hears = memory.heartbeat?.token === memory.token;
     const showsToken = hears && machine.placed.length === 0 && (machine.heard ?? 0) < memory.token;
-    return (showsToken || cameUp) && now - memory.firstHeartbeatAt! > (spare ? SWEEP_MS : EMPTY_STAY_MS);
+    return (
+      (showsToken || cameUp) && now - memory.firstHeartbeatAt! > (hasSpareBudget ? SWEEP_MS : EMPTY_STAY_MS)
+    );
   }
 
   /** What can save, or is wanted all the time, goes elsewhere before the cloud takes the machine. */
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/owner/machine-sessions.ts
@@ -65,7 +65,7 @@
 
   /** What is remembered under the machine's present token; nothing yet where that is new. */
   of(machine: MachineRecord): AgentSession {
-    const token = this.context.view.tokenOf(machine);
+    const token = this.context.view.fencingTokenOf(machine);
     let memory = this.sessions.get(machine.name);
     if (memory?.token !== token) {
       memory = newAgentSession(token, this.context.clock.now());
@@ -152,7 +152,7 @@
     this.health.observeHeartbeat(answer);
     const machine = context.view.machines.get(answer.machine);
     if (machine === undefined || !context.isOwned(machine)) return;
-    if (answer.token > context.view.tokenOf(machine)) return;
+    if (answer.token > context.view.fencingTokenOf(machine)) return;
     const memory = this.of(machine);
     if (!recordHeartbeat(memory, answer, context.clock.now(), false, this.heartbeatIntervalMs)) return;
     if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat: answer });
--- a/src/controller/owner/owner.ts
+++ b/src/controller/owner/owner.ts
@@ -2,11 +2,11 @@
  * The loop of a controller over its own machines and teams: it turns what reports prove into changes and places waiting
  * tasks. All changes to machine records leave through this one loop, one transaction at a time.
  */
-import type { Changes } from '../../core/changes.js';
+import type { ViewChanges } from '../../core/changes.js';
 import type { WaitReason } from '../../core/placement.js';
 import type { JobId, MachineName, MachineRecord, Heartbeat } from '../../core/types.js';
-import { URGENCY } from '../../io/rate-limiter.js';
-import { commitAll, type Group } from '../../io/state/transactions.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import { commitChangeSets, type ChangeSet } from '../../io/state/transactions.js';
 import type { AgentGateway } from '../../io/workers.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
@@ -87,7 +87,7 @@
     const { context } = this;
     for (;;) {
       await this.notification.wait(IDLE_MS);
-      if (!context.follower.ready || context.view.types === null) continue;
+      if (!context.watcher.isReady || context.view.types === null) continue;
       const work = this.takeWork();
       try {
         const ok = await this.pass(work);
@@ -102,23 +102,23 @@
 
   /** False: not all was committed, and what is left has to be worked out anew. */
   private async pass(work: readonly MachineName[]): Promise<boolean> {
-    const { state, follower } = this.context;
+    const { state, watcher } = this.context;
     this.sessions.sendDirectCommands(work);
     const { now, later } = this.reconcile(work);
     // Starts go before what only tidies up: under a short budget they would wait for seconds behind it.
-    let ok = await commitAll(state, follower, now, URGENCY.results);
+    let ok = await commitChangeSets(state, watcher, now, REQUEST_PRIORITY.results);
     ok = (await this.placeIfDue()) && ok;
-    return (await commitAll(state, follower, later, URGENCY.starts, TIDY_MS)) && ok;
+    return (await commitChangeSets(state, watcher, later, REQUEST_PRIORITY.starts, TIDY_MS)) && ok;
   }
 
   /** Results, proofs of absence, cancellations and machines that came up; what can wait for starts stands apart. */
-  private reconcile(work: readonly MachineName[]): { now: Group[]; later: Group[] } {
+  private reconcile(work: readonly MachineName[]): { now: ChangeSet[]; later: ChangeSet[] } {
     const { context } = this;
     const wanted = { jobs: context.view.jobs, ledger: context.allocations() };
     const found: FoundResults = new Map();
     this.machines.beginPass();
-    const urgent: Group[] = [];
-    const later: Group[] = [];
+    const urgent: ChangeSet[] = [];
+    const later: ChangeSet[] = [];
     for (const name of work) {
       const change = this.machines.reconcile(name, wanted, found);
       if (change !== null) (change.urgent ? urgent : later).push(change.group);
@@ -164,7 +164,7 @@
     this.notification.notify();
   }
 
-  private noteChanges({ machines, jobs, shards, teams, types, cancellations }: Changes): void {
+  private noteChanges({ machines, jobs, shards, teams, types, cancellations }: ViewChanges): void {
     let concerned = cancellations.size > 0;
     for (const name of machines) concerned = this.noteMachine(name) || concerned;
     for (const id of jobs) concerned = this.noteJob(id) || concerned;
--- a/src/controller/owner/preemptor.ts
+++ b/src/controller/owner/preemptor.ts
@@ -19,7 +19,7 @@
   Allocation,
   MonotonicMs,
 } from '../../core/types.js';
-import type { Group } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 
 /** Room that was made by stopping something, kept for the job that it was made for. */
@@ -49,7 +49,7 @@
   }
 
   /** The changes that stop tasks for one of the jobs passed over, if any may have tasks stopped for it. */
-  preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, shard: readonly MachineRecord[]): Group[] {
+  preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, shard: readonly MachineRecord[]): ChangeSet[] {
     const { context } = this;
     this.forgetOld(waitReasons);
     const startable = new Map(context.dependencies.all().startable.map((j) => [j.spec.id, j]));
@@ -93,16 +93,16 @@
     return spec.priority === 'production' || this.isEntitled(job);
   }
 
-  private makeRoom(job: JobRecord, shard: readonly MachineRecord[]): Group[] {
+  private makeRoom(job: JobRecord, shard: readonly MachineRecord[]): ChangeSet[] {
     const found = pickVictims(this.input(job, shard));
     if (found === null) return [];
     return [this.stop(job, found.machine, found.victims)];
   }
 
   /** A gang starts as a whole, so that all its room is made and kept at once. */
-  private makeGangRoom(job: JobRecord, shard: readonly MachineRecord[]): Group[] {
+  private makeGangRoom(job: JobRecord, shard: readonly MachineRecord[]): ChangeSet[] {
     const places = pickGangVictims(this.input(job, shard)) ?? [];
-    const groups: Group[] = [];
+    const groups: ChangeSet[] = [];
     for (const { machine, victims } of places) {
       if (victims.length > 0) groups.push(this.stop(job, machine, victims));
       else this.claim(job, machine);
@@ -130,7 +130,7 @@
   }
 
   /** The change that stops the victims; the room that they leave is kept for the job. */
-  private stop(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): Group {
+  private stop(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): ChangeSet {
     const { context } = this;
     this.claim(job, machine);
     const entitled = this.isEntitled(job);
@@ -157,7 +157,7 @@
     const value: MachineRecord = { ...machine, placed: stopped(machine.placed, victims) };
     const k = key.machine(machine.name);
     return {
-      ops: [{ key: k, value, reason: 'preemption' }],
+      operations: [{ key: k, value, reason: 'preemption' }],
       guards: [context.guard(k), context.guard(key.shard(machine.owner))],
     };
   }
--- a/src/controller/owner/results.ts
+++ b/src/controller/owner/results.ts
@@ -15,7 +15,7 @@
   TaskIndex,
   FencingToken,
 } from '../../core/types.js';
-import type { Group } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 import { MOST_STAY_MS, SWEEP_MS } from './timing.js';
 
@@ -39,7 +39,7 @@
   /** Results of other jobs, with those that are in their records. */
   readonly open: ReadonlyMap<JobId, DoneSet>;
   /** Changes that write those of them that are due. */
-  readonly due: readonly Group[];
+  readonly due: readonly ChangeSet[];
 }
 
 /** Keeps track of ended tasks and of results that are not written yet. */
@@ -73,7 +73,7 @@
   /** Tasks known to have ended whose entries are still in the record. */
   provenOn(machine: MachineRecord): TaskExit[] {
     const known = this.proven.get(machine.name);
-    if (known?.token !== this.context.view.tokenOf(machine)) return [];
+    if (known?.token !== this.context.view.fencingTokenOf(machine)) return [];
     return known.exits.filter((e) =>
       machine.placed.some(
         (p) => p.job === e.placed.job && p.attempt === e.placed.attempt && p.tasks.includes(e.index),
@@ -120,7 +120,7 @@
     const budgetMs = this.writeEveryMs(found.size);
     const ended = new Map<JobId, DoneSet>();
     const open = new Map<JobId, DoneSet>();
-    const due: Group[] = [];
+    const due: ChangeSet[] = [];
     for (const [id, indexes] of found) {
       const job = context.view.jobs.get(id);
       if (job === undefined) continue;
@@ -136,7 +136,7 @@
       if (now - this.gatheringSince(id) < waitMs) continue;
       this.gatheredSince.set(id, now);
       due.push({
-        ops: [{ key: key.job(id), value: context.storedJob({ ...sound, done }), reason: 'results' }],
+        operations: [{ key: key.job(id), value: context.storedJob({ ...sound, done }), reason: 'results' }],
         guards: [context.guard(key.job(id))],
       });
     }
@@ -167,8 +167,8 @@
    * lost with them but time: a task whose result is not written is still on its machine's record and in its reports.
    */
   private writeEveryMs(jobs: number): number {
-    const { settings, spare } = this.context.state;
-    const rate = (settings.writeRps / settings.nodes) * (spare ? 2 * BUDGET_PART : BUDGET_PART);
-    return Math.min(MOST_STAY_MS, Math.max(spare ? SWEEP_MS : GATHER_MS, (jobs * 1000) / rate));
+    const { limits, hasSpareBudget } = this.context.state;
+    const rate = (limits.writeRps / limits.nodes) * (hasSpareBudget ? 2 * BUDGET_PART : BUDGET_PART);
+    return Math.min(MOST_STAY_MS, Math.max(hasSpareBudget ? SWEEP_MS : GATHER_MS, (jobs * 1000) / rate));
   }
 }
--- a/src/controller/owner/starts.ts
+++ b/src/controller/owner/starts.ts
@@ -13,8 +13,13 @@
   type Allocation,
   type TeamName,
 } from '../../core/types.js';
-import { URGENCY } from '../../io/rate-limiter.js';
-import { GUARDS_PER_OP, GuardSet, commitAll, type Group } from '../../io/state/transactions.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import {
+  GUARDS_PER_OPERATION,
+  GuardSet,
+  commitChangeSets,
+  type ChangeSet,
+} from '../../io/state/transactions.js';
 import type { Context } from '../context.js';
 import type { Health } from '../health.js';
 import type { MachineReconciler } from './machine-reconciler.js';
@@ -69,10 +74,10 @@
 
   /** False: not all were committed. */
   async commit({ gangs, others }: Plan): Promise<boolean> {
-    const { state, follower } = this.context;
+    const { state, watcher } = this.context;
     // Of a gang all tasks are committed, however long that takes: a part of it would only have to go again.
-    const ok = await commitAll(state, follower, gangs, URGENCY.starts);
-    return (await commitAll(state, follower, others, URGENCY.starts)) && ok;
+    const ok = await commitChangeSets(state, watcher, gangs, REQUEST_PRIORITY.starts);
+    return (await commitChangeSets(state, watcher, others, REQUEST_PRIORITY.starts)) && ok;
   }
 
   /** Machines that may be given work now. */
@@ -183,8 +188,8 @@
       if (list === undefined) byMachine.set(p.machine.name, [p]);
       else list.push(p);
     }
-    const gangs: Group[] = [];
-    const others: Group[] = [];
+    const gangs: ChangeSet[] = [];
+    const others: ChangeSet[] = [];
     for (const [name, list] of byMachine) {
       const isGang = list.some((p) => p.job.kind === 'gang');
       (isGang ? gangs : others).push(this.groupOf(this.context.view.machines.get(name)!, list));
@@ -193,10 +198,10 @@
   }
 
   /** The change that starts tasks on one machine, and takes out those that have ended. */
-  private groupOf(machine: MachineRecord, placements: readonly Placement[]): Group {
+  private groupOf(machine: MachineRecord, placements: readonly Placement[]): ChangeSet {
     const { context } = this;
     const k = key.machine(machine.name);
-    const guards = new GuardSet(context.state.settings.txnOps * GUARDS_PER_OP);
+    const guards = new GuardSet(context.state.limits.operationsPerTransaction * GUARDS_PER_OPERATION);
     guards.add([context.guard(k), context.guard(key.shard(machine.owner))]);
     const gone = this.results.provenOn(machine).filter((e) => this.results.isDurable(e));
     let placed: readonly Allocation[] = removeExits(machine.placed, gone);
@@ -216,7 +221,7 @@
       placed,
       ...this.machines.learned(machine, this.sessions.of(machine)),
     };
-    return { ops: [{ key: k, value, reason: 'start' }], guards: guards.list() };
+    return { operations: [{ key: k, value, reason: 'start' }], guards: guards.list() };
   }
 
   /** The revision at which the team's slice got its holder. */
@@ -236,7 +241,7 @@
         team,
         attempt: full,
         machine: p.machine.name,
-        token: context.view.tokenOf(p.machine),
+        token: context.view.fencingTokenOf(p.machine),
         share: Number(p.share.toPrecision(5)),
         h: Number(p.h.toPrecision(5)),
         fetch: p.fetch,
@@ -255,6 +260,6 @@
 
 /** Changes that start tasks; those of gangs first. */
 export interface Plan {
-  readonly gangs: readonly Group[];
-  readonly others: readonly Group[];
+  readonly gangs: readonly ChangeSet[];
+  readonly others: readonly ChangeSet[];
 }
--- a/src/controller/owner/unreachable.ts
+++ b/src/controller/owner/unreachable.ts
@@ -61,7 +61,7 @@
 ): boolean {
   if (machine.phase === 'releasing' || context.proxyOf(machine) !== null) return false;
   if (machine.phase === 'booting' && memory.heartbeat === null) return false;
-  if (!context.state.reachable(STATE_FRESH_MS)) return false;
+  if (!context.state.isReachable(STATE_FRESH_MS)) return false;
   const { report_s, lease_s } = context.settings.workers;
   const reportMs = report_s * 1000;
   const now = context.clock.now();
--- a/src/controller/report-router.ts
+++ b/src/controller/report-router.ts
@@ -76,13 +76,13 @@
       this.returnedAt.delete(name);
       return;
     }
-    const token = view.tokenOf(m);
+    const token = view.fencingTokenOf(m);
     if (this.tokens.get(name)?.token !== token) this.tokens.set(name, { token, since: clock.now() });
   }
 
   answer(r: Heartbeat): ReportAnswer {
     const { context } = this;
-    if (!context.follower.ready) return { kind: 'busy' };
+    if (!context.watcher.isReady) return { kind: 'busy' };
     this.health.observeHeartbeat(r);
     const m = context.view.machines.get(r.machine);
     if (m === undefined) {
@@ -98,11 +98,12 @@
       return this.owner.answerHeartbeat(m, r);
     }
     // Kept, and told nothing, for the moment until the view holds what its former owner has committed.
-    if (context.isBecomingOwned(m)) return { kind: 'ok', token: context.view.tokenOf(m), commands: [] };
+    if (context.isBecomingOwned(m))
+      return { kind: 'ok', token: context.view.fencingTokenOf(m), commands: [] };
     if (!this.isStateFresh()) return this.answerIsolated(m, r);
     const holder = context.holderOf(m);
     if (!this.shouldProxy(m, r, holder !== null)) return { kind: 'elsewhere', node: holder };
-    return { kind: 'ok', token: context.view.tokenOf(m), commands: this.stopCommandsFor(r) };
+    return { kind: 'ok', token: context.view.fencingTokenOf(m), commands: this.stopCommandsFor(r) };
   }
 
   /**
@@ -118,7 +119,7 @@
     if (!this.availability.isolated)
       return { kind: 'elsewhere', node: context.isOwned(m) ? null : context.holderOf(m) };
     const t = context.clock.now();
-    const token = context.view.tokenOf(m);
+    const token = context.view.fencingTokenOf(m);
     const kept = this.returnedAt.get(m.name);
     const sent = this.redirectedAt.get(m.name);
     const away = sent?.token === token ? t - sent.at : Number.POSITIVE_INFINITY;
@@ -151,7 +152,7 @@
     const t = context.clock.now();
     const reportMs = context.settings.workers.report_s * 1000;
     const soon = reportMs * 1.25 + 500;
-    const token = context.view.tokenOf(m);
+    const token = context.view.fencingTokenOf(m);
     if (r.token > token) return false;
     const before = this.proxied.get(m.name);
     // After a change of owner the worker is sent to the new one first.
@@ -197,7 +198,7 @@
   }
 
   private isStateFresh(): boolean {
-    return this.context.clock.now() - this.context.state.contactAt < 2500 && this.membership.valid;
+    return this.context.clock.now() - this.context.state.lastContactAt < 2500 && this.membership.valid;
   }
 
   /** Only what the state says is over may be stopped in the owner's place. */
@@ -218,7 +219,7 @@
     for (;;) {
       // A long list takes several changes each time.
       await context.clock.sleep(LIST_EVERY_MS * Math.max(1, this.proxiedMachineList.records));
-      if (!context.follower.ready) continue;
+      if (!context.watcher.isReady) continue;
       const reportMs = context.settings.workers.report_s * 1000;
       for (const [name, s] of [...this.proxied]) {
         const m = context.view.machines.get(name);
--- a/src/controller/slice-transfer.ts
+++ b/src/controller/slice-transfer.ts
@@ -5,9 +5,9 @@
  */
 import { key } from '../core/keys.js';
 import type { NodeName, SessionRecord, ShardRecord } from '../core/types.js';
-import { URGENCY } from '../io/rate-limiter.js';
+import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
 import { Unavailable } from '../io/state/client.js';
-import type { Guard, Op } from '../io/wire.js';
+import type { Guard, WriteOperation } from '../io/wire.js';
 import type { ShardControl, ShardFact, ShardTransferOutcome } from '../packages/api.js';
 import type { Context } from './context.js';
 import type { Membership } from './membership.js';
@@ -37,16 +37,19 @@
       context.guard(sessionKey),
       context.guard(key.session(context.settings.node)),
     ];
-    const ops: Op[] = [{ key: key.shard(shard.shard), value, reason: 'membership' }];
+    const operations: WriteOperation[] = [{ key: key.shard(shard.shard), value, reason: 'membership' }];
     // With the slice, in one transaction: were the session ended first, the leader might give the slice to another one.
-    const { txnOps } = context.state.settings;
-    if (session !== undefined && ops.length < txnOps)
-      ops.push({ key: sessionKey, value: undefined, reason: 'membership' });
-    if (context.view.leader?.incarnation === shard.incarnation && ops.length < txnOps) {
+    const { operationsPerTransaction } = context.state.limits;
+    if (session !== undefined && operations.length < operationsPerTransaction)
+      operations.push({ key: sessionKey, value: undefined, reason: 'membership' });
+    if (
+      context.view.leader?.incarnation === shard.incarnation &&
+      operations.length < operationsPerTransaction
+    ) {
       guards.push(context.guard(key.leader));
-      ops.push({ key: key.leader, value: undefined, reason: 'membership' });
+      operations.push({ key: key.leader, value: undefined, reason: 'membership' });
     }
-    const outcome = await this.commit(guards, ops);
+    const outcome = await this.commit(guards, operations);
     if (outcome.kind === 'committed' && session !== undefined) await this.endLease(session.lease);
     return outcome;
   }
@@ -54,7 +57,7 @@
   /** The former holder's other keys go with its lease. Where that fails they go when the lease runs out. */
   private async endLease(lease: number): Promise<void> {
     try {
-      await this.context.state.revoke(lease);
+      await this.context.state.revokeLease(lease);
     } catch (e) {
       if (!(e instanceof Unavailable)) throw e;
     }
@@ -72,16 +75,20 @@
     if (receiver === undefined || receiver.draining === true) return OVERTAKEN;
     membership.drainFor(drainForMs);
     const value: ShardRecord = { holder: receiver.node, incarnation: receiver.incarnation };
-    const perTransaction = Math.max(1, context.state.settings.txnOps - 2);
+    const perTransaction = Math.max(1, context.state.limits.operationsPerTransaction - 2);
     let outcome: ShardTransferOutcome = OVERTAKEN;
     for (let i = 0; i < shards.length; i += perTransaction) {
       const part = shards.slice(i, i + perTransaction);
-      const ops: Op[] = part.map(({ shard }) => ({ key: key.shard(shard), value, reason: 'membership' }));
+      const operations: WriteOperation[] = part.map(({ shard }) => ({
+        key: key.shard(shard),
+        value,
+        reason: 'membership',
+      }));
       const guards: Guard[] = part.map(({ shard, epoch }) => ({ key: key.shard(shard), version: epoch }));
       const leaving = this.leaving(mine);
       outcome = await this.commit(
         [...guards, context.guard(key.session(to)), ...leaving.guards],
-        [...ops, ...leaving.ops],
+        [...operations, ...leaving.ops],
       );
       if (outcome.kind !== 'committed') break;
     }
@@ -90,28 +97,33 @@
   }
 
   /** In the same transaction as the slices, or the leader would give them back at once. */
-  private leaving(mine: SessionRecord): { guards: Guard[]; ops: Op[] } {
+  private leaving(mine: SessionRecord): { guards: Guard[]; ops: WriteOperation[] } {
     const { context, membership } = this;
     const sessionKey = key.session(context.settings.node);
     const session: SessionRecord = { ...mine, draining: true };
     const guards = [context.guard(sessionKey)];
-    const ops: Op[] = [{ key: sessionKey, value: session, lease: mine.lease, reason: 'membership' }];
+    const operations: WriteOperation[] = [
+      { key: sessionKey, value: session, lease: mine.lease, reason: 'membership' },
+    ];
     if (membership.isLeader) {
       guards.push(context.guard(key.leader));
-      ops.push({ key: key.leader, value: undefined, reason: 'membership' });
+      operations.push({ key: key.leader, value: undefined, reason: 'membership' });
     }
-    return { guards, ops };
+    return { guards, ops: operations };
   }
 
-  private async commit(guards: readonly Guard[], ops: readonly Op[]): Promise<ShardTransferOutcome> {
-    const { state, follower } = this.context;
-    const result = await state.txn(guards, ops, URGENCY.session);
+  private async commit(
+    guards: readonly Guard[],
+    operations: readonly WriteOperation[],
+  ): Promise<ShardTransferOutcome> {
+    const { state, watcher } = this.context;
+    const result = await state.transact(guards, operations, REQUEST_PRIORITY.session);
     if (result.kind === 'ok') {
-      follower.applied(ops, result.rev);
-      return { kind: 'committed', revision: result.rev };
+      watcher.applyCommitted(operations, result.revision);
+      return { kind: 'committed', revision: result.revision };
     }
     if (result.kind !== 'conflict') return UNAVAILABLE;
-    await follower.reached(result.rev, VIEW_WAIT_MS);
+    await watcher.waitForRevision(result.revision, VIEW_WAIT_MS);
     return OVERTAKEN;
   }
 }
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -40,7 +40,7 @@
   return {
     node: context.settings.node,
     healthy,
-    revision: view.rev,
+    revision: view.revision,
     leader: leaderOf(context),
     slices: [...view.shards].map(([name, s]) => ({
       slice: name,
@@ -62,7 +62,7 @@
     machines: [...view.machines.values()].slice(0, MOST).map((m) => ({
       machine: m.name,
       slice: m.owner,
-      token: view.tokenOf(m),
+      token: view.fencingTokenOf(m),
       zone: m.zone,
       spot: m.spot,
       phase: m.phase,
--- a/src/controller/substitute-list.ts
+++ b/src/controller/substitute-list.ts
@@ -5,8 +5,8 @@
 import { key } from '../core/keys.js';
 import { splitBySize } from '../core/records.js';
 import type { MachineName, ProxiedMachinesRecord } from '../core/types.js';
-import { URGENCY } from '../io/rate-limiter.js';
-import type { Op } from '../io/wire.js';
+import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
+import type { WriteOperation } from '../io/wire.js';
 import type { Context } from './context.js';
 
 /** What a record takes beside the names in it. */
@@ -27,7 +27,7 @@
   async publish(names: Iterable<MachineName>, lease: number): Promise<void> {
     const parts = splitBySize(
       [...names].sort(),
-      this.context.state.settings.valueBytes - RECORD_OVERHEAD_BYTES,
+      this.context.state.limits.valueBytes - RECORD_OVERHEAD_BYTES,
     );
     const last = Math.max(parts.length, this.written.length);
     for (let part = 0; part < last; part++) await this.publishPart(part, parts[part] ?? [], lease);
@@ -45,10 +45,15 @@
     const k = key.proxiedMachines(context.settings.node, part);
     if (text === this.written[part] || (machines.length === 0 && this.isGone(part))) return;
     const value: ProxiedMachinesRecord | undefined = machines.length === 0 ? undefined : { machines, lease };
-    const op: Op = { key: k, value, reason: 'machine_state', ...(value === undefined ? {} : { lease }) };
-    const result = await context.state.txn([context.guard(k)], [op], URGENCY.users);
+    const op: WriteOperation = {
+      key: k,
+      value,
+      reason: 'machine_state',
+      ...(value === undefined ? {} : { lease }),
+    };
+    const result = await context.state.transact([context.guard(k)], [op], REQUEST_PRIORITY.users);
     if (result.kind !== 'ok') return;
-    context.follower.applied([op], result.rev);
+    context.watcher.applyCommitted([op], result.revision);
     this.written[part] = text;
   }
 }
--- a/src/core/admission.ts
+++ b/src/core/admission.ts
@@ -5,7 +5,7 @@
 import type { MonotonicMs } from './types.js';
 
 /** Bounds of the limit, and when answers count as slow. */
-export interface AdmissionOptions {
+export interface ConcurrencyLimitOptions {
   readonly min: number;
   readonly max: number;
   /** Answers slower than this many times the best are a sign of overload. */
@@ -15,7 +15,7 @@
 }
 
 /** An adaptive limit on requests in progress: additive increase, multiplicative decrease. */
-export class Admission {
+export class ConcurrencyLimit {
   limit: number;
   inProgress = 0;
   refused = 0;
@@ -25,11 +25,11 @@
   private count = 0;
   private full = false;
 
-  constructor(private readonly options: AdmissionOptions) {
+  constructor(private readonly options: ConcurrencyLimitOptions) {
     this.limit = Math.max(options.min, Math.min(options.max, 16));
   }
 
-  enter(): boolean {
+  tryAcquire(): boolean {
     if (this.inProgress >= Math.floor(this.limit)) {
       this.refused++;
       this.full = true;
@@ -40,7 +40,7 @@
     return true;
   }
 
-  leave(tookMs: number, now: MonotonicMs): void {
+  release(tookMs: number, now: MonotonicMs): void {
     this.inProgress--;
     this.sum += tookMs;
     this.count++;
--- a/src/core/changes.ts
+++ b/src/core/changes.ts
@@ -3,7 +3,7 @@
 import type { JobId, MachineName, NodeName, TeamName } from './types.js';
 
 /** The records that one batch of changes concerned; the view holds their present state already. */
-export interface Changes {
+export interface ViewChanges {
   readonly jobs: ReadonlySet<JobId>;
   readonly machines: ReadonlySet<MachineName>;
   readonly teams: ReadonlySet<TeamName>;
@@ -15,10 +15,10 @@
 }
 
 /** Changes to jobs alone. */
-export const jobChanges = (jobs: ReadonlySet<JobId>): Changes => ({ ...changesOf([]), jobs });
+export const viewChangesOfJobs = (jobs: ReadonlySet<JobId>): ViewChanges => ({ ...viewChangesOf([]), jobs });
 
 /** Sorts changed keys by the kind of their records. */
-export function changesOf(keys: Iterable<string>): Changes {
+export function viewChangesOf(keys: Iterable<string>): ViewChanges {
   const jobs = new Set<JobId>();
   const machines = new Set<MachineName>();
   const teams = new Set<TeamName>();
--- a/src/core/view.ts
+++ b/src/core/view.ts
@@ -29,13 +29,13 @@
 } from './types.js';
 
 /** A key's value and version. */
-export interface Entry {
+export interface VersionedValue {
   readonly value: unknown;
   readonly version: Version;
 }
 
 /** A change to one key. */
-export interface Change {
+export interface KeyChange {
   readonly key: string;
   /** Undefined for a removal. */
   readonly value: unknown;
@@ -43,9 +43,9 @@
 }
 
 /** The shared state as this process knows it. */
-export class View {
-  rev: Revision = revision(0);
-  readonly entries = new Map<string, Entry>();
+export class ClusterView {
+  revision: Revision = revision(0);
+  readonly entries = new Map<string, VersionedValue>();
   readonly jobs = new Map<JobId, JobRecord>();
   readonly machines = new Map<MachineName, MachineRecord>();
   readonly teams = new Map<TeamName, TeamRecord>();
@@ -61,14 +61,14 @@
   leader: LeaderRecord | null = null;
   types: readonly MachineType[] | null = null;
   /** Machines whose records changed since somebody last took the set in; see `Context.ledger`. */
-  readonly touched = new Set<MachineName>();
+  readonly dirtyMachines = new Set<MachineName>();
   /** How often a job's record came, changed or went. */
-  jobChanges = 0;
+  jobChangeCount = 0;
   /** The list of types by key: where it does not fit one value it goes on in others. */
   private readonly typeParts = new Map<string, readonly MachineType[]>();
   private readonly shardVersions = new Map<string, Version>();
   /** Removals known before the watch told of them: an older event must not bring such a key back. */
-  private readonly removed = new Map<string, Version>();
+  private readonly removedVersions = new Map<string, Version>();
 
   versionOf(k: string): Version {
     return this.entries.get(k)?.version ?? NO_VERSION;
@@ -79,7 +79,7 @@
    * which is raised above its token whenever it changes slice. Revisions only grow, so each change of who may
    * command a machine gives it a higher token, and a whole slice changes hands with a single write.
    */
-  tokenOf(m: MachineRecord): FencingToken {
+  fencingTokenOf(m: MachineRecord): FencingToken {
     return fencingToken(Math.max(this.shardVersions.get(m.owner) ?? NO_VERSION, m.floor));
   }
 
@@ -90,44 +90,44 @@
    */
   isHeldBy(shard: string, incarnation: Incarnation): boolean {
     if (this.shards.get(shard)?.incarnation !== incarnation) return false;
-    return (this.shardVersions.get(shard) ?? NO_VERSION) <= this.rev;
+    return (this.shardVersions.get(shard) ?? NO_VERSION) <= this.revision;
   }
 
   /** Applies one change unless a newer one to the same key is known. True if it changed anything. */
-  apply(c: Change): boolean {
+  apply(c: KeyChange): boolean {
     // The watch has told all up to there. The answer to a write of this process may come later than that: then the key
     // may have been removed since, and would be brought back for good.
-    if (c.version <= this.rev) return false;
+    if (c.version <= this.revision) return false;
     const known = this.entries.get(c.key);
     if (known !== undefined && known.version >= c.version) return false;
-    if ((this.removed.get(c.key) ?? NO_VERSION) >= c.version) return false;
-    if (c.value === undefined) this.removed.set(c.key, version(c.version));
+    if ((this.removedVersions.get(c.key) ?? NO_VERSION) >= c.version) return false;
+    if (c.value === undefined) this.removedVersions.set(c.key, version(c.version));
     if (known === undefined && c.value === undefined) return false;
     if (c.value === undefined) this.entries.delete(c.key);
     else this.entries.set(c.key, { value: c.value, version: version(c.version) });
-    this.index(c.key, c.value, version(c.version));
+    this.updateIndexes(c.key, c.value, version(c.version));
     return true;
   }
 
   /** The watch has told everything up to this revision. */
-  reached(rev: Revision): void {
-    if (rev <= this.rev) return;
-    this.rev = rev;
-    for (const [k, v] of this.removed) if (v <= rev) this.removed.delete(k);
+  advanceTo(rev: Revision): void {
+    if (rev <= this.revision) return;
+    this.revision = rev;
+    for (const [k, v] of this.removedVersions) if (v <= rev) this.removedVersions.delete(k);
   }
 
   /** Replaces everything by a listing begun at `from`: what it lacks and was not written since is gone. */
-  reset(rows: readonly Change[], from: Revision): void {
+  resetTo(rows: readonly KeyChange[], from: Revision): void {
     const listed = new Set(rows.map((r) => r.key));
     for (const [k, e] of [...this.entries]) {
       if (listed.has(k) || e.version > from) continue;
       this.entries.delete(k);
-      this.index(k, undefined, NO_VERSION);
+      this.updateIndexes(k, undefined, NO_VERSION);
     }
     for (const r of rows) this.apply(r);
   }
 
-  private index(k: string, value: unknown, v: Version): void {
+  private updateIndexes(k: string, value: unknown, v: Version): void {
     const set = <K, V>(map: Map<K, V>, name: K) => {
       if (value === undefined) map.delete(name);
       else map.set(name, value as V);
@@ -137,11 +137,11 @@
       case 'job':
         if (value === undefined) this.jobs.delete(parsed.job);
         else this.jobs.set(parsed.job, fromStoredJob(value as StoredJob));
-        this.jobChanges++;
+        this.jobChangeCount++;
         break;
       case 'machine':
         set(this.machines, parsed.machine);
-        this.touched.add(parsed.machine);
+        this.dirtyMachines.add(parsed.machine);
         break;
       case 'team':
         set(this.teams, parsed.team);
--- a/src/io/cloud.ts
+++ b/src/io/cloud.ts
@@ -2,7 +2,7 @@
 import type { MachineName, MachineType, RentalRecord } from '../core/types.js';
 import type { Clock } from '../core/clock.js';
 import type { Reply, Transport } from './http.js';
-import { RateLimiter, type Urgency } from './rate-limiter.js';
+import { RateLimiter, type RequestPriority } from './rate-limiter.js';
 import * as wire from './wire.js';
 
 /** What the cloud answered to a rental. */
@@ -29,12 +29,12 @@
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
-    urgency: Urgency,
+    priority: RequestPriority,
   ): Promise<Reply | null> {
-    if (!(await this.limiter.take(urgency, 0))) return null;
+    if (!(await this.limiter.acquire(priority, 0))) return null;
     try {
       const r = await this.http.request(method, path, body, 5000);
-      if (r.status === 429) this.limiter.drained(0);
+      if (r.status === 429) this.limiter.noteExhausted(0);
       return r;
     } catch {
       return null;
--- a/src/io/rate-limiter.ts
+++ b/src/io/rate-limiter.ts
@@ -6,9 +6,9 @@
 import type { Clock } from '../core/clock.js';
 
 /** The lower, the sooner a request goes. */
-export type Urgency = 0 | 1 | 2 | 3;
+export type RequestPriority = 0 | 1 | 2 | 3;
 /** Sessions and leadership, then what users' requests wait for, then what is over, then starts. */
-export const URGENCY: Record<'session' | 'users' | 'results' | 'starts', Urgency> = {
+export const REQUEST_PRIORITY: Record<'session' | 'users' | 'results' | 'starts', RequestPriority> = {
   session: 0,
   users: 1,
   results: 2,
@@ -16,7 +16,7 @@
 };
 
 interface Waiting {
-  readonly urgency: Urgency;
+  readonly urgency: RequestPriority;
   readonly writes: number;
   readonly go: (granted: boolean) => void;
 }
@@ -27,7 +27,7 @@
 const COMES_BACK = 0.005;
 
 /** What the service usually allows this process for its part, and what that may fall to without notice. */
-export interface Rate {
+export interface RateRange {
   readonly high: number;
   readonly low: number;
 }
@@ -35,24 +35,24 @@
 /** Keeps requests and changes within this process's part of the budget, in order of urgency. */
 export class RateLimiter {
   /** What is taken now of the whole budget: between this process's fair part and nearly all of it. */
-  private factor = 1;
+  private borrowFactor = 1;
   private requests: number;
   private writes: number;
   private last: number;
   private readonly queue: Waiting[] = [];
   private stopTimer: () => void = () => undefined;
-  private drainedAt = Number.NEGATIVE_INFINITY;
+  private exhaustedAt = Number.NEGATIVE_INFINITY;
 
   /** This process's part as the refusals of late suggest it, between what is usual and what it may fall to. */
   private requestRate: number;
   private writeRate: number;
 
   constructor(
-    private readonly requestRates: Rate,
-    private readonly writeRates: Rate,
-    private readonly most: number,
+    private readonly requestRates: RateRange,
+    private readonly writeRates: RateRange,
+    private readonly maxQueued: number,
     /** How many times its fair part this process may take while nobody is refused. */
-    private readonly spare: number,
+    private readonly maxBorrowFactor: number,
     private readonly clock: Clock,
   ) {
     this.requests = this.requestRate = requestRates.high;
@@ -61,14 +61,14 @@
   }
 
   /** Resolves to false at once where the queue is full. */
-  take(urgency: Urgency, writes: number): Promise<boolean> {
-    if (this.queue.length >= this.most && urgency > 0) return Promise.resolve(false);
+  acquire(priority: RequestPriority, writes: number): Promise<boolean> {
+    if (this.queue.length >= this.maxQueued && priority > 0) return Promise.resolve(false);
     return new Promise((go) => {
-      const w: Waiting = { urgency, writes, go };
+      const w: Waiting = { urgency: priority, writes, go };
       let at = this.queue.length;
-      while (at > 0 && this.queue[at - 1]!.urgency > urgency) at--;
+      while (at > 0 && this.queue[at - 1]!.urgency > priority) at--;
       this.queue.splice(at, 0, w);
-      this.run();
+      this.grantQueued();
     });
   }
 
@@ -76,36 +76,36 @@
    * Nothing waits, at least half of what may be written at once is left, and the service has refused nothing of late:
    * where this process has little to write, the budget may still be what the others wait for.
    */
-  get idle(): boolean {
+  get isIdle(): boolean {
     this.refill();
-    const short = this.last - this.drainedAt < SHORT_MS;
+    const short = this.last - this.exhaustedAt < SHORT_MS;
     return this.queue.length === 0 && this.writes >= this.writeRate / 2 && !short;
   }
 
   /** How many changes this process can make within the time, as it looks now. */
-  within(ms: number): number {
+  writesWithin(ms: number): number {
     this.refill();
-    return Math.max(0, Math.floor(this.writes + (this.writeRate * this.factor * ms) / 1000));
+    return Math.max(0, Math.floor(this.writes + (this.writeRate * this.borrowFactor * ms) / 1000));
   }
 
   /** What was taken was not used after all. */
-  giveBack(writes: number): void {
+  refund(writes: number): void {
     this.writes += writes;
-    this.run();
+    this.grantQueued();
   }
 
   /** The service said that the whole budget is spent: of changes, where the refused request had any. */
-  drained(writes: number): void {
+  noteExhausted(writes: number): void {
     this.refill();
     if (writes === 0) {
       this.requests = Math.min(this.requests, 0);
       this.requestRate = Math.max(this.requestRates.low, this.requestRate * 0.8);
       return;
     }
-    this.drainedAt = this.last;
+    this.exhaustedAt = this.last;
     // Refused at no more than its own part: the whole budget is smaller than it was.
-    if (this.factor <= 1.1) this.writeRate = Math.max(this.writeRates.low, this.writeRate * 0.8);
-    this.factor = 1;
+    if (this.borrowFactor <= 1.1) this.writeRate = Math.max(this.writeRates.low, this.writeRate * 0.8);
+    this.borrowFactor = 1;
     this.writes = Math.min(this.writes, 0);
   }
 
@@ -114,15 +114,15 @@
     const s = Math.max(0, now - this.last) / 1000;
     this.last = now;
     // The others seldom use theirs: their part is borrowed step by step, until the service refuses something.
-    this.requestRate = comesBack(this.requestRate, this.requestRates, s);
-    this.writeRate = comesBack(this.writeRate, this.writeRates, s);
-    this.factor = Math.min(this.spare, this.factor + s * 0.1 * this.spare);
+    this.requestRate = recoverRate(this.requestRate, this.requestRates, s);
+    this.writeRate = recoverRate(this.writeRate, this.writeRates, s);
+    this.borrowFactor = Math.min(this.maxBorrowFactor, this.borrowFactor + s * 0.1 * this.maxBorrowFactor);
     this.requests = Math.min(this.requestRate, this.requests + s * this.requestRate);
-    const rate = this.writeRate * this.factor;
+    const rate = this.writeRate * this.borrowFactor;
     this.writes = Math.min(rate, this.writes + s * rate);
   }
 
-  private run(): void {
+  private grantQueued(): void {
     this.stopTimer();
     this.refill();
     for (;;) {
@@ -132,7 +132,7 @@
       const need = Math.min(w.writes, this.writeRate);
       const short = Math.max(
         (1 - this.requests) / this.requestRate,
-        (need - this.writes) / (this.writeRate * this.factor),
+        (need - this.writes) / (this.writeRate * this.borrowFactor),
       );
       // What only reads needs none of the changes that the first in line waits for: behind a large transaction, polls
       // waited for seconds, and users were refused for it.
@@ -147,7 +147,7 @@
       }
       if (short > 1e-9) {
         this.stopTimer = this.clock.after(Math.max(2, Math.ceil(short * 1000)), () => {
-          this.run();
+          this.grantQueued();
         });
         return;
       }
@@ -159,5 +159,5 @@
   }
 }
 
-const comesBack = (rate: number, { high }: Rate, s: number): number =>
+const recoverRate = (rate: number, { high }: RateRange, s: number): number =>
   Math.min(high, rate + high * COMES_BACK * s);
--- a/src/io/state/client.ts
+++ b/src/io/state/client.ts
@@ -3,29 +3,29 @@
 import type { TransactionOutcome } from '../../core/events.js';
 import { WATCHED_PREFIX } from '../../core/keys.js';
 import { NO_VERSION, revision, type Revision, type MonotonicMs, type Version } from '../../core/types.js';
-import type { Change } from '../../core/view.js';
+import type { KeyChange } from '../../core/view.js';
 import type { Method, Reply, Transport } from '../http.js';
-import { RateLimiter, URGENCY, type Urgency } from '../rate-limiter.js';
+import { RateLimiter, REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
 import * as wire from '../wire.js';
-import type { Guard, Op } from '../wire.js';
-import { Usage, type RequestKind } from './usage.js';
+import type { Guard, WriteOperation } from '../wire.js';
+import { StateUsage, type RequestKind } from './usage.js';
 
 /** The limits of the state service, and how many controllers share them. */
-export interface StateSettings {
+export interface StateServiceLimits {
   readonly rps: number;
   readonly writeRps: number;
   /** What the rates may fall to, without notice. */
   readonly lowRps: number;
   readonly lowWriteRps: number;
-  readonly txnOps: number;
+  readonly operationsPerTransaction: number;
   readonly valueBytes: number;
   readonly nodes: number;
 }
 
 /** 'unknown': no answer came; it may have been carried out or may yet be. */
-export type TxnResult =
-  | { readonly kind: 'ok'; readonly rev: Revision }
-  | { readonly kind: 'conflict'; readonly rev: Revision; readonly failed: readonly string[] }
+export type TransactionResult =
+  | { readonly kind: 'ok'; readonly revision: Revision }
+  | { readonly kind: 'conflict'; readonly revision: Revision; readonly failed: readonly string[] }
   | { readonly kind: 'no_lease' }
   | { readonly kind: 'refused' }
   /** Malformed or above a limit: sent again, it would be rejected again. */
@@ -34,7 +34,7 @@
   | { readonly kind: 'stale' }
   | { readonly kind: 'unknown' };
 
-const outcomeOf = ({ kind }: TxnResult): TransactionOutcome =>
+const outcomeOf = ({ kind }: TransactionResult): TransactionOutcome =>
   kind === 'ok' || kind === 'conflict' || kind === 'refused' || kind === 'unknown' ? kind : 'other';
 
 /** Something cannot be known or done now: come back later. */
@@ -45,7 +45,7 @@
   readonly method: Method;
   readonly path: string;
   readonly body?: unknown;
-  readonly urgency: Urgency;
+  readonly urgency: RequestPriority;
   /** Changes that it makes. */
   readonly writes?: number;
 }
@@ -63,45 +63,46 @@
 export class StateClient {
   private readonly limiter: RateLimiter;
   /** When the newest answered request was sent: the state was in reach then. */
-  contactAt = Number.NEGATIVE_INFINITY;
+  lastContactAt = Number.NEGATIVE_INFINITY;
   /** When the service last refused or failed to answer. */
-  failedAt = Number.NEGATIVE_INFINITY;
-  readonly usage = new Usage();
+  lastFailureAt = Number.NEGATIVE_INFINITY;
+  readonly usage = new StateUsage();
 
   constructor(
-    readonly settings: StateSettings,
+    readonly limits: StateServiceLimits,
     readonly clock: Clock,
     private readonly http: Transport,
     /** Apart from the others, since a watch holds its connection. */
     private readonly watchHttp: Transport,
     /** Told of each transaction that the service rejects for good. */
-    private readonly rejected: (ops: readonly Op[], answer: unknown) => void = () => undefined,
+    private readonly onRejected: (operations: readonly WriteOperation[], answer: unknown) => void = () =>
+      undefined,
     /** Told of each transaction with changes, and since when it was under way. */
-    private readonly finished: (
-      ops: readonly Op[],
+    private readonly onFinished: (
+      operations: readonly WriteOperation[],
       outcome: TransactionOutcome,
       since: MonotonicMs,
     ) => void = () => undefined,
   ) {
     this.limiter = new RateLimiter(
-      { high: (settings.rps / settings.nodes) * 0.9, low: (settings.lowRps / settings.nodes) * 0.9 },
+      { high: (limits.rps / limits.nodes) * 0.9, low: (limits.lowRps / limits.nodes) * 0.9 },
       {
-        high: (settings.writeRps / settings.nodes) * 0.95,
-        low: (settings.lowWriteRps / settings.nodes) * 0.95,
+        high: (limits.writeRps / limits.nodes) * 0.95,
+        low: (limits.lowWriteRps / limits.nodes) * 0.95,
       },
       200,
-      Math.max(1, settings.nodes * 0.8),
+      Math.max(1, limits.nodes * 0.8),
       clock,
     );
   }
 
   private async call(
-    { kind, method, path, body, urgency, writes = 0 }: StateRequest,
+    { kind, method, path, body, urgency: priority, writes = 0 }: StateRequest,
     stale: () => boolean = () => false,
   ): Promise<Reply | 'refused' | 'stale' | 'unknown'> {
-    if (!(await this.limiter.take(urgency, writes))) return 'refused';
+    if (!(await this.limiter.acquire(priority, writes))) return 'refused';
     if (stale()) {
-      this.limiter.giveBack(writes);
+      this.limiter.refund(writes);
       return 'stale';
     }
     const sent = this.clock.now();
@@ -110,41 +111,44 @@
       const r = await this.http.request(method, path, body, TIMEOUT_MS);
       if (r.status === 429) {
         this.usage.limited++;
-        this.limiter.drained(writes);
+        this.limiter.noteExhausted(writes);
         return 'refused';
       }
       if (r.status === 503) {
         this.usage.refused++;
-        this.failedAt = this.clock.now();
+        this.lastFailureAt = this.clock.now();
         return 'refused';
       }
-      this.contactAt = Math.max(this.contactAt, sent);
+      this.lastContactAt = Math.max(this.lastContactAt, sent);
       return r;
     } catch {
       this.usage.lost++;
-      this.failedAt = this.clock.now();
+      this.lastFailureAt = this.clock.now();
       return 'unknown';
     }
   }
 
   /** There is budget left for what could also be written later. */
-  get spare(): boolean {
-    return this.limiter.idle;
+  get hasSpareBudget(): boolean {
+    return this.limiter.isIdle;
   }
 
   writesWithin(ms: number): number {
-    return this.limiter.within(ms);
+    return this.limiter.writesWithin(ms);
   }
 
   /** True where nothing since the last answer suggests that the service is out of reach. */
-  reachable(withinMs: number): boolean {
-    return this.contactAt > this.failedAt || this.clock.now() - this.contactAt < withinMs;
+  isReachable(withinMs: number): boolean {
+    return this.lastContactAt > this.lastFailureAt || this.clock.now() - this.lastContactAt < withinMs;
   }
 
   /** A key's value; `rev` is a revision at which the answer held: that of the key, or of the service where it has none. */
-  async get(k: string, urgency: Urgency): Promise<{ value: unknown; version: Version; rev: Revision }> {
+  async get(
+    k: string,
+    priority: RequestPriority,
+  ): Promise<{ value: unknown; version: Version; rev: Revision }> {
     const path = `${wire.paths.kv}/${k}`;
-    const r = await this.call({ kind: 'read', method: 'GET', path, urgency });
+    const r = await this.call({ kind: 'read', method: 'GET', path, urgency: priority });
     if (typeof r === 'string') throw new Unavailable(k);
     if (r.status === 404)
       return { value: undefined, version: NO_VERSION, rev: wire.revisionFromWire(r.body) };
@@ -153,40 +157,40 @@
     return { ...entry, rev: revision(entry.version) };
   }
 
-  async txn(
+  async transact(
     guards: readonly Guard[],
-    ops: readonly Op[],
-    urgency: Urgency,
+    operations: readonly WriteOperation[],
+    priority: RequestPriority,
     stale?: () => boolean,
-  ): Promise<TxnResult> {
+  ): Promise<TransactionResult> {
     const since = this.clock.now();
-    const result = await this.sendTransaction(guards, ops, urgency, stale);
-    if (ops.length > 0) this.finished(ops, outcomeOf(result), since);
+    const result = await this.sendTransaction(guards, operations, priority, stale);
+    if (operations.length > 0) this.onFinished(operations, outcomeOf(result), since);
     return result;
   }
 
   private async sendTransaction(
     guards: readonly Guard[],
-    ops: readonly Op[],
-    urgency: Urgency,
+    operations: readonly WriteOperation[],
+    priority: RequestPriority,
     stale?: () => boolean,
-  ): Promise<TxnResult> {
-    const body = wire.txnToWire(guards, ops);
-    const kind = ops.length === 0 ? 'barrier' : 'transaction';
+  ): Promise<TransactionResult> {
+    const body = wire.transactionToWire(guards, operations);
+    const kind = operations.length === 0 ? 'barrier' : 'transaction';
     const path = wire.paths.txn;
-    const writes = ops.length;
-    const r = await this.call({ kind, method: 'POST', path, body, urgency, writes }, stale);
+    const writes = operations.length;
+    const r = await this.call({ kind, method: 'POST', path, body, urgency: priority, writes }, stale);
     if (typeof r === 'string') return { kind: r };
     if (r.status === 200) {
-      for (const o of ops) this.usage.wrote(o.reason ?? 'other');
-      return { kind: 'ok', rev: wire.revisionFromWire(r.body) };
+      for (const o of operations) this.usage.wrote(o.reason ?? 'other');
+      return { kind: 'ok', revision: wire.revisionFromWire(r.body) };
     }
-    if (r.status === 409) this.usage.conflicted += ops.length;
+    if (r.status === 409) this.usage.conflicted += operations.length;
     if (r.status === 409)
-      return { kind: 'conflict', rev: wire.revisionFromWire(r.body), failed: wire.failedFromWire(r.body) };
-    if (r.status === 400 && ops.some((o) => o.lease !== undefined)) return { kind: 'no_lease' };
+      return { kind: 'conflict', revision: wire.revisionFromWire(r.body), failed: wire.failedFromWire(r.body) };
+    if (r.status === 400 && operations.some((o) => o.lease !== undefined)) return { kind: 'no_lease' };
     if (r.status === 400) {
-      this.rejected(ops, r.body);
+      this.onRejected(operations, r.body);
       return { kind: 'rejected' };
     }
     throw new Error(`transaction: ${r.status} ${JSON.stringify(r.body)}`);
@@ -196,52 +200,60 @@
    * As `txn`, sent again where the service's budget was spent for the moment: it is back within a fraction of a second,
    * and a user who is told to come back does so after a second at the earliest. In an outage nothing is sent again.
    */
-  async txnWithRetry(guards: readonly Guard[], ops: readonly Op[], urgency: Urgency): Promise<TxnResult> {
-    let result = await this.txn(guards, ops, urgency);
-    for (let i = 0; i < MOST_RETRIES && result.kind === 'refused' && this.contactAt > this.failedAt; i++)
-      result = await this.txn(guards, ops, urgency);
+  async transactWithRetry(
+    guards: readonly Guard[],
+    operations: readonly WriteOperation[],
+    priority: RequestPriority,
+  ): Promise<TransactionResult> {
+    let result = await this.transact(guards, operations, priority);
+    for (
+      let i = 0;
+      i < MOST_RETRIES && result.kind === 'refused' && this.lastContactAt > this.lastFailureAt;
+      i++
+    )
+      result = await this.transact(guards, operations, priority);
     return result;
   }
 
   /** The service's present revision: whatever was committed before the call is at or below it. */
-  async present(urgency: Urgency): Promise<Revision> {
-    const r = await this.txnWithRetry([], [], urgency);
+  async currentRevision(priority: RequestPriority): Promise<Revision> {
+    const r = await this.transactWithRetry([], [], priority);
     if (r.kind !== 'ok') throw new Unavailable('present');
-    return r.rev;
+    return r.revision;
   }
 
-  private lease(method: Method, path: string, body?: unknown) {
-    return this.call({ kind: 'lease', method, path, body, urgency: URGENCY.session });
+  private sendLeaseRequest(method: Method, path: string, body?: unknown) {
+    return this.call({ kind: 'lease', method, path, body, urgency: REQUEST_PRIORITY.session });
   }
 
-  async grant(ttlMs: number): Promise<number> {
-    const r = await this.lease('POST', wire.paths.leases, wire.leaseToWire(ttlMs));
+  async grantLease(ttlMs: number): Promise<number> {
+    const r = await this.sendLeaseRequest('POST', wire.paths.leases, wire.leaseToWire(ttlMs));
     if (typeof r === 'string' || r.status !== 200) throw new Unavailable('grant');
     return wire.leaseFromWire(r.body);
   }
 
   /** True: renewed; false: the lease is over. */
-  async renew(lease: number): Promise<boolean> {
-    const r = await this.lease('POST', `${wire.paths.leases}/${lease}/touch`);
+  async renewLease(lease: number): Promise<boolean> {
+    const r = await this.sendLeaseRequest('POST', `${wire.paths.leases}/${lease}/touch`);
     if (typeof r === 'string') throw new Unavailable('renew');
     if (r.status === 404) return false;
     if (r.status !== 200) throw new Unavailable(`renew: ${r.status}`);
     return true;
   }
 
-  async revoke(lease: number): Promise<void> {
-    const r = await this.lease('DELETE', `${wire.paths.leases}/${lease}`);
+  async revokeLease(lease: number): Promise<void> {
+    const r = await this.sendLeaseRequest('DELETE', `${wire.paths.leases}/${lease}`);
     if (typeof r === 'string') throw new Unavailable('revoke');
   }
 
   /** Reads everything below the root; the first page's revision is where the watch must begin. */
-  async list(): Promise<{ rows: Change[]; from: Revision; upTo: Revision }> {
-    const rows: Change[] = [];
+  async list(): Promise<{ rows: KeyChange[]; from: Revision; upTo: Revision }> {
+    const rows: KeyChange[] = [];
     let from: Revision | null = null;
     let after: string | null = null;
     for (;;) {
       const path: string = wire.paths.kv + wire.listKeysQuery(WATCHED_PREFIX, after);
-      const r = await this.call({ kind: 'list', method: 'GET', path, urgency: URGENCY.session });
+      const r = await this.call({ kind: 'list', method: 'GET', path, urgency: REQUEST_PRIORITY.session });
       if (typeof r === 'string' || r.status !== 200) throw new Unavailable('list');
       const page = wire.rowsFromWire(r.body);
       from ??= page.rev;
@@ -252,19 +264,19 @@
   }
 
   /** The least time between two waits for changes, so that these leave most of the requests to others. */
-  get watchEveryMs(): number {
-    return (1000 * this.settings.nodes) / (this.settings.rps * WATCH_PART);
+  get minWatchIntervalMs(): number {
+    return (1000 * this.limits.nodes) / (this.limits.rps * WATCH_PART);
   }
 
   /** One wait for changes. Null: the revision is too old, list again. */
-  async follow(from: Revision, waitMs: number): Promise<{ events: Change[]; rev: Revision } | null> {
-    if (!(await this.limiter.take(URGENCY.session, 0))) throw new Unavailable('watch');
+  async watch(from: Revision, waitMs: number): Promise<{ events: KeyChange[]; rev: Revision } | null> {
+    if (!(await this.limiter.acquire(REQUEST_PRIORITY.session, 0))) throw new Unavailable('watch');
     this.usage.sent('watch');
     const path = wire.paths.watch + wire.watchQuery(WATCHED_PREFIX, from, waitMs);
     const r = await this.watchHttp.request('GET', path, undefined, waitMs + TIMEOUT_MS);
     if (r.status === 410) return null;
     if (r.status !== 200) {
-      if (r.status === 429) this.limiter.drained(0);
+      if (r.status === 429) this.limiter.noteExhausted(0);
       throw new Unavailable(`watch: ${r.status}`);
     }
     return wire.eventsFromWire(r.body);
--- a/src/io/state/follower.ts
+++ b/src/io/state/follower.ts
@@ -1,9 +1,9 @@
 /** Keeps a view of the shared state current by listing it once and watching it from then on. */
 import { WATCHED_PREFIX, parseKey } from '../../core/keys.js';
 import { revision, version, type Revision, type Version } from '../../core/types.js';
-import type { Change, View } from '../../core/view.js';
-import { URGENCY } from '../rate-limiter.js';
-import type { Op } from '../wire.js';
+import type { KeyChange, ClusterView } from '../../core/view.js';
+import { REQUEST_PRIORITY } from '../rate-limiter.js';
+import type { WriteOperation } from '../wire.js';
 import { Unavailable, type StateClient } from './client.js';
 
 /** Polls that come within so long share a barrier: each is a request of the state service's budget. */
@@ -17,38 +17,38 @@
 const WATCH_LAG_MS = 1500;
 
 /** Keeps a view current and lets others wait until it has reached a revision. */
-export class Follower {
+export class StateWatcher {
   /** The first complete picture has been reached. */
-  ready = false;
-  private waiting: { rev: Revision; go: (ok: boolean) => void }[] = [];
+  isReady = false;
+  private waiters: { rev: Revision; go: (ok: boolean) => void }[] = [];
   /** Slices that this process has written before the watch told of all that was committed until then. */
-  private readonly ahead = new Map<string, Version>();
+  private readonly shardsAheadOfWatch = new Map<string, Version>();
   private barrier: Promise<void> | null = null;
   private queuedBarrier: Promise<void> | null = null;
 
   constructor(
     private readonly client: StateClient,
-    readonly view: View,
+    readonly view: ClusterView,
     private readonly changed: (keys: ReadonlySet<string>) => void,
     /** Told of each change that this process has committed, before the view is. */
-    private readonly committed: (ops: readonly Op[]) => void = () => undefined,
+    private readonly committed: (operations: readonly WriteOperation[]) => void = () => undefined,
   ) {}
 
   async run(): Promise<never> {
     for (;;) {
       try {
         const { rows, from, upTo } = await this.client.list();
-        this.view.reset(rows, from);
-        this.view.reached(from);
+        this.view.resetTo(rows, from);
+        this.view.advanceTo(from);
         this.changed(new Set(rows.map((r) => r.key)));
-        if (from >= upTo) this.ready = true;
+        if (from >= upTo) this.isReady = true;
         let at = from;
         for (;;) {
-          let r: { events: Change[]; rev: Revision } | null;
-          const { clock, watchEveryMs } = this.client;
-          const next = clock.now() + watchEveryMs;
+          let r: { events: KeyChange[]; rev: Revision } | null;
+          const { clock, minWatchIntervalMs } = this.client;
+          const next = clock.now() + minWatchIntervalMs;
           try {
-            r = await this.client.follow(at, WATCH_MS);
+            r = await this.client.watch(at, WATCH_MS);
           } catch {
             await this.client.clock.sleep(WATCH_AGAIN_MS);
             continue;
@@ -57,10 +57,10 @@
           const keys = new Set<string>();
           for (const e of r.events) if (this.view.apply(e)) keys.add(e.key);
           at = revision(Math.max(at, r.rev));
-          this.view.reached(at);
-          if (at >= upTo) this.ready = true;
-          for (const k of this.caughtUp()) keys.add(k);
-          this.wake();
+          this.view.advanceTo(at);
+          if (at >= upTo) this.isReady = true;
+          for (const k of this.takeCaughtUp()) keys.add(k);
+          this.resolveWaiters();
           if (keys.size > 0) this.changed(keys);
           if (clock.now() < next) await clock.sleep(next - clock.now());
         }
@@ -71,23 +71,23 @@
   }
 
   /** What may be acted on only now that the view has reached it: listeners are told once more. */
-  private caughtUp(): string[] {
-    const keys = [...this.ahead].filter(([, v]) => v <= this.view.rev).map(([k]) => k);
-    for (const k of keys) this.ahead.delete(k);
+  private takeCaughtUp(): string[] {
+    const keys = [...this.shardsAheadOfWatch].filter(([, v]) => v <= this.view.revision).map(([k]) => k);
+    for (const k of keys) this.shardsAheadOfWatch.delete(k);
     return keys;
   }
 
-  private wake(): void {
-    const rest: typeof this.waiting = [];
-    for (const w of this.waiting) {
-      if (w.rev <= this.view.rev) w.go(true);
+  private resolveWaiters(): void {
+    const rest: typeof this.waiters = [];
+    for (const w of this.waiters) {
+      if (w.rev <= this.view.revision) w.go(true);
       else rest.push(w);
     }
-    this.waiting = rest;
+    this.waiters = rest;
   }
 
-  reached(rev: Revision, timeoutMs: number): Promise<boolean> {
-    if (this.view.rev >= rev) return Promise.resolve(true);
+  waitForRevision(rev: Revision, timeoutMs: number): Promise<boolean> {
+    if (this.view.revision >= rev) return Promise.resolve(true);
     return new Promise((resolve) => {
       const w = {
         rev,
@@ -97,10 +97,10 @@
         },
       };
       const stop = this.client.clock.after(timeoutMs, () => {
-        this.waiting = this.waiting.filter((x) => x !== w);
+        this.waiters = this.waiters.filter((x) => x !== w);
         resolve(false);
       });
-      this.waiting.push(w);
+      this.waiters.push(w);
     });
   }
 
@@ -108,9 +108,9 @@
    * After it, the view is at least as new as anything that any controller had told anybody before the call.
    * Calls that come while one barrier is under way share the next one.
    */
-  async fresh(): Promise<void> {
+  async waitUntilFresh(): Promise<void> {
     if (this.barrier === null) {
-      this.barrier = this.oneBarrier().finally(() => {
+      this.barrier = this.runBarrier().finally(() => {
         this.barrier = null;
       });
       return this.barrier;
@@ -120,25 +120,25 @@
       .then(() => this.client.clock.sleep(BARRIER_EVERY_MS))
       .then(() => {
         this.queuedBarrier = null;
-        return this.fresh();
+        return this.waitUntilFresh();
       });
     return this.queuedBarrier;
   }
 
-  private async oneBarrier(): Promise<void> {
-    const rev = await this.client.present(URGENCY.users);
-    if (!(await this.reached(rev, WATCH_LAG_MS))) throw new Unavailable('the watch lags');
+  private async runBarrier(): Promise<void> {
+    const rev = await this.client.currentRevision(REQUEST_PRIORITY.users);
+    if (!(await this.waitForRevision(rev, WATCH_LAG_MS))) throw new Unavailable('the watch lags');
   }
 
   /** Takes in this process's own commit without waiting for the watch. */
-  applied(ops: readonly Op[], rev: Revision): void {
-    this.committed(ops);
+  applyCommitted(operations: readonly WriteOperation[], rev: Revision): void {
+    this.committed(operations);
     const keys = new Set<string>();
-    for (const o of ops) {
+    for (const o of operations) {
       if (!o.key.startsWith(WATCHED_PREFIX)) continue;
       if (!this.view.apply({ key: o.key, value: o.value, version: version(rev) })) continue;
       keys.add(o.key);
-      if (parseKey(o.key).kind === 'shard') this.ahead.set(o.key, version(rev));
+      if (parseKey(o.key).kind === 'shard') this.shardsAheadOfWatch.set(o.key, version(rev));
     }
     if (keys.size > 0) this.changed(keys);
   }
--- a/src/io/state/group-commit.ts
+++ b/src/io/state/group-commit.ts
@@ -2,10 +2,10 @@
  * Commits independent changes together where they come together, such as the submissions of thousands of small jobs: one
  * request instead of one each. A change that comes alone is sent at once.
  */
-import type { Guard, Op } from '../wire.js';
-import { URGENCY } from '../rate-limiter.js';
-import type { StateClient, TxnResult } from './client.js';
-import { GUARDS_PER_OP, type Group } from './transactions.js';
+import type { Guard, WriteOperation } from '../wire.js';
+import { REQUEST_PRIORITY } from '../rate-limiter.js';
+import type { StateClient, TransactionResult } from './client.js';
+import { GUARDS_PER_OPERATION, type ChangeSet } from './transactions.js';
 
 /** So many transactions are under way at once; what comes meanwhile is gathered for the next one. */
 const MOST_IN_FLIGHT = 2;
@@ -16,15 +16,15 @@
 const MOST_WAIT_MS = 3000;
 
 interface Pending {
-  readonly group: Group;
-  readonly done: (result: TxnResult) => void;
+  readonly group: ChangeSet;
+  readonly done: (result: TransactionResult) => void;
 }
 
 /** Gathers changes while others are under way. */
 export class GroupCommit {
   private waiting: Pending[] = [];
   /** Changes whose outcome is not known yet, by name. */
-  private readonly pending = new Map<string, Promise<TxnResult>>();
+  private readonly pending = new Map<string, Promise<TransactionResult>>();
   private inFlight = 0;
 
   constructor(private readonly client: StateClient) {}
@@ -33,11 +33,11 @@
    * What became of this change; that of others in the same transaction does not matter. One under a name that waits
    * already is not sent a second time: users who got no answer in time ask again.
    */
-  commit(name: string, group: Group): Promise<TxnResult> {
+  commit(name: string, group: ChangeSet): Promise<TransactionResult> {
     const known = this.pending.get(name);
     if (known !== undefined) return known;
     if (this.waiting.length >= this.mostWaiting()) return Promise.resolve({ kind: 'refused' });
-    const result = new Promise<TxnResult>((done) => {
+    const result = new Promise<TransactionResult>((done) => {
       this.waiting.push({ group, done });
     }).finally(() => this.pending.delete(name));
     this.pending.set(name, result);
@@ -52,7 +52,7 @@
 
   /** As many changes as this process may write within a second. */
   private mostAtOnce(): number {
-    const { writeRps, nodes } = this.client.settings;
+    const { writeRps, nodes } = this.client.limits;
     return Math.max(1, Math.floor(writeRps / nodes));
   }
 
@@ -73,26 +73,30 @@
 
   /** As many of those that wait as one transaction takes, and as may be written within a second. */
   private nextBatch(): Pending[] {
-    const { txnOps } = this.client.settings;
-    const most = Math.min(txnOps, this.mostAtOnce());
-    let ops = 0;
+    const { operationsPerTransaction } = this.client.limits;
+    const most = Math.min(operationsPerTransaction, this.mostAtOnce());
+    let operations = 0;
     let guards = 0;
     let bytes = 0;
     let size = 0;
     for (const { group } of this.waiting) {
-      ops += group.ops.length;
+      operations += group.operations.length;
       guards += group.guards.length;
-      bytes += Buffer.byteLength(JSON.stringify(group.ops));
-      if (size > 0 && (ops > most || guards > txnOps * GUARDS_PER_OP || bytes > MOST_BYTES)) break;
+      bytes += Buffer.byteLength(JSON.stringify(group.operations));
+      if (
+        size > 0 &&
+        (operations > most || guards > operationsPerTransaction * GUARDS_PER_OPERATION || bytes > MOST_BYTES)
+      )
+        break;
       size++;
     }
     return this.waiting.splice(0, size);
   }
 
   private async send(batch: readonly Pending[]): Promise<void> {
-    const ops: Op[] = batch.flatMap((p) => p.group.ops);
+    const operations: WriteOperation[] = batch.flatMap((p) => p.group.operations);
     const guards: Guard[] = batch.flatMap((p) => p.group.guards);
-    const result = await this.client.txnWithRetry(guards, ops, URGENCY.users);
+    const result = await this.client.transactWithRetry(guards, operations, REQUEST_PRIORITY.users);
     if (batch.length > 1 && result.kind === 'conflict') {
       const failed = new Set(result.failed);
       const isFailed = (p: Pending) => p.group.guards.some((g) => failed.has(g.key));
@@ -104,7 +108,9 @@
     if (batch.length > 1 && result.kind === 'rejected') {
       // One of them is malformed or too large: each goes alone, so that it takes no others with it.
       for (const p of batch)
-        p.done(await this.client.txnWithRetry(p.group.guards, p.group.ops, URGENCY.users));
+        p.done(
+          await this.client.transactWithRetry(p.group.guards, p.group.operations, REQUEST_PRIORITY.users),
+        );
       return;
     }
     for (const p of batch) p.done(result);
--- a/src/io/state/transactions.ts
+++ b/src/io/state/transactions.ts
@@ -2,20 +2,20 @@
 import { key, parseKey } from '../../core/keys.js';
 import { jsonBytes, shrinkMachineRecord } from '../../core/records.js';
 import type { MachineRecord } from '../../core/types.js';
-import type { View } from '../../core/view.js';
-import { URGENCY, type Urgency } from '../rate-limiter.js';
-import type { Guard, Op } from '../wire.js';
-import { Unavailable, type StateClient } from './client.js';
-import type { Follower } from './follower.js';
+import type { ClusterView } from '../../core/view.js';
+import { REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
+import type { Guard, WriteOperation } from '../wire.js';
+import { Unavailable, type StateClient, type StateServiceLimits } from './client.js';
+import type { StateWatcher } from './follower.js';
 
 /** Changes that must be committed together, with the versions that they were made from. */
-export interface Group {
-  readonly ops: readonly Op[];
+export interface ChangeSet {
+  readonly operations: readonly WriteOperation[];
   readonly guards: readonly Guard[];
 }
 
 /** The state service takes so many guards for each change that a transaction may make. */
-export const GUARDS_PER_OP = 4;
+export const GUARDS_PER_OPERATION = 4;
 
 /** The distinct guards of a change, no more than a transaction takes. */
 export class GuardSet {
@@ -37,29 +37,29 @@
 }
 
 /** A transaction filled with groups. */
-export interface Packed extends Group {
-  readonly groups: readonly Group[];
+export interface PackedTransaction extends ChangeSet {
+  readonly changeSets: readonly ChangeSet[];
 }
 
 /** A guard that the view shows to have failed. Transactions that fail cost as much as those that do not. */
-export const outdated = (view: View, guards: readonly Guard[]) =>
+export const isOutdated = (view: ClusterView, guards: readonly Guard[]) =>
   guards.some((g) => view.versionOf(g.key) !== g.version);
 
 /**
  * The group with values within the limit, or null where that can't be: the service would refuse it for ever, and what
  * comes behind it would wait. Only what was stored under a higher limit is that large; it is left until it shrinks.
  */
-function fitted(group: Group, valueBytes: number): Group | null {
-  const ops: Op[] = [];
-  for (const op of group.ops) {
-    const small = fittedOp(op, valueBytes);
+function fitChangeSet(group: ChangeSet, valueBytes: number): ChangeSet | null {
+  const operations: WriteOperation[] = [];
+  for (const op of group.operations) {
+    const small = fitOperation(op, valueBytes);
     if (small === null) return null;
-    ops.push(small);
+    operations.push(small);
   }
-  return { ops, guards: group.guards };
+  return { operations, guards: group.guards };
 }
 
-function fittedOp(op: Op, valueBytes: number): Op | null {
+function fitOperation(op: WriteOperation, valueBytes: number): WriteOperation | null {
   if (op.value === undefined || jsonBytes(op.value) <= valueBytes) return op;
   if (parseKey(op.key).kind !== 'machine') return null;
   const value = shrinkMachineRecord(op.value as MachineRecord, valueBytes);
@@ -70,40 +70,40 @@
  * Fills transactions with groups, in order, as far as the state service's limits go. Each is put together only when its
  * turn comes, so that what has been overtaken meanwhile is left out.
  */
-export function* pack(
-  groups: readonly Group[],
+export function* packTransactions(
+  groups: readonly ChangeSet[],
   base: readonly Guard[],
-  limits: { readonly txnOps: number; readonly valueBytes: number },
-  view: View,
-): Generator<Packed> {
-  const { txnOps } = limits;
+  limits: Pick<StateServiceLimits, 'operationsPerTransaction' | 'valueBytes'>,
+  view: ClusterView,
+): Generator<PackedTransaction> {
+  const { operationsPerTransaction } = limits;
   for (let i = 0; i < groups.length;) {
-    const ops: Op[] = [];
-    const packed: Group[] = [];
+    const operations: WriteOperation[] = [];
+    const packed: ChangeSet[] = [];
     const guards = new Map<string, Guard>(base.map((g) => [g.key, g]));
     let bytes = 200 + 80 * guards.size;
     for (; i < groups.length; i++) {
-      if (outdated(view, groups[i]!.guards)) continue;
-      const g = fitted(groups[i]!, limits.valueBytes);
+      if (isOutdated(view, groups[i]!.guards)) continue;
+      const g = fitChangeSet(groups[i]!, limits.valueBytes);
       if (g === null) continue;
-      const size = JSON.stringify(g.ops).length + 80 * g.guards.length;
+      const size = JSON.stringify(g.operations).length + 80 * g.guards.length;
       const more = g.guards.filter((x) => !guards.has(x.key)).length;
       const full =
-        ops.length + g.ops.length > txnOps ||
+        operations.length + g.operations.length > operationsPerTransaction ||
         bytes + size > 60_000 ||
-        guards.size + more > txnOps * GUARDS_PER_OP;
-      if (ops.length > 0 && full) break;
-      ops.push(...g.ops);
+        guards.size + more > operationsPerTransaction * GUARDS_PER_OPERATION;
+      if (operations.length > 0 && full) break;
+      operations.push(...g.operations);
       packed.push(g);
       for (const x of g.guards) guards.set(x.key, x);
       bytes += size;
     }
-    if (ops.length > 0) yield { ops, guards: [...guards.values()], groups: packed };
+    if (operations.length > 0) yield { operations, guards: [...guards.values()], changeSets: packed };
   }
 }
 
 /** What became of a transaction; `rejected`: malformed or above a limit, now and for ever. */
-export type Outcome = 'ok' | 'conflict' | 'refused' | 'rejected';
+export type CommitOutcome = 'ok' | 'conflict' | 'refused' | 'rejected';
 
 /**
  * Commits and comes back only when the outcome is known. A transaction without an answer may still be applied
@@ -111,39 +111,39 @@
  */
 export async function commit(
   client: StateClient,
-  follower: Follower,
+  follower: StateWatcher,
   guards: readonly Guard[],
-  ops: readonly Op[],
-  urgency: Urgency,
-): Promise<Outcome> {
-  const r = await client.txn(guards, ops, urgency, () => outdated(follower.view, guards));
+  operations: readonly WriteOperation[],
+  priority: RequestPriority,
+): Promise<CommitOutcome> {
+  const r = await client.transact(guards, operations, priority, () => isOutdated(follower.view, guards));
   if (r.kind === 'ok') {
-    follower.applied(ops, r.rev);
+    follower.applyCommitted(operations, r.revision);
     return 'ok';
   }
   if (r.kind === 'refused' || r.kind === 'rejected') return r.kind;
   if (r.kind === 'conflict') {
-    await follower.reached(r.rev, 2000);
+    await follower.waitForRevision(r.revision, 2000);
     return 'conflict';
   }
   if (r.kind === 'no_lease' || r.kind === 'stale') return 'conflict';
-  const pivot = pivotOf(client, follower.view, guards, ops);
+  const pivot = choosePivot(client, follower.view, guards, operations);
   for (;;) {
     const known = follower.view.entries.get(pivot.key);
     // The view knows a newer version already: whatever can have been applied is in it, or soon will be.
-    if (known === undefined || known.version > pivot.version) return settle(client, follower);
+    if (known === undefined || known.version > pivot.version) return waitForPresentView(client, follower);
     if (known.version === pivot.version) {
       const { lease } = known.value as { lease?: number };
-      const op: Op = {
+      const op: WriteOperation = {
         key: pivot.key,
         value: known.value,
         reason: 'settling',
         ...(lease === undefined ? {} : { lease }),
       };
-      const bump = await client.txn([pivot], [op], urgency);
-      if (bump.kind === 'ok') follower.applied([op], bump.rev);
+      const bump = await client.transact([pivot], [op], priority);
+      if (bump.kind === 'ok') follower.applyCommitted([op], bump.revision);
       if (bump.kind === 'ok' || bump.kind === 'conflict' || bump.kind === 'no_lease')
-        return settle(client, follower);
+        return waitForPresentView(client, follower);
     }
     await client.clock.sleep(200);
   }
@@ -153,12 +153,17 @@
  * The guarded key to write anew after a transaction without an answer. Best one that the transaction writes itself: the
  * versions of the others mean something to others. A value stored under a higher limit can't be written back.
  */
-function pivotOf(client: StateClient, view: View, guards: readonly Guard[], ops: readonly Op[]): Guard {
+function choosePivot(
+  client: StateClient,
+  view: ClusterView,
+  guards: readonly Guard[],
+  operations: readonly WriteOperation[],
+): Guard {
   const fitsLimit = (g: Guard) =>
-    jsonBytes(view.entries.get(g.key)?.value ?? null) <= client.settings.valueBytes;
+    jsonBytes(view.entries.get(g.key)?.value ?? null) <= client.limits.valueBytes;
   const existing = guards.filter((g) => g.version > 0 && fitsLimit(g));
   const pivot =
-    existing.find((g) => ops.some((o) => o.key === g.key)) ??
+    existing.find((g) => operations.some((o) => o.key === g.key)) ??
     existing.find((g) => g.key !== key.leader) ??
     existing[0];
   if (pivot === undefined) throw new Error('a transaction must be guarded on a key that exists');
@@ -169,11 +174,11 @@
  * Waits, however long it takes, until the view holds all that was committed before the call. Going on with
  * an older view could place a task a second time whose first placement is not in it yet.
  */
-async function settle(client: StateClient, follower: Follower): Promise<'conflict'> {
+async function waitForPresentView(client: StateClient, follower: StateWatcher): Promise<'conflict'> {
   for (;;) {
     try {
-      const rev = await client.present(URGENCY.starts);
-      while (!(await follower.reached(rev, 5000)));
+      const rev = await client.currentRevision(REQUEST_PRIORITY.starts);
+      while (!(await follower.waitForRevision(rev, 5000)));
       return 'conflict';
     } catch (e) {
       if (!(e instanceof Unavailable)) throw e;
@@ -188,15 +193,15 @@
 const REACHABLE_MS = 1000;
 
 /** Commits a transaction, and sends it again where the budget refused it. */
-async function commitPatiently(
+async function commitWithRetry(
   client: StateClient,
-  follower: Follower,
-  { ops, guards }: Group,
-  urgency: Urgency,
-): Promise<Outcome> {
-  let outcome = await commit(client, follower, guards, ops, urgency);
-  for (let i = 0; i < MOST_REFUSALS && outcome === 'refused' && client.reachable(REACHABLE_MS); i++)
-    outcome = await commit(client, follower, guards, ops, urgency);
+  follower: StateWatcher,
+  { operations, guards }: ChangeSet,
+  priority: RequestPriority,
+): Promise<CommitOutcome> {
+  let outcome = await commit(client, follower, guards, operations, priority);
+  for (let i = 0; i < MOST_REFUSALS && outcome === 'refused' && client.isReachable(REACHABLE_MS); i++)
+    outcome = await commit(client, follower, guards, operations, priority);
   return outcome;
 }
 
@@ -206,19 +211,19 @@
  * commit, and to begin anew with each refusal cost most of what was planned. Of a transaction that the service rejects
  * each group is sent alone, so that the one at fault takes no others with it. After the time given the rest is left out.
  */
-export async function commitAll(
+export async function commitChangeSets(
   client: StateClient,
-  follower: Follower,
-  groups: readonly Group[],
-  urgency: Urgency,
+  follower: StateWatcher,
+  groups: readonly ChangeSet[],
+  priority: RequestPriority,
   forMs = Number.POSITIVE_INFINITY,
 ): Promise<boolean> {
   const until = client.clock.now() + forMs;
   let ok = true;
-  for (const txn of pack(groups, [], client.settings, follower.view)) {
-    const outcome = await commitPatiently(client, follower, txn, urgency);
-    if (outcome === 'rejected' && txn.groups.length > 1) {
-      for (const group of txn.groups) await commitPatiently(client, follower, group, urgency);
+  for (const transaction of packTransactions(groups, [], client.limits, follower.view)) {
+    const outcome = await commitWithRetry(client, follower, transaction, priority);
+    if (outcome === 'rejected' && transaction.changeSets.length > 1) {
+      for (const group of transaction.changeSets) await commitWithRetry(client, follower, group, priority);
     }
     if (outcome === 'refused') return false;
     if (client.clock.now() >= until) return false;
--- a/src/io/state/usage.ts
+++ b/src/io/state/usage.ts
@@ -22,7 +22,7 @@
 export type RequestKind = 'read' | 'barrier' | 'transaction' | 'lease' | 'list' | 'watch';
 
 /** Counts since the process began. */
-export class Usage {
+export class StateUsage {
   requests = 0;
   /** Requests above the rate (429), refused (503) and without an answer. */
   limited = 0;
--- a/src/io/users.ts
+++ b/src/io/users.ts
@@ -1,7 +1,7 @@
 /** The HTTP side towards users, workers and the load balancer. */
 import fastify, { type FastifyInstance } from 'fastify';
 import type { Logger } from 'pino';
-import { Admission } from '../core/admission.js';
+import { ConcurrencyLimit } from '../core/admission.js';
 import { jobId, monotonicMs } from '../core/types.js';
 import type { Cancelled, Jobs } from '../controller/jobs.js';
 import type { HeartbeatRouter } from '../controller/report-router.js';
@@ -37,8 +37,8 @@
   app.server.maxConnections = o.maxConnections;
   const bounds = { min: o.leastInProgress, max: o.mostInProgress, tolerance: 4, floorMs: 250 };
   // Each has its own limit: however many questions are asked, and however slow their answers, submissions are taken.
-  const submissions = new Admission(bounds);
-  const questions = new Admission(bounds);
+  const submissions = new ConcurrencyLimit(bounds);
+  const questions = new ConcurrencyLimit(bounds);
   const now = () => monotonicMs(performance.now());
 
   app.removeAllContentTypeParsers();
@@ -66,14 +66,14 @@
   });
 
   /** Runs a user's request within the limit, or refuses it at once. */
-  const admitted = async <T>(admission: Admission, work: () => Promise<T>): Promise<T | null> => {
-    if (!admission.enter()) return null;
+  const admitted = async <T>(admission: ConcurrencyLimit, work: () => Promise<T>): Promise<T | null> => {
+    if (!admission.tryAcquire()) return null;
     const start = now();
     try {
       return await work();
     } finally {
       const end = now();
-      admission.leave(end - start, end);
+      admission.release(end - start, end);
     }
   };
   const later = { error: 'try again later' };
--- a/src/io/wire.ts
+++ b/src/io/wire.ts
@@ -31,7 +31,7 @@
   type Version,
   type Zone,
 } from '../core/types.js';
-import type { Change } from '../core/view.js';
+import type { KeyChange } from '../core/view.js';
 import type { WriteReason } from './state/usage.js';
 
 /** Paths of all requests. */
@@ -314,7 +314,7 @@
 // State service.
 
 /** A change to one key. */
-export interface Op {
+export interface WriteOperation {
   readonly key: string;
   /** Undefined: delete. */
   readonly value: unknown;
@@ -328,9 +328,9 @@
   readonly version: Version;
 }
 /** The body of a transaction. */
-export const txnToWire = (guards: readonly Guard[], ops: readonly Op[]) => ({
+export const transactionToWire = (guards: readonly Guard[], operations: readonly WriteOperation[]) => ({
   guards: guards.map((g) => ({ path: g.key, entryRev: g.version })),
-  then: ops.map((o) =>
+  then: operations.map((o) =>
     o.value === undefined
       ? { remove: o.key }
       : { write: o.key, value: o.value, ...(o.lease === undefined ? {} : { hold: o.lease }) },
@@ -343,7 +343,7 @@
 export const failedFromWire = (b: unknown): string[] =>
   isObject(b) && Array.isArray(b['failed']) ? (b['failed'] as string[]) : [];
 /** A page of a listing of keys. */
-export function rowsFromWire(b: unknown): { rows: Change[]; more: boolean; rev: Revision } {
+export function rowsFromWire(b: unknown): { rows: KeyChange[]; more: boolean; rev: Revision } {
   if (!isObject(b)) throw new Error('listing: no object');
   const rows = ((b['rows'] ?? []) as Json[]).map((r) => ({
     key: String(r['path']),
@@ -358,7 +358,7 @@
   return { value: b['value'], version: version(Number(b['entryRev'])) };
 }
 /** The changes of a watch's answer. */
-export function eventsFromWire(b: unknown): { events: Change[]; rev: Revision } {
+export function eventsFromWire(b: unknown): { events: KeyChange[]; rev: Revision } {
   if (!isObject(b)) throw new Error('watch: no object');
   const events = ((b['events'] ?? []) as Json[]).map((e) => ({
     key: String(e['write'] ?? e['remove']),
--- a/src/packages/api.ts
+++ b/src/packages/api.ts
@@ -5,7 +5,7 @@
 import type { TSchema } from '@sinclair/typebox';
 import type { Logger } from 'pino';
 import type { Settings } from '../config/settings.js';
-import type { Changes } from '../core/changes.js';
+import type { ViewChanges } from '../core/changes.js';
 import type { Clock } from '../core/clock.js';
 import type { EventListener } from '../core/events.js';
 import type { Run } from '../core/slowness.js';
@@ -55,7 +55,7 @@
   isHeldCompletely(shard: NodeName): boolean;
   /** Nothing suggests that the state service is out of reach. */
   isStateReachable(withinMs: number): boolean;
-  subscribe(listener: (changes: Changes) => void): void;
+  subscribe(listener: (changes: ViewChanges) => void): void;
 }
 
 /** What became of an attempt to take or give a slice. */
--- a/src/packages/facts.ts
+++ b/src/packages/facts.ts
@@ -1,5 +1,5 @@
 /** The committed facts of a controller's view, as packages read them. */
-import type { Changes } from '../core/changes.js';
+import type { ViewChanges } from '../core/changes.js';
 import { key } from '../core/keys.js';
 import { nodeName, type JobId, type MachineName, type MachineRecord, type NodeName } from '../core/types.js';
 import type { Context } from '../controller/context.js';
@@ -10,7 +10,7 @@
   constructor(private readonly context: Context) {}
 
   get isReady(): boolean {
-    return this.context.follower.ready;
+    return this.context.watcher.isReady;
   }
 
   shards(): ShardFact[] {
@@ -55,10 +55,10 @@
   }
 
   isStateReachable(withinMs: number): boolean {
-    return this.context.state.reachable(withinMs);
+    return this.context.state.isReachable(withinMs);
   }
 
-  subscribe(listener: (changes: Changes) => void): void {
+  subscribe(listener: (changes: ViewChanges) => void): void {
     this.context.listeners.push(listener);
   }
 }
--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -1,12 +1,18 @@
 /** Transactions whose outcome is unknown: carried out, late, or never. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { View } from '../src/core/view.js';
+import { ClusterView } from '../src/core/view.js';
 import type { Reply, Transport } from '../src/io/http.js';
 import { StateClient } from '../src/io/state/client.js';
-import { Follower } from '../src/io/state/follower.js';
-import { GUARDS_PER_OP, GuardSet, commit, commitAll, pack } from '../src/io/state/transactions.js';
-import { URGENCY } from '../src/io/rate-limiter.js';
+import { StateWatcher } from '../src/io/state/follower.js';
+import {
+  GUARDS_PER_OPERATION,
+  GuardSet,
+  commit,
+  commitChangeSets,
+  packTransactions,
+} from '../src/io/state/transactions.js';
+import { REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
 import { version } from '../src/core/types.js';
 import { StateService } from './sim/state.js';
 import { ProcessClock, World } from './sim/world.js';
@@ -56,13 +62,21 @@
       }),
   };
   const client = new StateClient(
-    { ...BUDGET, lowRps: BUDGET.rps, lowWriteRps: BUDGET.writeRps, valueBytes: 8192, nodes: 1 },
+    {
+      rps: BUDGET.rps,
+      writeRps: BUDGET.writeRps,
+      lowRps: BUDGET.rps,
+      lowWriteRps: BUDGET.writeRps,
+      operationsPerTransaction: BUDGET.txnOps,
+      valueBytes: 8192,
+      nodes: 1,
+    },
     clock,
     http,
     watch,
   );
-  const view = new View();
-  const follower = new Follower(client, view, () => undefined);
+  const view = new ClusterView();
+  const follower = new StateWatcher(client, view, () => undefined);
   state.handle('POST', '/txn', { then: [{ write: 'p/m/n-1', value: { n: 0 } }] });
   void follower.run();
   return { world, state, client, follower, view };
@@ -76,10 +90,12 @@
     assert.ok(before > 0);
     let outcome = null as string | null;
     const op = { key: 'p/m/n-1', value: { n: 1 } };
-    void commit(client, follower, [{ key: op.key, version: before }], [op], URGENCY.starts).then((r) => {
-      outcome = r;
-      assert.equal(view.versionOf(op.key), state.rows.get(op.key)!.rev, 'it goes on with an old view');
-    });
+    void commit(client, follower, [{ key: op.key, version: before }], [op], REQUEST_PRIORITY.starts).then(
+      (r) => {
+        outcome = r;
+        assert.equal(view.versionOf(op.key), state.rows.get(op.key)!.rev, 'it goes on with an old view');
+      },
+    );
     while (outcome === null && world.now < 60_000) await world.runUntil(world.now + 100);
     assert.equal(outcome, 'conflict');
     const value = state.rows.get(op.key)!.value;
@@ -90,28 +106,33 @@
 
 test('transactions are filled up to every limit, in order, and keep the versions they were given', () => {
   const groups = [...Array(23).keys()].map((i) => ({
-    ops: [{ key: `p/m/${i}`, value: { text: 'x'.repeat(i === 5 ? 59_000 : 10) } }],
+    operations: [{ key: `p/m/${i}`, value: { text: 'x'.repeat(i === 5 ? 59_000 : 10) } }],
     guards: [
       { key: `p/m/${i}`, version: version(i + 1) },
       { key: `p/o/${i % 2}`, version: version(9) },
     ],
   }));
-  const view = new View();
+  const view = new ClusterView();
   const write = (k: string, v: number) => view.apply({ key: k, value: {}, version: version(v) });
   groups.forEach((g) => {
     for (const { key: k, version: v } of g.guards) write(k, v);
   });
   const txns = [
-    ...pack(groups, [{ key: 'p/leader', version: version(1) }], { txnOps: 8, valueBytes: 65_536 }, view),
+    ...packTransactions(
+      groups,
+      [{ key: 'p/leader', version: version(1) }],
+      { operationsPerTransaction: 8, valueBytes: 65_536 },
+      view,
+    ),
   ];
   assert.deepEqual(
-    txns.flatMap((t) => t.ops),
-    groups.flatMap((g) => g.ops),
+    txns.flatMap((t) => t.operations),
+    groups.flatMap((g) => g.operations),
   );
   for (const t of txns) {
-    assert.ok(t.ops.length <= 8 && t.guards.length <= 32);
-    assert.ok(JSON.stringify({ ops: t.ops, guards: t.guards }).length < 64 * 1024);
-    for (const o of t.ops)
+    assert.ok(t.operations.length <= 8 && t.guards.length <= 32);
+    assert.ok(JSON.stringify({ ops: t.operations, guards: t.guards }).length < 64 * 1024);
+    for (const o of t.operations)
       assert.ok(t.guards.some((g) => g.key === o.key && g.version === Number(o.key.slice(4)) + 1));
     assert.ok(t.guards.some((g) => g.key === 'p/leader'));
   }
@@ -122,20 +143,26 @@
   const { world, state, client, follower, view } = setUp('lost');
   await world.runUntil(1000);
   const groups = [...Array(6).keys()].map((i) => ({
-    ops: [{ key: `p/m/${i}`, value: { i } }],
+    operations: [{ key: `p/m/${i}`, value: { i } }],
     guards: [{ key: `p/m/${i}`, version: version(0) }],
   }));
-  const txns = pack(groups, [], { txnOps: 2, valueBytes: 8192 }, view);
+  const txns = packTransactions(groups, [], { operationsPerTransaction: 2, valueBytes: 8192 }, view);
   const sent: string[] = [];
   for (const t of txns) {
-    sent.push(...t.ops.map((o) => o.key));
+    sent.push(...t.operations.map((o) => o.key));
     view.apply({ key: 'p/m/3', value: {}, version: version(500) });
   }
   assert.deepEqual(sent, ['p/m/0', 'p/m/1', 'p/m/2', 'p/m/4', 'p/m/5']);
   // Overtaken while the budget made it wait.
   const before = state.counts.requests;
   const guard = { key: 'p/m/3', version: version(0) };
-  const outcome = await commit(client, follower, [guard], [{ key: guard.key, value: {} }], URGENCY.starts);
+  const outcome = await commit(
+    client,
+    follower,
+    [guard],
+    [{ key: guard.key, value: {} }],
+    REQUEST_PRIORITY.starts,
+  );
   assert.equal(outcome, 'conflict');
   await world.runUntil(world.now + 5000);
   assert.equal(state.counts.requests, before, 'no request was made for it');
@@ -145,12 +172,12 @@
   const { world, state, client, follower } = setUp('refused');
   await world.runUntil(1000);
   const groups = [...Array(12).keys()].map((i) => ({
-    ops: [{ key: `p/m/${i}`, value: { i } }],
+    operations: [{ key: `p/m/${i}`, value: { i } }],
     guards: [{ key: `p/m/${i}`, version: version(0) }],
   }));
   const written = () => [...state.rows.keys()].filter((k) => /^p.m.\d+$/.test(k)).length;
   let all = null as boolean | null;
-  void commitAll(client, follower, groups, URGENCY.starts).then((r) => {
+  void commitChangeSets(client, follower, groups, REQUEST_PRIORITY.starts).then((r) => {
     all = r;
   });
   await world.runUntil(world.now + 2);
@@ -161,11 +188,11 @@
   // Four to a transaction: the one with the overtaken change fails as a whole, the others go on.
   assert.equal(written(), 12 - 3);
   const rest = [...Array(40).keys()].map((i) => ({
-    ops: [{ key: `p/m/${100 + i}`, value: { i } }],
+    operations: [{ key: `p/m/${100 + i}`, value: { i } }],
     guards: [{ key: `p/m/${100 + i}`, version: version(0) }],
   }));
   let some = null as boolean | null;
-  void commitAll(client, follower, rest, URGENCY.starts, 25).then((r) => {
+  void commitChangeSets(client, follower, rest, REQUEST_PRIORITY.starts, 25).then((r) => {
     some = r;
   });
   while (some === null && world.now < 40_000) await world.runUntil(world.now + 50);
@@ -177,15 +204,15 @@
   const { world, state, client, follower } = setUp('lost');
   await world.runUntil(1000);
   // The first transaction of the stand-in gets no answer: that is another test's.
-  void client.txn([], [{ key: 'x', value: {} }], URGENCY.starts);
+  void client.transact([], [{ key: 'x', value: {} }], REQUEST_PRIORITY.starts);
   await world.runUntil(4000);
   state.valueBytes = 200;
   const groups = [...Array(6).keys()].map((i) => ({
-    ops: [{ key: `p/m/${i}`, value: { text: 'x'.repeat(i === 2 ? 500 : 10) } }],
+    operations: [{ key: `p/m/${i}`, value: { text: 'x'.repeat(i === 2 ? 500 : 10) } }],
     guards: [{ key: `p/m/${i}`, version: version(0) }],
   }));
   let all = null as boolean | null;
-  void commitAll(client, follower, groups, URGENCY.starts).then((r) => {
+  void commitChangeSets(client, follower, groups, REQUEST_PRIORITY.starts).then((r) => {
     all = r;
   });
   while (all === null && world.now < 20_000) await world.runUntil(world.now + 50);
@@ -213,7 +240,7 @@
   assert.ok(guards.every((g) => g.version > 0));
   let outcome = null as string | null;
   const op = { key: large.key, value: { n: 1 } };
-  void commit(client, follower, guards, [op], URGENCY.starts).then((r) => {
+  void commit(client, follower, guards, [op], REQUEST_PRIORITY.starts).then((r) => {
     outcome = r;
   });
   while (outcome === null && world.now < 60_000) await world.runUntil(world.now + 100);
@@ -223,14 +250,14 @@
 });
 
 test('the late answer to a write brings nothing back that was removed meanwhile', () => {
-  const view = new View();
+  const view = new ClusterView();
   const key = 'p/j/wk-1';
   view.apply({ key, value: { n: 1 }, version: version(5) });
-  view.reached(9 as never);
+  view.advanceTo(9 as never);
   // Written here at 10 and removed by another controller at 12; the watch tells of both before the answer comes.
   view.apply({ key, value: { n: 2 }, version: version(10) });
   view.apply({ key, value: undefined, version: version(12) });
-  view.reached(12 as never);
+  view.advanceTo(12 as never);
   assert.equal(view.apply({ key, value: { n: 2 }, version: version(10) }), false);
   assert.equal(view.jobs.size, 0);
   assert.equal(view.versionOf(key), 0);
@@ -239,12 +266,12 @@
   view.apply({ key: own, value: undefined, version: version(20) });
   assert.equal(view.apply({ key: own, value: {}, version: version(15) }), false);
   // What is listed anew is taken in from the revision on that is known.
-  view.reset([{ key: 'p/j/wk-3', value: {}, version: version(30) }], 31 as never);
+  view.resetTo([{ key: 'p/j/wk-3', value: {}, version: version(30) }], 31 as never);
   assert.deepEqual([...view.jobs.keys()], ['wk-3']);
 });
 
 test('the guards of a change are counted once, and are never more than a transaction takes', () => {
-  const guards = new GuardSet(2 * GUARDS_PER_OP);
+  const guards = new GuardSet(2 * GUARDS_PER_OPERATION);
   const guard = (key: string) => ({ key, version: version(3) });
   assert.ok(guards.add([guard('m'), guard('s')]));
   for (let i = 0; i < 6; i++) assert.ok(guards.add([guard('s'), guard(`j${i}`)]), `the ${i}th`);
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Admission } from '../src/core/admission.js';
+import { ConcurrencyLimit } from '../src/core/admission.js';
 import { WINDOW, isDone, judge, markDone, openTasks, NONE_DONE, zoneCap } from '../src/core/jobs.js';
 import { jobOrder } from '../src/core/job-order.js';
 import { key } from '../src/core/keys.js';
@@ -21,7 +21,7 @@
   zoneName,
   type JobSpec,
 } from '../src/core/types.js';
-import { View } from '../src/core/view.js';
+import { ClusterView } from '../src/core/view.js';
 import { jobFromWire } from '../src/io/wire.js';
 import { submission } from './samples.js';
 
@@ -127,17 +127,17 @@
 });
 
 test('the limit on requests shrinks when answers get slow and grows when they are quick', () => {
-  const a = new Admission({ min: 2, max: 50, tolerance: 4, floorMs: 50 });
+  const a = new ConcurrencyLimit({ min: 2, max: 50, tolerance: 4, floorMs: 50 });
   let t = 0;
   const round = (ms: number) => {
     for (let i = 0; i < 40; i++) {
       const n = Math.floor(a.limit);
       let entered = 0;
-      for (let k = 0; k < n + 3; k++) if (a.enter()) entered++;
+      for (let k = 0; k < n + 3; k++) if (a.tryAcquire()) entered++;
       assert.equal(entered, n);
       assert.equal(a.inProgress, n);
       t += 300;
-      for (let k = 0; k < entered; k++) a.leave(ms, monotonicMs(t));
+      for (let k = 0; k < entered; k++) a.release(ms, monotonicMs(t));
     }
   };
   round(5);
@@ -229,12 +229,12 @@
 });
 
 test('a slice that a process has given itself is its own once its view holds what was committed before', () => {
-  const view = new View();
-  view.reached(revision(10));
+  const view = new ClusterView();
+  view.advanceTo(revision(10));
   const slice = key.shard('c-1');
   view.apply({ key: slice, value: { holder: 'c-0', incarnation: 'me' }, version: version(20) });
   assert.equal(view.isHeldBy('c-1', incarnation('me')), false, 'a start of its former holder may be at 19');
-  view.reached(revision(20));
+  view.advanceTo(revision(20));
   assert.equal(view.isHeldBy('c-1', incarnation('me')), true);
   assert.equal(view.isHeldBy('c-1', incarnation('another')), false);
 });
--- a/test/group-commit.test.ts
+++ b/test/group-commit.test.ts
@@ -2,35 +2,35 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { revision } from '../src/core/types.js';
-import type { StateClient, TxnResult } from '../src/io/state/client.js';
+import type { StateClient, TransactionResult } from '../src/io/state/client.js';
 import { GroupCommit } from '../src/io/state/group-commit.js';
-import type { Guard, Op } from '../src/io/wire.js';
+import type { Guard, WriteOperation } from '../src/io/wire.js';
 import { NO_VERSION } from '../src/core/types.js';
 
 const change = (name: string) => ({
-  ops: [{ key: `p/j/${name}`, value: { name } }],
+  operations: [{ key: `p/j/${name}`, value: { name } }],
   guards: [`p/j/${name}`, `f/${name}`].map((key) => ({ key, version: NO_VERSION })),
 });
 
 /** A state service that answers when it is told to, and refuses keys that exist. */
-function service(settings = { txnOps: 8, writeRps: 60, nodes: 3 }) {
+function service(settings = { operationsPerTransaction: 8, writeRps: 60, nodes: 3 }) {
   const sent: string[][] = [];
   const exists = new Set<string>();
   const rejects = new Set<string>();
   let answers: (() => void)[] = [];
   const client = {
-    settings,
+    limits: settings,
     writesWithin: () => 0,
-    txnWithRetry: (guards: readonly Guard[], ops: readonly Op[]) =>
-      new Promise<TxnResult>((resolve) => {
+    transactWithRetry: (guards: readonly Guard[], ops: readonly WriteOperation[]) =>
+      new Promise<TransactionResult>((resolve) => {
         sent.push(ops.map((o) => o.key));
         answers.push(() => {
           const failed = guards.map((g) => g.key).filter((k) => exists.has(k));
           if (ops.some((o) => rejects.has(o.key))) resolve({ kind: 'rejected' });
-          else if (failed.length > 0) resolve({ kind: 'conflict', rev: revision(5), failed });
+          else if (failed.length > 0) resolve({ kind: 'conflict', revision: revision(5), failed });
           else {
             for (const o of ops) exists.add(o.key);
-            resolve({ kind: 'ok', rev: revision(6) });
+            resolve({ kind: 'ok', revision: revision(6) });
           }
         });
       }),
@@ -75,7 +75,7 @@
 });
 
 test('no transaction is larger than what this controller may write within a second', async () => {
-  const s = service({ txnOps: 32, writeRps: 20, nodes: 4 });
+  const s = service({ operationsPerTransaction: 32, writeRps: 20, nodes: 4 });
   const results = [...Array(12).keys()].map((i) => s.commits.commit(`wk-${i}`, change(`wk-${i}`)));
   await s.answer();
   await Promise.all(results);
@@ -83,7 +83,7 @@
 });
 
 test('what would wait for longer than its user does is refused at once, and nothing is sent twice', async () => {
-  const s = service({ txnOps: 8, writeRps: 20, nodes: 4 });
+  const s = service({ operationsPerTransaction: 8, writeRps: 20, nodes: 4 });
   const commit = (i: number) => s.commits.commit(`wk-${i}`, change(`wk-${i}`));
   const first = [...Array(40).keys()].map(commit);
   const again = [...Array(10).keys()].map(commit);
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -6,14 +6,14 @@
 import { Health } from '../src/controller/health.js';
 import { jobId, version, type Allocation, type Heartbeat } from '../src/core/types.js';
 import { key } from '../src/core/keys.js';
-import { View } from '../src/core/view.js';
+import { ClusterView } from '../src/core/view.js';
 import { jobFromWire, heartbeatFromWire } from '../src/io/wire.js';
 import { machine, submission, type } from './samples.js';
 
 const record = machine('n-1', []);
 
 function setUp(cacheGb: number, jobs: [id: string, image: string, gb: number][]) {
-  const view = new View();
+  const view = new ClusterView();
   for (const [id, image, gb] of jobs) {
     const spec = jobFromWire(submission({ nameId: id, bundle: image, pullGb: gb }) as never);
     const value = { spec, phase: 'active', done: { base: 0, bits: '', count: 0 }, submitted: 0 };
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -19,9 +19,9 @@
   version,
   type MachineRecord,
 } from '../src/core/types.js';
-import { View } from '../src/core/view.js';
+import { ClusterView } from '../src/core/view.js';
 import { newAgentSession, recordHeartbeat } from '../src/core/worker-reports.js';
-import { jobFromWire, heartbeatFromWire, type Guard, type Op } from '../src/io/wire.js';
+import { jobFromWire, heartbeatFromWire, type Guard, type WriteOperation } from '../src/io/wire.js';
 import { HUGE, Sim } from './sim/run.js';
 import { all, leads, wait } from './sim/meeting.js';
 import { machine, submission, types } from './samples.js';
@@ -98,7 +98,7 @@
     submission({ vcpus: 1, cards: 0, memoryGb: 1, shards: MACHINES * TASKS }) as never,
   );
   const before = heap();
-  const view = new View();
+  const view = new ClusterView();
   const memories = [];
   for (let i = 0; i < MACHINES; i++) {
     const name = `n-${String(i).padStart(6, '0')}`;
@@ -107,7 +107,7 @@
     const text = JSON.stringify(machine(name, [allocationFor(spec, attempt(7), tasks)]));
     const value: unknown = JSON.parse(text);
     view.apply({ key: key.machine(machineName(name)), value, version: version(i + 10) });
-    const memory = newAgentSession(view.tokenOf(value as MachineRecord), monotonicMs(0));
+    const memory = newAgentSession(view.fencingTokenOf(value as MachineRecord), monotonicMs(0));
     const report = heartbeatFromWire(
       JSON.parse(
         JSON.stringify({
@@ -133,7 +133,7 @@
 });
 
 test('a list of machines answered for others goes on in further records, each read back for its controller', () => {
-  const view = new View();
+  const view = new ClusterView();
   const names = (from: number) => [...Array(700).keys()].map((i) => machineName(`n-${from + i}`));
   for (const part of [0, 1, 2])
     view.apply({
@@ -153,7 +153,7 @@
 });
 
 test('however many machines are answered for others, all are written down, within the limit for a value', async () => {
-  const view = new View();
+  const view = new ClusterView();
   let rev = 10;
   let refuses = false;
   const ctx = {
@@ -163,7 +163,7 @@
     follower: { applied: () => undefined },
     state: {
       settings: { valueBytes: 2048 },
-      txn: (_guards: readonly Guard[], ops: readonly Op[]) => {
+      txn: (_guards: readonly Guard[], ops: readonly WriteOperation[]) => {
         if (refuses) return Promise.resolve({ kind: 'refused' });
         rev++;
         for (const { key: k, value } of ops) {
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -1,7 +1,7 @@
 /** The part of a shared budget that one process takes, in virtual time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RateLimiter, URGENCY } from '../src/io/rate-limiter.js';
+import { RateLimiter, REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
 import { ProcessClock, World } from './sim/world.js';
 
 /** A process whose part of both budgets does not fall, and which may borrow so many times that part. */
@@ -14,13 +14,13 @@
   const took = { bulk: 0, users: [] as number[], reads: [] as number[] };
   // A wave: far more changes than the budget has for a minute.
   for (let i = 0; i < 100; i++)
-    void limiter.take(URGENCY.starts, 8).then(() => {
+    void limiter.acquire(REQUEST_PRIORITY.starts, 8).then(() => {
       took.bulk += 8;
     });
   const asks = () => {
     const at = world.now;
-    void limiter.take(URGENCY.users, 1).then(() => took.users.push(world.now - at));
-    void limiter.take(URGENCY.users, 0).then(() => took.reads.push(world.now - at));
+    void limiter.acquire(REQUEST_PRIORITY.users, 1).then(() => took.users.push(world.now - at));
+    void limiter.acquire(REQUEST_PRIORITY.users, 0).then(() => took.reads.push(world.now - at));
     if (world.now < 29_000) world.after(500, asks);
   };
   world.after(2000, asks);
@@ -37,15 +37,15 @@
   const world = new World(1);
   const limiter = fixed(world, 3);
   await world.runUntil(10_000);
-  assert.equal(limiter.idle, true);
-  limiter.drained(1);
-  assert.equal(limiter.idle, false, 'others wait for the budget, even where this process has enough');
+  assert.equal(limiter.isIdle, true);
+  limiter.noteExhausted(1);
+  assert.equal(limiter.isIdle, false, 'others wait for the budget, even where this process has enough');
   let read = false;
   let wrote = false;
-  void limiter.take(URGENCY.results, 6).then(() => {
+  void limiter.acquire(REQUEST_PRIORITY.results, 6).then(() => {
     wrote = true;
   });
-  void limiter.take(URGENCY.session, 0).then(() => {
+  void limiter.acquire(REQUEST_PRIORITY.session, 0).then(() => {
     read = true;
   });
   await world.runUntil(world.now + 10);
@@ -69,7 +69,7 @@
   let granted = 0;
   const send = async (): Promise<void> => {
     for (;;) {
-      if (!(await limiter.take(URGENCY.starts, 2))) return;
+      if (!(await limiter.acquire(REQUEST_PRIORITY.starts, 2))) return;
       tokens = Math.min(allowed, tokens + ((world.now - last) / 1000) * allowed);
       last = world.now;
       if (tokens >= 2) {
@@ -77,7 +77,7 @@
         granted += 2;
       } else {
         refused++;
-        limiter.drained(2);
+        limiter.noteExhausted(2);
       }
     }
   };
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -29,7 +29,7 @@
   type MachineRecord,
 } from '../src/core/types.js';
 import { key } from '../src/core/keys.js';
-import { View } from '../src/core/view.js';
+import { ClusterView } from '../src/core/view.js';
 import { jobFromWire, heartbeatFromWire } from '../src/io/wire.js';
 import { machine, submission, type, types } from './samples.js';
 
@@ -50,7 +50,7 @@
   '],"since":1700000000000,"address":"10.1.0.1:9000","images":["img-1"],"heard":9}';
 
 const viewOf = (rows: Record<string, string>) => {
-  const view = new View();
+  const view = new ClusterView();
   let v = 10;
   for (const [k, text] of Object.entries(rows))
     view.apply({ key: k, value: JSON.parse(text) as unknown, version: version(++v) });
--- a/test/sim/node.ts
+++ b/test/sim/node.ts
@@ -291,7 +291,7 @@
     return {
       contact: (ms) => {
         observe('contact');
-        return this.across(clock, name, ms, delay(), (c) => Promise.resolve(c.ctx.state.reachable(1500)));
+        return this.across(clock, name, ms, delay(), (c) => Promise.resolve(c.ctx.state.isReachable(1500)));
       },
       cancel: (job, ms) => {
         observe({ cancel: job });
--- a/test/storm.test.ts
+++ b/test/storm.test.ts
@@ -1,11 +1,11 @@
 /** Storms of questions: what is asked together shares requests, and waiting for changes leaves requests to others. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FinalStates } from '../src/controller/final-states.js';
+import { FinalStateCache } from '../src/controller/final-states.js';
 import { jobId, revision, version, type Revision } from '../src/core/types.js';
-import { View } from '../src/core/view.js';
+import { ClusterView } from '../src/core/view.js';
 import { StateClient } from '../src/io/state/client.js';
-import { Follower } from '../src/io/state/follower.js';
+import { StateWatcher } from '../src/io/state/follower.js';
 import type { Reply, Transport } from '../src/io/http.js';
 import { ProcessClock, World } from './sim/world.js';
 
@@ -20,7 +20,7 @@
         resolve({ ...answer, version: version(0) });
       });
     });
-  return { finals: new FinalStates({ get } as unknown as StateClient), waiting };
+  return { finals: new FinalStateCache({ get } as unknown as StateClient), waiting };
 }
 const settled = () => new Promise((r) => setImmediate(r));
 
@@ -73,15 +73,15 @@
     writeRps: 60,
     lowRps: 150,
     lowWriteRps: 60,
-    txnOps: 8,
+    operationsPerTransaction: 8,
     valueBytes: 8192,
     nodes: 5,
   };
   const client = new StateClient(settings, clock, http, watch);
-  const view = new View();
-  void new Follower(client, view, () => undefined).run();
+  const view = new ClusterView();
+  void new StateWatcher(client, view, () => undefined).run();
   await settled();
   await world.runUntil(10_000);
   assert.ok(follows <= 10 * (150 / 5) * 0.35, `${follows} waits in ten seconds`);
-  assert.ok(view.rev >= rev - 1, `the view is at ${view.rev} of ${rev}`);
+  assert.ok(view.revision >= rev - 1, `the view is at ${view.revision} of ${rev}`);
 });
