--- a/packages/tracing/src/job-spans.ts
+++ b/packages/tracing/src/job-spans.ts
@@ -3,7 +3,7 @@
  * Spans of one job have the same trace at every controller, so that a job which changes its owner stays one trace.
  */
 import type { SpanContext } from '@opentelemetry/api';
-import { dropOldest } from '../../../src/core/bounded.js';
+import { evictOldest } from '../../../src/core/bounded.js';
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
 import { key } from '../../../src/core/keys.js';
 import type { JobId, MachineName, Heartbeat } from '../../../src/core/types.js';
@@ -70,7 +70,7 @@
       const whole = jobContext(job);
       context = isSampled(whole, this.ratio) ? whole : null;
       this.contexts.set(job, context);
-      dropOldest(this.contexts, MOST_JOBS);
+      evictOldest(this.contexts, MOST_JOBS);
     }
     return context;
   }
--- a/packages/warm-standby/src/entries.ts
+++ b/packages/warm-standby/src/entries.ts
@@ -1,6 +1,6 @@
 /** What the decision log holds: decisions of a slice's holder, and what it has learned and not written down yet. */
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
-import type { Run } from '../../../src/core/slowness.js';
+import type { TaskRun } from '../../../src/core/slowness.js';
 import type { Attempt, ExitReason, JobId, MachineName, WallClockMs } from '../../../src/core/types.js';
 import type { Hint } from '../../../src/packages/api.js';
 
@@ -20,7 +20,7 @@
       readonly machines: readonly MachineName[];
       readonly retryAt: WallClockMs;
     }
-  | { readonly kind: 'run'; readonly machine: MachineName; readonly run: Run };
+  | { readonly kind: 'run'; readonly machine: MachineName; readonly run: TaskRun };
 
 /** Where an entry belongs. */
 export type EntrySubject =
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -107,8 +107,8 @@
       fields: {
         machine: { type: 'string', id: 1 },
         job: { type: 'string', id: 2 },
-        cls: { type: 'string', id: 3 },
-        tookS: { type: 'double', id: 4 },
+        jobClass: { type: 'string', id: 3 },
+        durationS: { type: 'double', id: 4 },
         estimateS: { type: 'double', id: 5 },
       },
     },
@@ -171,8 +171,8 @@
 interface RunFields {
   machine: string;
   job: string;
-  cls: string;
-  tookS: number;
+  jobClass: string;
+  durationS: number;
   estimateS: number;
 }
 interface EntryFields {
@@ -231,8 +231,8 @@
       return { kind: 'job_failing', job, rounds, why, machines: [...machines], retryAt };
     }
     case 'run': {
-      const { machine, job, cls, tookS, estimateS } = e.run!;
-      const run = { job: job as JobId, cls, tookS, estimateS };
+      const { machine, job, jobClass, durationS, estimateS } = e.run!;
+      const run = { job: job as JobId, jobClass, durationS, estimateS };
       return { kind: 'run', machine: machine as MachineName, run };
     }
     case undefined:
--- a/packages/warm-standby/src/slice-memory.ts
+++ b/packages/warm-standby/src/slice-memory.ts
@@ -2,7 +2,7 @@
  * The state that a decision log adds up to: what a snapshot holds, and what a standby has at a takeover. The holder and its
  * standbys keep it by the same code from the same entries.
  */
-import { dropOldest } from '../../../src/core/bounded.js';
+import { evictOldest } from '../../../src/core/bounded.js';
 import type { JobId, MachineName } from '../../../src/core/types.js';
 import type { Hint } from '../../../src/packages/api.js';
 import type { LogEntry } from './entries.js';
@@ -45,7 +45,7 @@
       case 'exited': {
         const { job, index, attempt } = entry.task;
         this.left.set(`${job}/${index}@${attempt}`, entry);
-        dropOldest(this.left, MOST_LEFT);
+        evictOldest(this.left, MOST_LEFT);
         return;
       }
       case 'start':
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -14,8 +14,8 @@
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
 import { holderOf, shown, standby } from './standbys.js';
 
-const transferOf = ({ controller }: Node) => new ShardTransfer(controller!.ctx, controller!.membership);
-const factOf = ({ controller }: Node, slice: NodeName) => new ViewFacts(controller!.ctx).shard(slice)!;
+const transferOf = ({ controller }: Node) => new ShardTransfer(controller!.context, controller!.membership);
+const factOf = ({ controller }: Node, slice: NodeName) => new ViewFacts(controller!.context).shard(slice)!;
 
 /** The outcome of what a controller does, while the run goes on. */
 const outcomeOf = async (sim: Sim, work: () => Promise<ShardTransferOutcome>) =>
@@ -36,7 +36,7 @@
   victim.clock.pause();
   const before = [...sim.state.rows.keys()].filter((k) => k === key.session(victim.name) || k === key.leader);
   assert.equal(before.length, 2);
-  taker.controller!.ctx.state.revokeLease = () => Promise.reject(new Unavailable('revoke'));
+  taker.controller!.context.state.revokeLease = () => Promise.reject(new Unavailable('revoke'));
   assert.equal(await outcomeOf(sim, () => transferOf(taker).takeOver(fact)), 'committed');
   assert.equal(holderOf(sim, slice), taker.name);
   assert.equal(sim.state.rows.has(key.session(victim.name)), false);
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -67,8 +67,8 @@
     machine: names,
     run: fc.record({
       job: fc.constant(jobId('wk-2')),
-      cls: fc.constant('c'),
-      tookS: fc.nat(50),
+      jobClass: fc.constant('c'),
+      durationS: fc.nat(50),
       estimateS: fc.nat(50),
     }),
   }),
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -253,7 +253,7 @@
   const [node] = owners(sim);
   const taker = standbyOf(sim, node!.name);
   const shard = nodeName(node!.name);
-  const { epoch } = new ViewFacts(taker.controller!.ctx).shard(shard)!;
+  const { epoch } = new ViewFacts(taker.controller!.context).shard(shard)!;
   const machine = [...sim.fleet.machines.keys()].map(machineName);
   const { applied } = shown(taker).slices.find((s) => s.slice === shard)!;
   const task = (index: number) => ({
--- a/src/controller/availability.ts
+++ b/src/controller/availability.ts
@@ -3,7 +3,7 @@
  * service is out for all or only for this controller; the other controllers can.
  */
 import type { Peer } from '../io/peers.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 import type { Membership } from './membership.js';
 
 const ASK_MS = 700;
@@ -14,20 +14,20 @@
 /** Decides whether this controller may answer workers and users now. */
 export class Availability {
   /** What the peers said last: whether any of them has contact to the state service. */
-  private heard = { contact: true, at: Number.NEGATIVE_INFINITY };
+  private lastPeerReport = { contact: true, at: Number.NEGATIVE_INFINITY };
   /** Neither the state service nor any other controller answers: they may all be gone, or this one's zone is cut off. */
-  isolated = false;
+  isIsolated = false;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly membership: Membership,
     private readonly peers: ReadonlyMap<string, Peer>,
   ) {}
 
   /** A peer has no contact to the state service either, and none was heard to have any. */
-  private get outage(): boolean {
+  private get isStateOutage(): boolean {
     if (this.peers.size === 0) return true;
-    return !this.heard.contact && this.context.clock.now() - this.heard.at < KNOWN_MS;
+    return !this.lastPeerReport.contact && this.context.clock.now() - this.lastPeerReport.at < KNOWN_MS;
   }
 
   /**
@@ -35,18 +35,18 @@
    * so that nobody can have taken the slice. Cut off from the service and from all peers it can know neither: then
    * its workers have to go, before their leases run out, to a controller that can act for them.
    */
-  get mayAnswerWorkers(): boolean {
-    return this.membership.valid || this.outage;
+  get mayAnswerAgents(): boolean {
+    return this.membership.hasValidLease || this.isStateOutage;
   }
 
   /**
    * Whether users and the load balancer should come here. While nobody reaches the state service final states can
    * still be told, and to be skipped for a time would only lengthen the outage for the users.
    */
-  get healthy(): boolean {
+  get isHealthy(): boolean {
     const { context } = this;
     if (!context.watcher.isReady || context.view.types === null) return false;
-    return context.state.isReachable(3000) || this.outage;
+    return context.state.isReachable(3000) || this.isStateOutage;
   }
 
   async run(): Promise<never> {
@@ -54,13 +54,13 @@
     for (;;) {
       await context.clock.sleep(ASK_MS);
       if (context.state.isReachable(1500)) {
-        this.isolated = false;
+        this.isIsolated = false;
         continue;
       }
       const answers = await Promise.all([...this.peers.values()].map((p) => p.contact(ANSWER_MS)));
       const contact = answers.includes(true);
-      this.isolated = !contact && !answers.includes(false);
-      if (!this.isolated) this.heard = { contact, at: context.clock.now() };
+      this.isIsolated = !contact && !answers.includes(false);
+      if (!this.isIsolated) this.lastPeerReport = { contact, at: context.clock.now() };
     }
   }
 }
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -38,7 +38,7 @@
 const LATER_BYTES = 130;
 
 /** What one controller knows: its settings, its view of the shared state, and sums over that. */
-export class Context {
+export class ControllerContext {
   readonly incarnation: Incarnation;
   readonly view = new ClusterView();
   readonly state: StateClient;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -12,9 +12,9 @@
 import { PeerLink, PeerServer, type Peer } from '../io/peers.js';
 import { buildServer } from '../io/users.js';
 import { AgentClient, type AgentGateway } from '../io/workers.js';
-import { Context } from './context.js';
-import { Health } from './health.js';
-import { Jobs } from './jobs.js';
+import { ControllerContext } from './context.js';
+import { HealthTracker } from './health.js';
+import { JobService } from './jobs.js';
 import { Leader } from './leader/leader.js';
 import { Membership } from './membership.js';
 import { ShardController } from './owner/owner.js';
@@ -28,7 +28,7 @@
 import { PackageHost, TracerSwitch } from '../packages/host.js';
 
 /** The world outside, as one controller reaches it. */
-export interface Outside {
+export interface ControllerDependencies {
   readonly clock: Clock;
   /** Differs between any two starts of any controller. */
   readonly identity: string;
@@ -45,11 +45,11 @@
 
 /** One controller: all its loops, with the outside passed in. */
 export class Controller {
-  readonly ctx: Context;
+  readonly context: ControllerContext;
   readonly membership: Membership;
   readonly shardController: ShardController;
   readonly leader: Leader;
-  readonly jobs: Jobs;
+  readonly jobs: JobService;
   readonly heartbeats: HeartbeatRouter;
 
   readonly availability: Availability;
@@ -61,10 +61,10 @@
     settings: Settings,
     operator: Operator,
     log: Logger,
-    outside: Outside,
+    outside: ControllerDependencies,
     packages: readonly LoadedPackage[] = [],
   ) {
-    const context = new Context(
+    const context = new ControllerContext(
       settings,
       operator,
       log,
@@ -73,8 +73,8 @@
       outside.state,
       outside.watch,
     );
-    const health = new Health(context, outside.random);
-    this.ctx = context;
+    const health = new HealthTracker(context, outside.random);
+    this.context = context;
     this.membership = new Membership(context);
     this.availability = new Availability(context, this.membership, outside.peers);
     this.shardController = new ShardController(context, outside.agents, health);
@@ -83,7 +83,7 @@
       this.membership,
       new CloudClient(outside.cloud, settings.cloudLimits.rps, outside.clock),
     );
-    this.jobs = new Jobs(context, this.shardController, outside.peers);
+    this.jobs = new JobService(context, this.shardController, outside.peers);
     this.heartbeats = new HeartbeatRouter(
       context,
       this.shardController,
@@ -106,7 +106,7 @@
       shardControl: new ShardTransfer(context, this.membership),
       channel: this.channel,
       learn: (hint) => {
-        health.learn(hint);
+        health.applyHint(hint);
       },
       onEvent: (listener) => {
         context.events.subscribe(listener);
@@ -120,7 +120,7 @@
   }
 
   private async logUsage(): Promise<never> {
-    const { clock, log, state } = this.ctx;
+    const { clock, log, state } = this.context;
     for (;;) {
       await clock.sleep(USAGE_EVERY_MS);
       log.info(state.usage.snapshot(), 'state service usage');
@@ -129,7 +129,7 @@
 
   async run(): Promise<void> {
     await Promise.all([
-      this.ctx.watcher.run(),
+      this.context.watcher.run(),
       this.membership.run(),
       this.shardController.run(),
       this.leader.run(),
@@ -159,7 +159,7 @@
   packages: readonly LoadedPackage[] = [],
 ): Promise<void> {
   const sockets = settings.limits.max_connections;
-  const outside: Outside = {
+  const outside: ControllerDependencies = {
     clock: realClock,
     identity: randomBytes(6).toString('hex'),
     random: Math.random,
@@ -172,8 +172,8 @@
   };
   const controller = new Controller(settings, operator, log, outside, packages);
   const peerServer = new PeerServer(
-    (job) => Promise.resolve(controller.jobs.takeCancel(jobId(job))),
-    () => controller.ctx.state.isReachable(1500),
+    (job) => Promise.resolve(controller.jobs.acceptForwardedCancellation(jobId(job))),
+    () => controller.context.state.isReachable(1500),
     Math.max(8, settings.nodes * 4),
     (topic, payload, from) => controller.channel.answer(topic, payload, from),
   );
@@ -182,9 +182,9 @@
     log,
     jobs: controller.jobs,
     heartbeats: controller.heartbeats,
-    healthy: () => controller.availability.healthy,
+    healthy: () => controller.availability.isHealthy,
     status: () => ({
-      ...status(controller.ctx, controller.shardController, controller.availability.healthy),
+      ...status(controller.context, controller.shardController, controller.availability.isHealthy),
       ...(controller.packages === null ? {} : { packages: controller.packages.status() }),
     }),
     maxConnections: Math.floor(sockets * 0.85),
@@ -194,6 +194,9 @@
   });
   const [host, port] = splitAddress(settings.bind);
   await server.listen({ host, port });
-  log.info({ node: settings.node, incarnation: controller.ctx.incarnation, bind: settings.bind }, 'serving');
+  log.info(
+    { node: settings.node, incarnation: controller.context.incarnation, bind: settings.bind },
+    'serving',
+  );
   await controller.run();
 }
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -11,7 +11,7 @@
 import type { JobId, JobRecord } from '../core/types.js';
 import { viewChangesOfJobs } from '../core/changes.js';
 import { Unavailable } from '../io/state/client.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 import type { FinalStateCache } from './final-states.js';
 
 /** So many final states are read at once; a takeover may have hundreds of jobs that wait. */
@@ -28,7 +28,7 @@
   private reading = false;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly finalStates: FinalStateCache,
   ) {
     // Not waited for until somebody plans: what follows from an end is wanted at once.
--- a/src/controller/final-states.ts
+++ b/src/controller/final-states.ts
@@ -1,5 +1,5 @@
 /** Final states of jobs: kept by the state service for ever, remembered here within bounds. */
-import { dropOldest } from '../core/bounded.js';
+import { evictOldest } from '../core/bounded.js';
 import type { FinalRecord, JobId, Revision } from '../core/types.js';
 import { key, parseKey } from '../core/keys.js';
 import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
@@ -42,7 +42,7 @@
 
   private remember(id: JobId, final: FinalRecord): void {
     this.known.set(id, final);
-    dropOldest(this.known, KEPT);
+    evictOldest(this.known, KEPT);
   }
 
   /**
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -10,57 +10,57 @@
   type Heartbeat,
   type MonotonicMs,
 } from '../core/types.js';
-import { dropOldest } from '../core/bounded.js';
-import { Failures, RUNS_WELL_MS } from '../core/failures.js';
+import { evictOldest } from '../core/bounded.js';
+import { FailureTracker, RUNS_WELL_MS } from '../core/failures.js';
 import type { Hint } from '../packages/api.js';
 import { jsonBytes } from '../core/records.js';
-import { Slowness, type Run } from '../core/slowness.js';
+import { SlowMachineDetector, type TaskRun } from '../core/slowness.js';
 import { isNewer, taskKey } from '../core/worker-reports.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 
 /** So many reports, and pauses between a job and a machine, are remembered at least; for larger fleets more. */
-const REPORTS_KEPT = 4000;
-const PAUSES_KEPT = 5000;
+const MIN_HEARTBEATS_KEPT = 4000;
+const MIN_AVOIDED_KEPT = 5000;
 /** A job whose task failed on a machine, or found it full, does not go there again for so long. */
-const PAUSE_AFTER_ERROR_MS = 60_000;
-const PAUSE_AFTER_REFUSAL_MS = 3000;
+const AVOID_AFTER_ERROR_MS = 60_000;
+const AVOID_AFTER_REFUSAL_MS = 3000;
 
 /** Remembers failures, caches and run times of machines and jobs. */
-export class Health {
-  readonly failures: Failures;
-  private readonly pauses = new Map<string, MonotonicMs>();
+export class HealthTracker {
+  readonly failures: FailureTracker;
+  private readonly avoidedUntil = new Map<string, MonotonicMs>();
   /** Images that machines were seen to have, the latest used last. */
-  private readonly images = new Map<MachineName, Set<string>>();
+  private readonly observedImages = new Map<MachineName, Set<string>>();
   private readonly imageGb = new Map<string, number>();
   private readonly lastHeartbeats = new Map<MachineName, Heartbeat>();
 
-  private readonly slowness: Slowness;
+  private readonly slowness: SlowMachineDetector;
   /** Since when tasks have been seen running, by machine and task. */
-  private readonly runningAt = new Map<MachineName, Map<string, MonotonicMs>>();
+  private readonly runningSince = new Map<MachineName, Map<string, MonotonicMs>>();
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     random: () => number,
   ) {
     const { slow_factor, slow_runs } = context.operator.fleet;
-    this.slowness = new Slowness({ factor: slow_factor, runs: slow_runs, samples: 12 });
-    this.failures = new Failures(random);
+    this.slowness = new SlowMachineDetector({ factor: slow_factor, runs: slow_runs, samples: 12 });
+    this.failures = new FailureTracker(random);
     context.listeners.push(({ machines, jobs }) => {
       for (const id of jobs) if (!context.view.jobs.has(id)) this.failures.forgetJob(id);
       for (const name of machines) {
         if (context.view.machines.has(name)) continue;
-        this.slowness.gone(name);
-        this.runningAt.delete(name);
+        this.slowness.forgetMachine(name);
+        this.runningSince.delete(name);
         this.failures.forgetMachine(name);
         this.lastHeartbeats.delete(name);
-        this.images.delete(name);
+        this.observedImages.delete(name);
       }
     });
   }
 
   private observeRunningTasks(r: Heartbeat): void {
     const t = this.context.clock.now();
-    const before = this.runningAt.get(r.machine);
+    const before = this.runningSince.get(r.machine);
     const now = new Map<string, MonotonicMs>();
     for (const task of r.tasks) {
       const k = taskKey(task.job, task.index, task.attempt);
@@ -69,27 +69,27 @@
       const spec = this.context.view.jobs.get(task.job)?.spec;
       // A late report of a job that is over teaches nothing: nobody would forget it again.
       if (spec !== undefined && task.state === 'running' && since !== undefined && t - since >= RUNS_WELL_MS)
-        this.failures.ranLong(task.job);
+        this.failures.recordLongRun(task.job);
       // A gang runs only as fast as its slowest machine, so its time says nothing about this one.
       if (task.exitReason === 'done' && since !== undefined && spec?.kind === 'array')
-        this.ran(r.machine, {
+        this.recordRun(r.machine, {
           job: task.job,
-          cls: spec.class,
-          tookS: (t - since) / 1000,
+          jobClass: spec.class,
+          durationS: (t - since) / 1000,
           estimateS: spec.estimateS,
         });
     }
-    this.runningAt.set(r.machine, now);
+    this.runningSince.set(r.machine, now);
   }
 
-  private ran(machine: MachineName, run: Run): void {
+  private recordRun(machine: MachineName, run: TaskRun): void {
     const { events } = this.context;
-    this.slowness.ran(machine, run);
+    this.slowness.recordRun(machine, run);
     if (events.isActive) events.emit({ kind: 'task_ran', machine, run });
   }
 
   /** Takes in what another controller has learned; nothing that is known here is replaced by anything older. */
-  learn(hint: Hint): void {
+  applyHint(hint: Hint): void {
     const { view, types, clock } = this.context;
     switch (hint.kind) {
       case 'agent': {
@@ -114,11 +114,11 @@
       case 'job_failing': {
         if (!view.jobs.has(hint.job)) return;
         const until = monotonicMs(clock.now() + hint.retryInMs);
-        this.failures.adopt(hint.job, { ...hint, machines: new Set(hint.machines), until });
+        this.failures.mergeFailures(hint.job, { ...hint, machines: new Set(hint.machines), until });
         return;
       }
       case 'task_ran':
-        if (view.machines.has(hint.machine)) this.slowness.ran(hint.machine, hint.run);
+        if (view.machines.has(hint.machine)) this.slowness.recordRun(hint.machine, hint.run);
     }
   }
 
@@ -128,7 +128,7 @@
     if (known !== undefined && isNewer(known, r)) return false;
     this.lastHeartbeats.delete(r.machine);
     this.lastHeartbeats.set(r.machine, r);
-    dropOldest(this.lastHeartbeats, Math.max(REPORTS_KEPT, 2 * this.context.view.machines.size));
+    evictOldest(this.lastHeartbeats, Math.max(MIN_HEARTBEATS_KEPT, 2 * this.context.view.machines.size));
     return true;
   }
 
@@ -140,11 +140,11 @@
       if (t.state === 'fetching' || (t.state === 'exited' && t.exitReason !== 'done')) continue;
       const spec = this.context.view.jobs.get(t.job)?.spec;
       if (spec === undefined) continue;
-      let set = this.images.get(r.machine);
-      if (set === undefined) this.images.set(r.machine, (set = new Set()));
+      let set = this.observedImages.get(r.machine);
+      if (set === undefined) this.observedImages.set(r.machine, (set = new Set()));
       set.delete(spec.image);
       set.add(spec.image);
-      if (this.imageGb.size > REPORTS_KEPT) this.imageGb.clear();
+      if (this.imageGb.size > MIN_HEARTBEATS_KEPT) this.imageGb.clear();
       this.imageGb.set(spec.image, spec.imageGb);
     }
   }
@@ -153,17 +153,17 @@
     return this.lastHeartbeats.get(m) ?? null;
   }
 
-  cached(m: MachineRecord, image: string): boolean {
-    return this.images.get(m.name)?.has(image) === true || m.images?.includes(image) === true;
+  hasImage(m: MachineRecord, image: string): boolean {
+    return this.observedImages.get(m.name)?.has(image) === true || m.images?.includes(image) === true;
   }
 
   /**
    * What the machine has cached as far as is known, the latest used last and no more than its cache holds. It goes into
    * the machine's record with the next change: whoever gets the machine would else know nothing, and fetch anew.
    */
-  imagesOf(m: MachineRecord): string[] {
+  cachedImages(m: MachineRecord): string[] {
     const set = new Set(m.images);
-    for (const image of this.images.get(m.name) ?? []) {
+    for (const image of this.observedImages.get(m.name) ?? []) {
       set.delete(image);
       set.add(image);
     }
@@ -180,49 +180,49 @@
   }
 
   /** A task left a machine; some reasons say something about one or the other. */
-  exit(m: MachineRecord, placed: Allocation, why: ExitReason | null): void {
+  recordExit(m: MachineRecord, placed: Allocation, why: ExitReason | null): void {
     const { job } = placed;
     if (!this.context.view.jobs.has(job)) {
       if (why === 'done') this.failures.forgetMachine(m.name);
       return;
     }
-    if (why === 'done') this.failures.done(job, m.name);
-    if (why === 'full' || why === 'in_use') this.pause(job, m.name, PAUSE_AFTER_REFUSAL_MS);
-    if (why === 'error') this.pause(job, m.name, PAUSE_AFTER_ERROR_MS);
+    if (why === 'done') this.failures.recordSuccess(job, m.name);
+    if (why === 'full' || why === 'in_use') this.avoidMachine(job, m.name, AVOID_AFTER_REFUSAL_MS);
+    if (why === 'error') this.avoidMachine(job, m.name, AVOID_AFTER_ERROR_MS);
     if (why !== 'error' && why !== 'unknown') return;
     const known = this.context.view.jobs.get(job)?.failing;
-    this.failures.failed(job, m.name, why, this.context.clock.now(), known?.rounds);
+    this.failures.recordFailure(job, m.name, why, this.context.clock.now(), known?.rounds);
     const failures = this.failures.failuresOf(job);
     const { events } = this.context;
     if (events.isActive && failures !== null) events.emit({ kind: 'job_failing', job, failures });
   }
 
-  private pause(job: JobId, machine: MachineName, ms: number): void {
+  private avoidMachine(job: JobId, machine: MachineName, ms: number): void {
     const key = `${job} ${machine}`;
-    this.pauses.delete(key);
-    this.pauses.set(key, (this.context.clock.now() + ms) as MonotonicMs);
-    dropOldest(this.pauses, Math.max(PAUSES_KEPT, 2 * this.context.view.machines.size));
+    this.avoidedUntil.delete(key);
+    this.avoidedUntil.set(key, (this.context.clock.now() + ms) as MonotonicMs);
+    evictOldest(this.avoidedUntil, Math.max(MIN_AVOIDED_KEPT, 2 * this.context.view.machines.size));
   }
 
-  avoids(job: JobId, machine: MachineName): boolean {
-    const until = this.pauses.get(`${job} ${machine}`);
+  avoidsMachine(job: JobId, machine: MachineName): boolean {
+    const until = this.avoidedUntil.get(`${job} ${machine}`);
     return until !== undefined && until > this.context.clock.now();
   }
 
   /** Whether the job fails wherever it runs, as far as this controller or an earlier owner of its team has seen. */
-  fails(job: JobRecord): boolean {
+  isFailingEverywhere(job: JobRecord): boolean {
     return job.failing !== undefined || this.failures.failuresOf(job.spec.id) !== null;
   }
 
   /** Whether it fails everywhere and is not to be tried yet. */
-  backedOff(job: JobRecord): boolean {
+  isBackingOff(job: JobRecord): boolean {
     const { clock } = this.context;
     if ((job.failing?.until ?? 0) > clock.wallClock()) return true;
     return (this.failures.failuresOf(job.spec.id)?.until ?? 0) > clock.now();
   }
 
   /** A machine that fails what it starts, or runs it much slower than others. */
-  sick(m: MachineRecord): boolean {
-    return this.slowness.slow(m.name) || this.failures.isFaulty(m.name);
+  isQuarantined(m: MachineRecord): boolean {
+    return this.slowness.isSlow(m.name) || this.failures.isFaulty(m.name);
   }
 }
--- a/src/controller/jobs.ts
+++ b/src/controller/jobs.ts
@@ -16,18 +16,18 @@
 import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
 import type { Peer } from '../io/peers.js';
 import type { WriteOperation } from '../io/wire.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 import type { ShardController } from './owner/owner.js';
 
 /** What became of a submission. */
-export type Submitted =
+export type SubmissionResult =
   | { readonly kind: 'accepted' | 'known'; readonly state: JobState }
   | { readonly kind: 'impossible'; readonly why: string }
   /** Cannot be decided or committed now. */
   | { readonly kind: 'later' };
 
 /** What became of a request to cancel. */
-export type Cancelled =
+export type CancellationResult =
   | { readonly kind: 'final'; readonly state: JobState }
   | { readonly kind: 'not_found' }
   | { readonly kind: 'later' };
@@ -43,19 +43,19 @@
 const CANCEL_WAIT_MS = 3000;
 
 /** Serves the users: submissions, questions and cancellations. */
-export class Jobs {
-  private readonly waiting = new Map<JobId, Set<() => void>>();
+export class JobService {
+  private readonly finishWaiters = new Map<JobId, Set<() => void>>();
   private readonly submissions: GroupCommit;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly owner: ShardController,
     private readonly peers: ReadonlyMap<string, Peer>,
   ) {
     this.submissions = new GroupCommit(context.state);
     context.listeners.push(({ jobs }) => {
       for (const id of jobs)
-        if (!context.view.jobs.has(id)) for (const go of this.waiting.get(id) ?? []) go();
+        if (!context.view.jobs.has(id)) for (const go of this.finishWaiters.get(id) ?? []) go();
     });
   }
 
@@ -69,7 +69,7 @@
     return { state: f.state, done: f.done, running: 0, ...because };
   }
 
-  async submit(spec: JobSpec): Promise<Submitted> {
+  async submit(spec: JobSpec): Promise<SubmissionResult> {
     const { context } = this;
     const { view } = context;
     if (!context.watcher.isReady || view.types === null || !context.state.isReachable(1500))
@@ -106,7 +106,7 @@
   }
 
   /** Commits an accepted job, in whatever state it is from the first moment. */
-  private async accept(spec: JobSpec, op: WriteOperation, state: JobState): Promise<Submitted> {
+  private async accept(spec: JobSpec, op: WriteOperation, state: JobState): Promise<SubmissionResult> {
     const { context } = this;
     const { id, team, kind, tasks } = spec;
     const since = context.clock.now();
@@ -127,7 +127,7 @@
   }
 
   /** A job that was accepted stays accepted, whatever has changed since: limits, teams, machine types. */
-  private async knownOrImpossible(id: JobId, why: string): Promise<Submitted> {
+  private async knownOrImpossible(id: JobId, why: string): Promise<SubmissionResult> {
     const known = await this.find(id);
     return known === undefined ? { kind: 'impossible', why } : { kind: 'known', state: known.state };
   }
@@ -203,7 +203,7 @@
     return { failing: { rounds, why, machines, nextTryInS } };
   }
 
-  async cancel(id: JobId): Promise<Cancelled> {
+  async cancel(id: JobId): Promise<CancellationResult> {
     const { context } = this;
     const status = await this.find(id);
     if (status === undefined) return { kind: 'not_found' };
@@ -211,9 +211,9 @@
       return { kind: 'final', state: status.state };
     const job = context.view.jobs.get(id);
     if (job === undefined) return { kind: 'later' };
-    if (context.ownsTeam(job.spec.team)) return this.cancelOwn(id);
+    if (context.ownsTeam(job.spec.team)) return this.cancelOwned(id);
     const start = this.context.clock.now();
-    const wait = this.over(id, CANCEL_WAIT_MS);
+    const wait = this.waitUntilFinished(id, CANCEL_WAIT_MS);
     const owner = context.holderOf(context.view.teams.get(job.spec.team)) ?? undefined;
     const peer = owner === undefined ? undefined : this.peers.get(owner);
     const taken = peer === undefined ? null : await peer.cancel(id, 800);
@@ -225,39 +225,39 @@
     }
     await wait;
     context.log.debug({ job: id, ms: this.context.clock.now() - start, taken }, 'cancel forwarded');
-    return this.outcome(id);
+    return this.cancellationResult(id);
   }
 
   /** A peer forwards a cancellation of a job whose team this controller owns. */
-  takeCancel(id: JobId): string {
+  acceptForwardedCancellation(id: JobId): string {
     const job = this.context.view.jobs.get(id);
     if (job === undefined || !this.context.ownsTeam(job.spec.team)) return 'not_mine';
     this.owner.requestCancellation(id);
     return 'taken';
   }
 
-  private async cancelOwn(id: JobId): Promise<Cancelled> {
+  private async cancelOwned(id: JobId): Promise<CancellationResult> {
     this.owner.requestCancellation(id);
-    await this.over(id, CANCEL_WAIT_MS);
-    return this.outcome(id);
+    await this.waitUntilFinished(id, CANCEL_WAIT_MS);
+    return this.cancellationResult(id);
   }
 
-  private async outcome(id: JobId): Promise<Cancelled> {
+  private async cancellationResult(id: JobId): Promise<CancellationResult> {
     if (this.context.view.jobs.has(id)) return { kind: 'later' };
     const final = await this.context.finalStates.read(id, this.context.view.revision);
     return final === undefined ? { kind: 'later' } : { kind: 'final', state: final.state };
   }
 
   /** Resolves when the job has left the view, or after the time. */
-  private over(id: JobId, ms: number): Promise<void> {
+  private waitUntilFinished(id: JobId, ms: number): Promise<void> {
     if (!this.context.view.jobs.has(id)) return Promise.resolve();
     return new Promise((resolve) => {
-      const set = this.waiting.get(id) ?? new Set();
-      this.waiting.set(id, set);
+      const set = this.finishWaiters.get(id) ?? new Set();
+      this.finishWaiters.set(id, set);
       const go = () => {
         stop();
         set.delete(go);
-        if (set.size === 0) this.waiting.delete(id);
+        if (set.size === 0) this.finishWaiters.delete(id);
         resolve();
       };
       const stop = this.context.clock.after(ms, go);
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -5,7 +5,7 @@
 import type { CloudClient } from '../../io/cloud.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { ListedMachine, WriteOperation } from '../../io/wire.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 import type { Membership } from '../membership.js';
 import type { LeaderTransactions } from './leader-transactions.js';
 import { markForReturn, newMachine } from './rentals.js';
@@ -27,7 +27,7 @@
   private readonly listedAt = new Map<MachineName, MonotonicMs>();
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly membership: Membership,
     private readonly cloud: CloudClient,
     private readonly transactions: LeaderTransactions,
--- a/src/controller/leader/fleet-planner.ts
+++ b/src/controller/leader/fleet-planner.ts
@@ -11,7 +11,7 @@
   type MachineType,
   type MonotonicMs,
 } from '../../core/types.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 import type { Rentals } from './rentals.js';
 import type { MisroutedAgents } from './strayed-machines.js';
 
@@ -31,7 +31,7 @@
   private readonly forecast: Forecast;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly strayed: MisroutedAgents,
     private readonly rentals: Rentals,
   ) {
--- a/src/controller/leader/leader-transactions.ts
+++ b/src/controller/leader/leader-transactions.ts
@@ -3,13 +3,13 @@
 import type { RequestPriority } from '../../io/rate-limiter.js';
 import { packTransactions, type ChangeSet } from '../../io/state/transactions.js';
 import type { Guard, WriteOperation } from '../../io/wire.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 import type { Membership } from '../membership.js';
 
 /** Commits changes that are guarded on the leadership. */
 export class LeaderTransactions {
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly membership: Membership,
   ) {}
 
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -16,7 +16,7 @@
 import type { CloudClient } from '../../io/cloud.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { WriteOperation } from '../../io/wire.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 import type { Membership } from '../membership.js';
 import { Notification } from '../notification.js';
 import { CloudInventory } from './cloud-inventory.js';
@@ -48,7 +48,7 @@
   private planMs = 0;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly membership: Membership,
     cloud: CloudClient,
   ) {
@@ -198,5 +198,5 @@
 }
 
 /** The controller that leads now, as the view has it. */
-export const leaderOf = (context: Context): NodeName | null =>
+export const leaderOf = (context: ControllerContext): NodeName | null =>
   context.view.leader === null ? null : nodeName(context.view.leader.node);
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -16,7 +16,7 @@
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
 import type { WriteOperation } from '../../io/wire.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 import type { LeaderTransactions } from './leader-transactions.js';
 import type { UnregisteredMachine } from './unknown-machines.js';
 
@@ -30,7 +30,7 @@
 
 /** The first record of a machine. */
 export const newMachine = (
-  context: Context,
+  context: ControllerContext,
   name: MachineName,
   known: UnregisteredMachine,
   owner: NodeName,
@@ -59,7 +59,7 @@
   private busy = false;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly cloud: CloudClient,
     private readonly transactions: LeaderTransactions,
   ) {}
--- a/src/controller/leader/strayed-machines.ts
+++ b/src/controller/leader/strayed-machines.ts
@@ -4,7 +4,7 @@
  */
 import type { LiveController } from '../../core/slices.js';
 import type { MachineName, MachineRecord, NodeName, MonotonicMs, FencingToken } from '../../core/types.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 
 /** A worker that gets no answer is at the next controller so much later. */
 const HOP_MS = 6000;
@@ -36,7 +36,7 @@
   private readonly misroutedAt = new Map<MachineName, MonotonicMs>();
   private readonly unreachingUntil = new Map<string, MonotonicMs>();
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /** Whether the controller reaches its workers, as far as is known. */
   canReachAgents(node: string): boolean {
--- a/src/controller/leader/unknown-machines.ts
+++ b/src/controller/leader/unknown-machines.ts
@@ -6,7 +6,7 @@
 import { isNewer } from '../../core/worker-reports.js';
 import type { MachineName, Heartbeat, HeartbeatId, MonotonicMs, TypeName, Zone } from '../../core/types.js';
 import type { ListedMachine } from '../../io/wire.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 
 /** What is known of a machine without a record. */
 export interface UnregisteredMachine {
@@ -42,7 +42,7 @@
   private readonly listedSince = new Map<MachineName, MonotonicMs>();
   private readonly released = new Map<MachineName, MonotonicMs>();
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   get size(): number {
     return this.confirmed.size;
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -4,7 +4,7 @@
 import type { WriteOperation } from '../io/wire.js';
 import { Unavailable } from '../io/state/client.js';
 import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 import { Notification } from './notification.js';
 
 /** The steady clocks drift apart by at most 0.05%; twice that is allowed for. */
@@ -19,7 +19,7 @@
   /** Until then this process takes on nothing: it has handed over what it held. */
   private drainingUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly context: Context) {
+  constructor(private readonly context: ControllerContext) {
     this.notification = new Notification(context.clock);
     context.listeners.push(({ leader, sessions }) => {
       if (leader || sessions.has(context.settings.node)) this.notification.notify();
@@ -30,18 +30,18 @@
     });
   }
 
-  get valid(): boolean {
+  get hasValidLease(): boolean {
     return this.lease !== null && this.context.clock.now() < this.validUntil;
   }
 
   /** What this process's own records may hang on, or null. */
   get currentLease(): number | null {
-    return this.valid ? this.lease : null;
+    return this.hasValidLease ? this.lease : null;
   }
 
   get isLeader(): boolean {
     const l = this.context.view.leader;
-    return this.valid && l?.incarnation === this.context.incarnation && l.lease === this.lease;
+    return this.hasValidLease && l?.incarnation === this.context.incarnation && l.lease === this.lease;
   }
 
   /** This process takes on neither slices nor the leadership for so long; 0 ends that. */
@@ -61,7 +61,7 @@
     return !this.isDraining || !others.some((s) => s.draining !== true);
   }
 
-  private get mine(): SessionRecord | undefined {
+  private get ownSession(): SessionRecord | undefined {
     return this.context.view.sessions.get(this.context.settings.node);
   }
 
@@ -96,20 +96,20 @@
       this.validUntil = sent + ttl * DRIFT;
     }
     await this.writeSession(this.lease);
-    await this.takeOwnSlice();
+    await this.acquireOwnShard();
     if (context.view.leader === null && this.mayLead) {
       const value: LeaderRecord = {
         node: context.settings.node,
         incarnation: context.incarnation,
         lease: this.lease,
       };
-      if (await this.put(key.leader, value)) context.log.info({ lease: this.lease }, 'leads');
+      if (await this.putWithLease(key.leader, value)) context.log.info({ lease: this.lease }, 'leads');
     }
   }
 
   private async writeSession(lease: number): Promise<void> {
     const { context } = this;
-    const mine = this.mine;
+    const mine = this.ownSession;
     const isOwn = mine?.lease === lease && mine.incarnation === context.incarnation;
     if (isOwn && (mine.draining === true) === this.isDraining) return;
     await context.watcher.waitUntilFresh();
@@ -120,7 +120,7 @@
       zone: context.settings.zone,
       ...(this.isDraining ? { draining: true } : {}),
     };
-    const isWritten = await this.put(key.session(context.settings.node), value);
+    const isWritten = await this.putWithLease(key.session(context.settings.node), value);
     // A session under this node's name that is not this process's is its predecessor's: the platform runs one process per
     // node, so it can be ended without waiting for its lease. Only once it is replaced: were there no session for a
     // moment, the leader would give the slice away, and a plain restart would cost two changes of holder.
@@ -128,7 +128,7 @@
   }
 
   /** The slice of this node, where nobody holds it or its predecessor did, is taken at once. */
-  private async takeOwnSlice(): Promise<void> {
+  private async acquireOwnShard(): Promise<void> {
     const { context } = this;
     const held = context.view.shards.get(context.settings.node);
     if (
@@ -146,7 +146,7 @@
     } else if (r.kind === 'conflict') await context.watcher.waitForRevision(r.revision, 1000);
   }
 
-  private async put(k: string, value: { lease: number }): Promise<boolean> {
+  private async putWithLease(k: string, value: { lease: number }): Promise<boolean> {
     const { context } = this;
     const op: WriteOperation = { key: k, value, lease: value.lease, reason: 'membership' };
     const r = await context.state.transact([context.guard(k)], [op], REQUEST_PRIORITY.session);
--- a/src/controller/owner/job-reconciler.ts
+++ b/src/controller/owner/job-reconciler.ts
@@ -11,17 +11,17 @@
 } from '../../core/types.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
 import type { Guard, WriteOperation } from '../../io/wire.js';
-import type { Context } from '../context.js';
-import type { Health } from '../health.js';
-import type { SettledResults } from './results.js';
+import type { ControllerContext } from '../context.js';
+import type { HealthTracker } from '../health.js';
+import type { PreparedResults } from './results.js';
 
 type ResultsByJob = ReadonlyMap<JobId, DoneSet>;
 
 /** So many jobs are withdrawn in one pass after one that they need: the rest of the work must not wait for hundreds. */
-const MOST_WITHDRAWN = 16;
+const MAX_DEPENDENTS_PER_PASS = 16;
 
 /** A record names so many of the machines on which its job failed, the latest. */
-const MOST_MACHINES_NAMED = 3;
+const MAX_FAILED_MACHINES_RECORDED = 3;
 
 /** Makes the changes that records of jobs need. */
 export class JobReconciler {
@@ -29,8 +29,8 @@
   private readonly requested = new Set<JobId>();
 
   constructor(
-    private readonly context: Context,
-    private readonly health: Health,
+    private readonly context: ControllerContext,
+    private readonly health: HealthTracker,
   ) {}
 
   requestCancellation(id: JobId): void {
@@ -38,18 +38,21 @@
   }
 
   /** Results go before a cancellation, or with it: what is done stays done. */
-  reconcile({ ended, open }: SettledResults): { ends: ChangeSet[]; cancellations: ChangeSet[] } {
+  reconcile({ finishedJobs, unfinishedJobs }: PreparedResults): {
+    ends: ChangeSet[];
+    cancellations: ChangeSet[];
+  } {
     const { jobs } = this.context.view;
-    const ends = [...ended].map(([id, done]) =>
+    const ends = [...finishedJobs].map(([id, done]) =>
       this.finish(jobs.get(id)!, { state: 'done', done: done.count }),
     );
     return {
       ends,
       cancellations: [
-        ...this.takeRequestsLeft(ended, open),
-        ...this.takeRequests(ended, open),
-        ...this.withdrawDependents(),
-        ...this.endCancelled(ended, open),
+        ...this.takeStoredCancellations(finishedJobs, unfinishedJobs),
+        ...this.takeCancellationRequests(finishedJobs, unfinishedJobs),
+        ...this.cancelDependents(),
+        ...this.finishCancelled(finishedJobs, unfinishedJobs),
       ],
     };
   }
@@ -58,17 +61,17 @@
    * Notes in their records which jobs fail wherever they run: another owner goes on with their waits, the leader rents
    * nothing for them, and users see it. One change for each try that failed, and those grow rare.
    */
-  noteFailing(open: ResultsByJob): ChangeSet[] {
+  recordFailingJobs(open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const { clock, view } = context;
     const groups: ChangeSet[] = [];
-    for (const [id, failures] of this.health.failures.blamed()) {
+    for (const [id, failures] of this.health.failures.failingJobs()) {
       const job = view.jobs.get(id);
       if (job?.phase !== 'active' || open.has(id) || failures.rounds <= (job.failing?.rounds ?? 0)) continue;
       const failing: JobFailureRecord = {
         rounds: failures.rounds,
         why: failures.why,
-        machines: [...failures.machines].slice(-MOST_MACHINES_NAMED),
+        machines: [...failures.machines].slice(-MAX_FAILED_MACHINES_RECORDED),
         until: (clock.wallClock() + Math.max(0, failures.until - clock.now())) as WallClockMs,
       };
       context.log.info({ job: id, ...failing }, 'job fails wherever it runs');
@@ -82,7 +85,7 @@
   }
 
   /** Requests that other controllers have left in the state service. */
-  private takeRequestsLeft(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
+  private takeStoredCancellations(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const { view } = context;
     const groups: ChangeSet[] = [];
@@ -102,7 +105,7 @@
     return groups;
   }
 
-  private takeRequests(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
+  private takeCancellationRequests(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const groups: ChangeSet[] = [];
     for (const id of this.requested) {
@@ -115,12 +118,12 @@
     return groups;
   }
 
-  private withdrawDependents(): ChangeSet[] {
+  private cancelDependents(): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations();
     const groups: ChangeSet[] = [];
     for (const [id, dependency] of context.dependencies.all().of) {
-      if (groups.length >= MOST_WITHDRAWN) break;
+      if (groups.length >= MAX_DEPENDENTS_PER_PASS) break;
       if (dependency.kind !== 'withdrawn') continue;
       const job = context.view.jobs.get(id);
       // It never started, so that there is nothing but its record. Its users are told already (`Jobs.find`).
@@ -130,7 +133,7 @@
     return groups;
   }
 
-  private endCancelled(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
+  private finishCancelled(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations();
     const dependencies = context.dependencies.all().of;
--- a/src/controller/owner/machine-reconciler.ts
+++ b/src/controller/owner/machine-reconciler.ts
@@ -13,44 +13,49 @@
 } from '../../core/worker-reports.js';
 import type { MachineName, MachineRecord, Allocation, Zone } from '../../core/types.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { Context } from '../context.js';
-import type { Health } from '../health.js';
+import type { ControllerContext } from '../context.js';
+import type { HealthTracker } from '../health.js';
 import type { AgentSessions } from './machine-sessions.js';
-import type { FoundResults, Results } from './results.js';
-import { EMPTY_STAY_MS, MOST_STAY_MS, SPARE_STAY_MS, SWEEP_MS } from './timing.js';
-import { isUnreachable, presenceByZone, type ZonePresence } from './unreachable.js';
+import type { UncommittedResults, TaskExits } from './results.js';
+import {
+  CLEANUP_DELAY_EMPTY_MS,
+  MAX_CLEANUP_DELAY_MS,
+  CLEANUP_DELAY_SPARE_MS,
+  FULL_RECONCILE_INTERVAL_MS,
+} from './timing.js';
+import { isUnreachable, zoneReachability, type ZoneReachability } from './unreachable.js';
 
 /** A change to a machine's record; what only tidies up can wait for starts. */
 export interface MachineChange {
-  readonly group: ChangeSet;
-  readonly urgent: boolean;
+  readonly changeSet: ChangeSet;
+  readonly isUrgent: boolean;
 }
 
 /** Makes the changes that records of machines need. */
 export class MachineReconciler {
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly sessions: AgentSessions,
-    private readonly health: Health,
-    private readonly results: Results,
+    private readonly health: HealthTracker,
+    private readonly results: TaskExits,
     /** Told when a task has left its machine, so that its room is used again. */
-    private readonly taskLeft: () => void,
+    private readonly onTaskExit: () => void,
   ) {}
 
   /** What is heard of each zone, worked out when it is first asked for in a pass. */
-  private zones: ReadonlyMap<Zone, ZonePresence> | null = null;
+  private zones: ReadonlyMap<Zone, ZoneReachability> | null = null;
 
   /** Another pass begins: what was heard may have changed. */
   beginPass(): void {
     this.zones = null;
   }
 
-  private presence(): ReadonlyMap<Zone, ZonePresence> {
-    return (this.zones ??= presenceByZone(this.context, this.sessions));
+  private presence(): ReadonlyMap<Zone, ZoneReachability> {
+    return (this.zones ??= zoneReachability(this.context, this.sessions));
   }
 
   /** The change that the machine's record needs now, if any; results of its tasks are added to `found`. */
-  reconcile(name: MachineName, wanted: DesiredState, found: FoundResults): MachineChange | null {
+  reconcile(name: MachineName, wanted: DesiredState, found: UncommittedResults): MachineChange | null {
     const { context } = this;
     const machine = context.view.machines.get(name);
     if (machine === undefined || !context.isOwned(machine)) {
@@ -60,12 +65,12 @@
     }
     const memory = this.sessions.of(machine);
     const left = confirmedExits(machine, memory, wanted);
-    this.results.remember(machine, memory.token, left);
+    this.results.recordExits(machine, memory.token, left);
     for (const exit of left) {
-      this.results.collect(exit, found);
+      this.results.collectResult(exit, found);
       this.noteExit(machine, memory, exit);
     }
-    return this.change(machine, memory, left);
+    return this.changeFor(machine, memory, left);
   }
 
   private noteExit(machine: MachineRecord, memory: AgentSession, { placed, index, reason }: TaskExit): void {
@@ -73,8 +78,8 @@
     const k = taskKey(placed.job, index, placed.attempt);
     if (memory.exitedTasks.has(k)) return;
     memory.exitedTasks.set(k, { exitedAt: context.clock.now(), why: reason });
-    this.taskLeft();
-    this.health.exit(machine, placed, reason);
+    this.onTaskExit();
+    this.health.recordExit(machine, placed, reason);
     const { job, attempt } = placed;
     if (context.events.isActive)
       context.events.emit({
@@ -94,43 +99,43 @@
     );
   }
 
-  private change(
+  private changeFor(
     machine: MachineRecord,
     memory: AgentSession,
     left: readonly TaskExit[],
   ): MachineChange | null {
     const { context } = this;
     const noticed = memory.heartbeat?.preemptionNoticeS != null;
-    const drain = machine.drain === true || noticed || this.health.sick(machine);
+    const drain = machine.drain === true || noticed || this.health.isQuarantined(machine);
     const unreachable = isUnreachable(context, machine, memory, () => this.presence());
     const cameUp = machine.phase === 'booting' && memory.heartbeat !== null;
-    const gone = left.filter((e) => !this.results.mayStay(e) || this.results.isDurable(e));
+    const gone = left.filter((e) => !this.results.mayKeepAllocation(e) || this.results.isDurable(e));
     const kept = removeExits(machine.placed, gone);
     const placed = noticed ? this.stopOnNotice(kept) : kept;
-    const urgent =
+    const isUrgent =
       unreachable ||
-      gone.some((e) => !this.results.mayStay(e) || drain) ||
+      gone.some((e) => !this.results.mayKeepAllocation(e) || drain) ||
       placed.some((p, i) => p !== kept[i]) ||
       drain !== (machine.drain === true);
-    if (!urgent && !this.isTidyingDue(machine, memory, gone, kept, cameUp)) return null;
+    if (!isUrgent && !this.isCleanupDue(machine, memory, gone, kept, cameUp)) return null;
     if (unreachable) this.logUnreachable(machine, memory);
     const value: MachineRecord = {
       ...machine,
       phase: unreachable ? 'releasing' : cameUp ? 'up' : machine.phase,
       placed,
-      ...this.learned(machine, memory),
+      ...this.observedFields(machine, memory),
       ...(drain ? { drain } : {}),
     };
-    const group: ChangeSet = {
-      operations: [{ key: key.machine(machine.name), value, reason: urgent ? 'machine_state' : 'tidying' }],
+    const changeSet: ChangeSet = {
+      operations: [{ key: key.machine(machine.name), value, reason: isUrgent ? 'machine_state' : 'tidying' }],
       // The slice is guarded too: whoever has lost it must not write its machines any more.
       guards: [context.guard(key.machine(machine.name)), context.guard(key.shard(machine.owner))],
     };
-    return { group, urgent };
+    return { changeSet, isUrgent };
   }
 
   /** What need not be written by itself goes along with the machine's next start, or is written a little later. */
-  private isTidyingDue(
+  private isCleanupDue(
     machine: MachineRecord,
     memory: AgentSession,
     gone: readonly TaskExit[],
@@ -140,14 +145,19 @@
     const { clock, state } = this.context;
     const now = clock.now();
     const { hasSpareBudget } = state;
-    const stayMs = hasSpareBudget ? SPARE_STAY_MS : kept.length === 0 ? EMPTY_STAY_MS : MOST_STAY_MS;
+    const stayMs = hasSpareBudget
+      ? CLEANUP_DELAY_SPARE_MS
+      : kept.length === 0
+        ? CLEANUP_DELAY_EMPTY_MS
+        : MAX_CLEANUP_DELAY_MS;
     const leftAt = (e: TaskExit) =>
       memory.exitedTasks.get(taskKey(e.placed.job, e.index, e.placed.attempt))!.exitedAt;
     if (gone.some((e) => now - leftAt(e) > stayMs)) return true;
     const hears = memory.heartbeat?.token === memory.token;
     const showsToken = hears && machine.placed.length === 0 && (machine.heard ?? 0) < memory.token;
     return (
-      (showsToken || cameUp) && now - memory.firstHeartbeatAt! > (hasSpareBudget ? SWEEP_MS : EMPTY_STAY_MS)
+      (showsToken || cameUp) &&
+      now - memory.firstHeartbeatAt! > (hasSpareBudget ? FULL_RECONCILE_INTERVAL_MS : CLEANUP_DELAY_EMPTY_MS)
     );
   }
 
@@ -162,9 +172,9 @@
   }
 
   /** What its reports taught of the machine; written along with whatever is written of it. */
-  learned(machine: MachineRecord, memory: AgentSession): Partial<MachineRecord> {
+  observedFields(machine: MachineRecord, memory: AgentSession): Partial<MachineRecord> {
     const address = memory.heartbeat?.address ?? machine.address;
-    const images = this.health.imagesOf(machine);
+    const images = this.health.cachedImages(machine);
     return {
       ...(address === undefined ? {} : { address }),
       ...(images.length === 0 ? {} : { images }),
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/owner/machine-sessions.ts
@@ -21,8 +21,8 @@
   FencingToken,
 } from '../../core/types.js';
 import type { AgentGateway } from '../../io/workers.js';
-import type { Context } from '../context.js';
-import type { Health } from '../health.js';
+import type { ControllerContext } from '../context.js';
+import type { HealthTracker } from '../health.js';
 
 /** What a worker that has reported is answered. */
 export type HeartbeatReply =
@@ -51,9 +51,9 @@
   private readonly heartbeatIntervalMs: number;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly agents: AgentGateway,
-    private readonly health: Health,
+    private readonly health: HealthTracker,
     private readonly learned: MachineListener,
   ) {
     this.heartbeatIntervalMs = context.settings.workers.report_s * 1000;
--- a/src/controller/owner/owner.ts
+++ b/src/controller/owner/owner.ts
@@ -8,15 +8,15 @@
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import { commitChangeSets, type ChangeSet } from '../../io/state/transactions.js';
 import type { AgentGateway } from '../../io/workers.js';
-import type { Context } from '../context.js';
-import type { Health } from '../health.js';
+import type { ControllerContext } from '../context.js';
+import type { HealthTracker } from '../health.js';
 import { Notification } from '../notification.js';
 import { JobReconciler } from './job-reconciler.js';
 import { MachineReconciler } from './machine-reconciler.js';
 import { AgentSessions, type HeartbeatReply } from './machine-sessions.js';
-import { Results, type FoundResults } from './results.js';
-import { Starts } from './starts.js';
-import { SWEEP_MS } from './timing.js';
+import { TaskExits, type UncommittedResults } from './results.js';
+import { PlacementPass } from './starts.js';
+import { FULL_RECONCILE_INTERVAL_MS } from './timing.js';
 
 export type { HeartbeatReply as ReportAnswer } from './machine-sessions.js';
 
@@ -35,41 +35,41 @@
 export class ShardController {
   private readonly notification: Notification;
   private readonly sessions: AgentSessions;
-  private readonly results: Results;
+  private readonly taskExits: TaskExits;
   private readonly machines: MachineReconciler;
   private readonly jobs: JobReconciler;
-  private readonly starts: Starts;
+  private readonly placementPass: PlacementPass;
   /** Machines of which something was heard or written since they were last looked at. */
   private readonly dirty = new Set<MachineName>();
   /** When all machines are looked at again. */
-  private sweepAt = Number.NEGATIVE_INFINITY;
+  private nextFullReconcileAt = Number.NEGATIVE_INFINITY;
   /** Something that placing depends on has changed. */
-  private placeDue = true;
-  private placeNotBefore = Number.NEGATIVE_INFINITY;
+  private isPlacementDue = true;
+  private placementNotBefore = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     agents: AgentGateway,
-    health: Health,
+    health: HealthTracker,
   ) {
     this.notification = new Notification(context.clock);
     this.sessions = new AgentSessions(context, agents, health, (name, mayPlace) => {
-      this.noteLearned(name, mayPlace);
+      this.onMachineObserved(name, mayPlace);
     });
-    this.results = new Results(context);
-    this.machines = new MachineReconciler(context, this.sessions, health, this.results, () => {
-      this.placeDue = true;
+    this.taskExits = new TaskExits(context);
+    this.machines = new MachineReconciler(context, this.sessions, health, this.taskExits, () => {
+      this.isPlacementDue = true;
     });
     this.jobs = new JobReconciler(context, health);
-    this.starts = new Starts(context, this.sessions, health, this.results, this.machines);
+    this.placementPass = new PlacementPass(context, this.sessions, health, this.taskExits, this.machines);
     context.listeners.push((changes) => {
-      this.noteChanges(changes);
+      this.onViewChanges(changes);
     });
   }
 
   /** Why waiting jobs of this controller's teams were passed over last time. */
   get waitReasons(): ReadonlyMap<JobId, WaitReason> {
-    return this.starts.waitReasons;
+    return this.placementPass.waitReasons;
   }
 
   /** Takes in a report of one of this controller's machines and says what the worker is to do. */
@@ -88,9 +88,9 @@
     for (;;) {
       await this.notification.wait(IDLE_MS);
       if (!context.watcher.isReady || context.view.types === null) continue;
-      const work = this.takeWork();
+      const work = this.takeDirtyMachines();
       try {
-        const ok = await this.pass(work);
+        const ok = await this.runPass(work);
         if (!ok) for (const name of work) this.dirty.add(name);
         await context.clock.sleep(ok ? PAUSE_MS : RETRY_MS);
       } catch (e) {
@@ -101,7 +101,7 @@
   }
 
   /** False: not all was committed, and what is left has to be worked out anew. */
-  private async pass(work: readonly MachineName[]): Promise<boolean> {
+  private async runPass(work: readonly MachineName[]): Promise<boolean> {
     const { state, watcher } = this.context;
     this.sessions.sendDirectCommands(work);
     const { now, later } = this.reconcile(work);
@@ -115,41 +115,44 @@
   private reconcile(work: readonly MachineName[]): { now: ChangeSet[]; later: ChangeSet[] } {
     const { context } = this;
     const wanted = { jobs: context.view.jobs, ledger: context.allocations() };
-    const found: FoundResults = new Map();
+    const found: UncommittedResults = new Map();
     this.machines.beginPass();
     const urgent: ChangeSet[] = [];
     const later: ChangeSet[] = [];
     for (const name of work) {
       const change = this.machines.reconcile(name, wanted, found);
-      if (change !== null) (change.urgent ? urgent : later).push(change.group);
+      if (change !== null) (change.isUrgent ? urgent : later).push(change.changeSet);
     }
-    const settled = this.results.settle(found);
+    const settled = this.taskExits.prepareCommits(found);
     // Ends of jobs first of all: other jobs may wait for them.
     const { ends, cancellations } = this.jobs.reconcile(settled);
-    const failing = this.jobs.noteFailing(settled.open);
-    return { now: [...ends, ...urgent, ...cancellations], later: [...failing, ...later, ...settled.due] };
+    const failing = this.jobs.recordFailingJobs(settled.unfinishedJobs);
+    return {
+      now: [...ends, ...urgent, ...cancellations],
+      later: [...failing, ...later, ...settled.dueCommits],
+    };
   }
 
   private async placeIfDue(): Promise<boolean> {
     const { clock } = this.context;
     const start = clock.now();
-    if (!this.placeDue || start < this.placeNotBefore) return true;
-    this.placeDue = false;
-    const plan = this.starts.plan();
+    if (!this.isPlacementDue || start < this.placementNotBefore) return true;
+    this.isPlacementDue = false;
+    const plan = this.placementPass.plan();
     const end = clock.now();
-    this.placeNotBefore = end + (end - start) * PLAN_PART;
-    const ok = await this.starts.commit(plan);
-    if (!ok) this.placeDue = true;
+    this.placementNotBefore = end + (end - start) * PLAN_PART;
+    const ok = await this.placementPass.commit(plan);
+    if (!ok) this.isPlacementDue = true;
     return ok;
   }
 
   /** The machines to look at now. */
-  private takeWork(): MachineName[] {
+  private takeDirtyMachines(): MachineName[] {
     const { context } = this;
     const now = context.clock.now();
-    if (now >= this.sweepAt) {
-      this.sweepAt = now + SWEEP_MS;
-      this.placeDue = true;
+    if (now >= this.nextFullReconcileAt) {
+      this.nextFullReconcileAt = now + FULL_RECONCILE_INTERVAL_MS;
+      this.isPlacementDue = true;
       for (const m of context.ownedMachines()) this.dirty.add(m.name);
       for (const name of this.sessions.names()) this.dirty.add(name);
     }
@@ -158,39 +161,39 @@
     return work;
   }
 
-  private noteLearned(name: MachineName, mayPlace: boolean): void {
+  private onMachineObserved(name: MachineName, mayPlace: boolean): void {
     this.dirty.add(name);
-    this.placeDue ||= mayPlace;
+    this.isPlacementDue ||= mayPlace;
     this.notification.notify();
   }
 
-  private noteChanges({ machines, jobs, shards, teams, types, cancellations }: ViewChanges): void {
+  private onViewChanges({ machines, jobs, shards, teams, types, cancellations }: ViewChanges): void {
     let concerned = cancellations.size > 0;
-    for (const name of machines) concerned = this.noteMachine(name) || concerned;
-    for (const id of jobs) concerned = this.noteJob(id) || concerned;
+    for (const name of machines) concerned = this.markMachineDirty(name) || concerned;
+    for (const id of jobs) concerned = this.markJobDirty(id) || concerned;
     if (shards.size > 0 || teams.size > 0 || types) {
-      this.sweepAt = Number.NEGATIVE_INFINITY;
-      this.placeDue = true;
+      this.nextFullReconcileAt = Number.NEGATIVE_INFINITY;
+      this.isPlacementDue = true;
       concerned = true;
     }
     if (concerned) this.notification.notify();
   }
 
   /** Whether the change concerns this controller. */
-  private noteMachine(name: MachineName): boolean {
+  private markMachineDirty(name: MachineName): boolean {
     const machine = this.context.view.machines.get(name);
     if (machine !== undefined && !this.context.isOwned(machine)) return false;
     this.dirty.add(name);
-    this.placeDue = true;
+    this.isPlacementDue = true;
     return true;
   }
 
-  private noteJob(id: JobId): boolean {
+  private markJobDirty(id: JobId): boolean {
     const { context } = this;
     const job = context.view.jobs.get(id);
     if (job?.phase === 'active') {
       if (!context.ownsTeam(job.spec.team)) return false;
-      this.placeDue = true;
+      this.isPlacementDue = true;
       return true;
     }
     for (const at of context.allocations().jobs.get(id)?.tasks.values() ?? []) this.dirty.add(at.machine);
--- a/src/controller/owner/preemptor.ts
+++ b/src/controller/owner/preemptor.ts
@@ -20,7 +20,7 @@
   MonotonicMs,
 } from '../../core/types.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 
 /** Room that was made by stopping something, kept for the job that it was made for. */
 interface Claim {
@@ -36,7 +36,7 @@
   private readonly claims = new Map<MachineName, Claim>();
   private readonly waitingSince = new Map<JobId, MonotonicMs>();
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   isClaimedByOther(job: JobId, machine: MachineName): boolean {
     const claim = this.claims.get(machine);
--- a/src/controller/owner/results.ts
+++ b/src/controller/owner/results.ts
@@ -16,63 +16,63 @@
   FencingToken,
 } from '../../core/types.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { Context } from '../context.js';
-import { MOST_STAY_MS, SWEEP_MS } from './timing.js';
+import type { ControllerContext } from '../context.js';
+import { MAX_CLEANUP_DELAY_MS, FULL_RECONCILE_INTERVAL_MS } from './timing.js';
 
 /** Results of one job are gathered for so long at least where the budget is short. */
-const GATHER_MS = 2500;
+const MIN_BATCH_MS = 2500;
 /**
  * And for about as long as a task runs, but no longer than this: the tasks of most arrays run beside one another, so that
  * the job ends before its results need a change of their own. A result that is not written is lost with its machine.
  */
-const MOST_GATHER_MS = 20_000;
+const MAX_BATCH_MS = 20_000;
 /** The part of this process's write budget that results of unfinished jobs may take; twice that where it is idle. */
-const BUDGET_PART = 0.15;
+const WRITE_BUDGET_FRACTION = 0.15;
 
 /** The results that one pass has found and that are not in the state service yet, by job. */
-export type FoundResults = Map<JobId, Set<TaskIndex>>;
+export type UncommittedResults = Map<JobId, Set<TaskIndex>>;
 
 /** What follows from them. */
-export interface SettledResults {
+export interface PreparedResults {
   /** Jobs all of whose tasks are done. */
-  readonly ended: ReadonlyMap<JobId, DoneSet>;
+  readonly finishedJobs: ReadonlyMap<JobId, DoneSet>;
   /** Results of other jobs, with those that are in their records. */
-  readonly open: ReadonlyMap<JobId, DoneSet>;
+  readonly unfinishedJobs: ReadonlyMap<JobId, DoneSet>;
   /** Changes that write those of them that are due. */
-  readonly due: readonly ChangeSet[];
+  readonly dueCommits: readonly ChangeSet[];
 }
 
 /** Keeps track of ended tasks and of results that are not written yet. */
-export class Results {
+export class TaskExits {
   /**
    * Tasks that are done and whose entries are still in their machine's record. Their room can be used again at
    * once: the record only says too much. After a crash the next owner sees them exited in the next report.
    */
-  private readonly proven = new Map<MachineName, { token: FencingToken; exits: readonly TaskExit[] }>();
+  private readonly confirmed = new Map<MachineName, { token: FencingToken; exits: readonly TaskExit[] }>();
   /** Since when results of unfinished jobs have been gathered. */
-  private readonly gatheredSince = new Map<JobId, MonotonicMs>();
+  private readonly pendingSince = new Map<JobId, MonotonicMs>();
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /** Remembers which ended tasks of a machine may keep their entries for now. */
-  remember(machine: MachineRecord, token: FencingToken, exits: readonly TaskExit[]): void {
-    const kept = exits.filter((e) => this.mayStay(e));
-    if (kept.length > 0) this.proven.set(machine.name, { token, exits: kept });
-    else this.proven.delete(machine.name);
+  recordExits(machine: MachineRecord, token: FencingToken, exits: readonly TaskExit[]): void {
+    const kept = exits.filter((e) => this.mayKeepAllocation(e));
+    if (kept.length > 0) this.confirmed.set(machine.name, { token, exits: kept });
+    else this.confirmed.delete(machine.name);
   }
 
   forget(name: MachineName): void {
-    this.proven.delete(name);
+    this.confirmed.delete(name);
   }
 
   /** Machines with entries of ended tasks. */
   machines(): Iterable<MachineName> {
-    return this.proven.keys();
+    return this.confirmed.keys();
   }
 
   /** Tasks known to have ended whose entries are still in the record. */
-  provenOn(machine: MachineRecord): TaskExit[] {
-    const known = this.proven.get(machine.name);
+  confirmedExitsOn(machine: MachineRecord): TaskExit[] {
+    const known = this.confirmed.get(machine.name);
     if (known?.token !== this.context.view.fencingTokenOf(machine)) return [];
     return known.exits.filter((e) =>
       machine.placed.some(
@@ -82,7 +82,7 @@
   }
 
   /** The entry of a task that is done harms nobody, except where its job's cancellation waits for it. */
-  mayStay(exit: TaskExit): boolean {
+  mayKeepAllocation(exit: TaskExit): boolean {
     return exit.reason === 'done' && this.context.view.jobs.get(exit.placed.job)?.phase !== 'cancelling';
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** Adds what an exit says of its job's results. */
-  collect(exit: TaskExit, found: FoundResults): void {
+  collectResult(exit: TaskExit, found: UncommittedResults): void {
     if (exit.reason !== 'done' || this.isDurable(exit)) return;
     const { job, kind } = exit.placed;
     const indexes = found.get(job) ?? new Set<TaskIndex>();
@@ -107,41 +107,41 @@
     for (let i = 0; i < tasks; i++) indexes.add(i);
   }
 
-  private gatheringSince(id: JobId): MonotonicMs {
-    const since = this.gatheredSince.get(id) ?? this.context.clock.now();
-    this.gatheredSince.set(id, since);
+  private startPending(id: JobId): MonotonicMs {
+    const since = this.pendingSince.get(id) ?? this.context.clock.now();
+    this.pendingSince.set(id, since);
     return since;
   }
 
   /** Which jobs have ended, and which results are to be written now. */
-  settle(found: FoundResults): SettledResults {
+  prepareCommits(found: UncommittedResults): PreparedResults {
     const { context } = this;
     const now = context.clock.now();
-    const budgetMs = this.writeEveryMs(found.size);
-    const ended = new Map<JobId, DoneSet>();
-    const open = new Map<JobId, DoneSet>();
-    const due: ChangeSet[] = [];
+    const budgetMs = this.commitIntervalMs(found.size);
+    const finishedJobs = new Map<JobId, DoneSet>();
+    const unfinishedJobs = new Map<JobId, DoneSet>();
+    const dueCommits: ChangeSet[] = [];
     for (const [id, indexes] of found) {
       const job = context.view.jobs.get(id);
       if (job === undefined) continue;
       const done = markDone(job.done, indexes);
       if (done.count >= job.spec.tasks) {
-        ended.set(id, done);
+        finishedJobs.set(id, done);
         continue;
       }
-      open.set(id, done);
+      unfinishedJobs.set(id, done);
       // One that was taken to fail everywhere is sound after all: that is written at once, with the result that shows it.
       const { failing, ...sound } = job;
-      const waitMs = failing === undefined ? Math.max(budgetMs, this.gatherMs(job, done)) : 0;
-      if (now - this.gatheringSince(id) < waitMs) continue;
-      this.gatheredSince.set(id, now);
-      due.push({
+      const waitMs = failing === undefined ? Math.max(budgetMs, this.maxDelayMs(job, done)) : 0;
+      if (now - this.startPending(id) < waitMs) continue;
+      this.pendingSince.set(id, now);
+      dueCommits.push({
         operations: [{ key: key.job(id), value: context.storedJob({ ...sound, done }), reason: 'results' }],
         guards: [context.guard(key.job(id))],
       });
     }
-    for (const id of this.gatheredSince.keys()) if (!context.view.jobs.has(id)) this.gatheredSince.delete(id);
-    return { ended, open, due };
+    for (const id of this.pendingSince.keys()) if (!context.view.jobs.has(id)) this.pendingSince.delete(id);
+    return { finishedJobs, unfinishedJobs, dueCommits };
   }
 
   /**
@@ -149,7 +149,7 @@
    * wait for them: the job's other tasks are on machines of several owners, and each sees its own machines' only, or the
    * team belongs to another controller, which counts its tasks against the limit until their results are written.
    */
-  private gatherMs(job: JobRecord, done: DoneSet): number {
+  private maxDelayMs(job: JobRecord, done: DoneSet): number {
     const { context } = this;
     if (!context.ownsTeam(job.spec.team)) return 0;
     // The team waits for its limit: a task counts against it until its result is written.
@@ -159,16 +159,20 @@
       return machine !== undefined && context.isOwned(machine) && !isDone(done, index);
     };
     const tasks = context.allocations().jobs.get(job.spec.id)?.tasks ?? [];
-    return [...tasks].some(runsHere) ? Math.min(job.spec.estimateS * 1000, MOST_GATHER_MS) : 0;
+    return [...tasks].some(runsHere) ? Math.min(job.spec.estimateS * 1000, MAX_BATCH_MS) : 0;
   }
 
   /**
    * How often a job's results are written: all jobs' together may take a part of what this process may write. Nothing is
    * lost with them but time: a task whose result is not written is still on its machine's record and in its reports.
    */
-  private writeEveryMs(jobs: number): number {
+  private commitIntervalMs(jobs: number): number {
     const { limits, hasSpareBudget } = this.context.state;
-    const rate = (limits.writeRps / limits.nodes) * (hasSpareBudget ? 2 * BUDGET_PART : BUDGET_PART);
-    return Math.min(MOST_STAY_MS, Math.max(hasSpareBudget ? SWEEP_MS : GATHER_MS, (jobs * 1000) / rate));
+    const rate =
+      (limits.writeRps / limits.nodes) * (hasSpareBudget ? 2 * WRITE_BUDGET_FRACTION : WRITE_BUDGET_FRACTION);
+    return Math.min(
+      MAX_CLEANUP_DELAY_MS,
+      Math.max(hasSpareBudget ? FULL_RECONCILE_INTERVAL_MS : MIN_BATCH_MS, (jobs * 1000) / rate),
+    );
   }
 }
--- a/src/controller/owner/starts.ts
+++ b/src/controller/owner/starts.ts
@@ -20,13 +20,13 @@
   commitChangeSets,
   type ChangeSet,
 } from '../../io/state/transactions.js';
-import type { Context } from '../context.js';
-import type { Health } from '../health.js';
+import type { ControllerContext } from '../context.js';
+import type { HealthTracker } from '../health.js';
 import type { MachineReconciler } from './machine-reconciler.js';
 import type { AgentSessions } from './machine-sessions.js';
 import { Preemptor } from './preemptor.js';
-import type { Results } from './results.js';
-import { HEARD_INTERVALS } from './unreachable.js';
+import type { TaskExits } from './results.js';
+import { FRESH_HEARTBEAT_INTERVALS } from './unreachable.js';
 
 /** Gangs seen so long ago still have empty machines kept for them. */
 const GANG_MEMORY_MS = 600_000;
@@ -47,47 +47,47 @@
 const rankOfKind = (job: JobSpec): number => (job.kind === 'gang' ? 0 : 1);
 
 /** Plans and commits the starts of one pass. */
-export class Starts {
+export class PlacementPass {
   /** Why waiting jobs of this controller's teams were passed over last time. */
   waitReasons: ReadonlyMap<JobId, WaitReason> = new Map();
   private counter = 0;
-  private gangSeenAt = Number.NEGATIVE_INFINITY;
-  private readonly loggedAt = new Map<JobId, number>();
+  private lastGangSeenAt = Number.NEGATIVE_INFINITY;
+  private readonly pendingLoggedAt = new Map<JobId, number>();
   private readonly preemptor: Preemptor;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly sessions: AgentSessions,
-    private readonly health: Health,
-    private readonly results: Results,
+    private readonly health: HealthTracker,
+    private readonly results: TaskExits,
     private readonly machines: MachineReconciler,
   ) {
     this.preemptor = new Preemptor(context);
   }
 
   /** Places waiting tasks; where none can be placed, makes room for one. */
-  plan(): Plan {
+  plan(): PlacementPlan {
     const placements = this.place();
-    if (placements.length > 0) return this.groupsOf(placements);
-    return { gangs: [], others: this.preemptor.preempt(this.waitReasons, this.slice()) };
+    if (placements.length > 0) return this.transactionsFor(placements);
+    return { gangs: [], nonGangs: this.preemptor.preempt(this.waitReasons, this.availableMachines()) };
   }
 
   /** False: not all were committed. */
-  async commit({ gangs, others }: Plan): Promise<boolean> {
+  async commit({ gangs, nonGangs }: PlacementPlan): Promise<boolean> {
     const { state, watcher } = this.context;
     // Of a gang all tasks are committed, however long that takes: a part of it would only have to go again.
     const ok = await commitChangeSets(state, watcher, gangs, REQUEST_PRIORITY.starts);
-    return (await commitChangeSets(state, watcher, others, REQUEST_PRIORITY.starts)) && ok;
+    return (await commitChangeSets(state, watcher, nonGangs, REQUEST_PRIORITY.starts)) && ok;
   }
 
   /** Machines that may be given work now. */
-  private slice(): MachineRecord[] {
+  private availableMachines(): MachineRecord[] {
     const { context } = this;
-    const heardMs = context.settings.workers.report_s * 1000 * HEARD_INTERVALS;
+    const heardMs = context.settings.workers.report_s * 1000 * FRESH_HEARTBEAT_INTERVALS;
     return context.ownedMachines().filter((m) => {
       const memory = this.sessions.get(m.name);
       if (m.phase === 'releasing' || m.drain === true || memory?.heartbeat == null) return false;
-      return context.clock.now() - memory.lastContactAt < heardMs && !this.health.sick(m);
+      return context.clock.now() - memory.lastContactAt < heardMs && !this.health.isQuarantined(m);
     });
   }
 
@@ -97,31 +97,33 @@
     const mine = context.dependencies.all().startable.filter((j) => context.ownsTeam(j.spec.team));
     const ended = this.endedTasks();
     const totals = context.allocations();
-    for (const { machine, placed, isDurable } of ended) totals.vacate(machine, placed, false, isDurable);
+    for (const { machine, allocation, isDurable } of ended)
+      totals.vacate(machine, allocation, false, isDurable);
     const { placements, waitReasons } = schedule({
-      jobs: mine.filter((j) => !this.health.backedOff(j)),
-      slice: this.slice(),
+      jobs: mine.filter((j) => !this.health.isBackingOff(j)),
+      slice: this.availableMachines(),
       ledger: totals,
       // A number for each start; the revision at which the team's slice got its holder is put before it below,
       // so that no attempt is ever used twice.
       newAttempt: () => attempt(++this.counter),
       fetchRank: (m, image) => this.fetchRank(m, image),
-      avoid: (job, m) => this.health.avoids(job, m) || this.preemptor.isClaimedByOther(job, m),
+      avoid: (job, m) => this.health.avoidsMachine(job, m) || this.preemptor.isClaimedByOther(job, m),
       recordRoom: (name) => context.recordRoom(context.view.machines.get(name)!),
       most: MOST_PLANNED,
-      mostMachines: this.mostMachines(),
+      maxMachines: this.mostMachines(),
       order: context.order(),
-      keepWhole: this.areGangsAbout(),
+      keepWhole: this.hasRecentGangs(),
       yields: context.yielding(),
       mayHold: (j) => context.mayHold(j),
       overdue: (j) => context.clock.wallClock() - j.submitted > placement.behind_s * 1000,
-      fails: (j) => this.health.fails(j),
+      fails: (j) => this.health.isFailingEverywhere(j),
       hSlack: placement.h_slack,
     });
-    for (const { machine, placed, isDurable } of ended) totals.vacate(machine, placed, true, isDurable);
-    const backedOff = mine.filter((j) => this.health.backedOff(j));
+    for (const { machine, allocation, isDurable } of ended)
+      totals.vacate(machine, allocation, true, isDurable);
+    const backedOff = mine.filter((j) => this.health.isBackingOff(j));
     this.waitReasons = new Map([...waitReasons, ...backedOff.map((j) => [j.spec.id, 'failing'] as const)]);
-    this.logWaiting(mine);
+    this.logPendingJobs(mine);
     for (const p of placements) this.preemptor.used(p.machine.name);
     return placements;
   }
@@ -132,9 +134,9 @@
     for (const name of this.results.machines()) {
       const machine = this.context.view.machines.get(name);
       if (machine === undefined) continue;
-      for (const e of this.results.provenOn(machine)) {
-        const placed = { ...e.placed, tasks: [e.index] };
-        ended.push({ machine, placed, isDurable: this.results.isDurable(e) });
+      for (const e of this.results.confirmedExitsOn(machine)) {
+        const allocation = { ...e.placed, tasks: [e.index] };
+        ended.push({ machine, allocation, isDurable: this.results.isDurable(e) });
       }
     }
     return ended;
@@ -145,43 +147,44 @@
   }
 
   /** Gangs have been seen of late, in whatever team. */
-  private areGangsAbout(): boolean {
+  private hasRecentGangs(): boolean {
     const now = this.context.clock.now();
     for (const j of this.context.view.jobs.values())
       if (j.spec.kind === 'gang') {
-        this.gangSeenAt = now;
+        this.lastGangSeenAt = now;
         break;
       }
-    return now - this.gangSeenAt < GANG_MEMORY_MS;
+    return now - this.lastGangSeenAt < GANG_MEMORY_MS;
   }
 
   /** 0: the machine has the image; 1: it fetches it already; 2: it fetches nothing; 3: it fetches others. */
   private fetchRank(machine: MachineRecord, image: string): number {
-    if (this.health.cached(machine, image)) return 0;
+    if (this.health.hasImage(machine, image)) return 0;
     let rank = 2;
     for (const p of machine.placed) {
       const other = this.context.view.jobs.get(p.job)?.spec.image;
       if (other === image) return 1;
-      if (other !== undefined && !this.health.cached(machine, other)) rank = BUSY_FETCHING;
+      if (other !== undefined && !this.health.hasImage(machine, other)) rank = BUSY_FETCHING;
     }
     return rank;
   }
 
   /** Why a job waits is asked for afterwards, too: it is logged now and then of those that wait for long. */
-  private logWaiting(mine: readonly JobRecord[]): void {
+  private logPendingJobs(mine: readonly JobRecord[]): void {
     const wall = this.context.clock.wallClock();
-    for (const id of this.loggedAt.keys()) if (!this.waitReasons.has(id)) this.loggedAt.delete(id);
+    for (const id of this.pendingLoggedAt.keys())
+      if (!this.waitReasons.has(id)) this.pendingLoggedAt.delete(id);
     for (const { spec, submitted } of mine) {
       const why = this.waitReasons.get(spec.id);
-      const since = Math.max(submitted, this.loggedAt.get(spec.id) ?? 0);
+      const since = Math.max(submitted, this.pendingLoggedAt.get(spec.id) ?? 0);
       if (why === undefined || wall - since < LOG_WAIT_MS) continue;
-      this.loggedAt.set(spec.id, wall);
+      this.pendingLoggedAt.set(spec.id, wall);
       const waitsS = Math.round((wall - submitted) / 1000);
       this.context.log.info({ job: spec.id, team: spec.team, priority: spec.priority, waitsS, why }, 'waits');
     }
   }
 
-  private groupsOf(placements: readonly Placement[]): Plan {
+  private transactionsFor(placements: readonly Placement[]): PlacementPlan {
     const byMachine = new Map<MachineName, Placement[]>();
     for (const p of placements) {
       const list = byMachine.get(p.machine.name);
@@ -189,21 +192,21 @@
       else list.push(p);
     }
     const gangs: ChangeSet[] = [];
-    const others: ChangeSet[] = [];
+    const nonGangs: ChangeSet[] = [];
     for (const [name, list] of byMachine) {
       const isGang = list.some((p) => p.job.kind === 'gang');
-      (isGang ? gangs : others).push(this.groupOf(this.context.view.machines.get(name)!, list));
+      (isGang ? gangs : nonGangs).push(this.startTransaction(this.context.view.machines.get(name)!, list));
     }
-    return { gangs, others };
+    return { gangs, nonGangs };
   }
 
   /** The change that starts tasks on one machine, and takes out those that have ended. */
-  private groupOf(machine: MachineRecord, placements: readonly Placement[]): ChangeSet {
+  private startTransaction(machine: MachineRecord, placements: readonly Placement[]): ChangeSet {
     const { context } = this;
     const k = key.machine(machine.name);
     const guards = new GuardSet(context.state.limits.operationsPerTransaction * GUARDS_PER_OPERATION);
     guards.add([context.guard(k), context.guard(key.shard(machine.owner))]);
-    const gone = this.results.provenOn(machine).filter((e) => this.results.isDurable(e));
+    const gone = this.results.confirmedExitsOn(machine).filter((e) => this.results.isDurable(e));
     let placed: readonly Allocation[] = removeExits(machine.placed, gone);
     // Gangs first: of a gang no task may be left out.
     const gangsFirst = [...placements].sort((a, b) => rankOfKind(a.job) - rankOfKind(b.job));
@@ -219,7 +222,7 @@
       ...machine,
       phase: 'up',
       placed,
-      ...this.machines.learned(machine, this.sessions.of(machine)),
+      ...this.machines.observedFields(machine, this.sessions.of(machine)),
     };
     return { operations: [{ key: k, value, reason: 'start' }], guards: guards.list() };
   }
@@ -254,12 +257,12 @@
 /** A task that has ended and whose entry is still in its machine's record. */
 interface EndedTask {
   readonly machine: MachineRecord;
-  readonly placed: Allocation;
+  readonly allocation: Allocation;
   readonly isDurable: boolean;
 }
 
 /** Changes that start tasks; those of gangs first. */
-export interface Plan {
+export interface PlacementPlan {
   readonly gangs: readonly ChangeSet[];
-  readonly others: readonly ChangeSet[];
+  readonly nonGangs: readonly ChangeSet[];
 }
--- a/src/controller/report-router.ts
+++ b/src/controller/report-router.ts
@@ -15,8 +15,8 @@
   MonotonicMs,
   FencingToken,
 } from '../core/types.js';
-import type { Context } from './context.js';
-import type { Health } from './health.js';
+import type { ControllerContext } from './context.js';
+import type { HealthTracker } from './health.js';
 import { leaderOf, type Leader } from './leader/leader.js';
 import type { Membership } from './membership.js';
 import type { ShardController, ReportAnswer } from './owner/owner.js';
@@ -52,10 +52,10 @@
   private readonly proxiedMachineList: ProxiedMachineList;
 
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly owner: ShardController,
     private readonly leader: Leader,
-    private readonly health: Health,
+    private readonly health: HealthTracker,
     private readonly membership: Membership,
     private readonly availability: Availability,
   ) {
@@ -92,7 +92,7 @@
       return { kind: 'elsewhere', node: null };
     }
     if (context.isOwned(m)) {
-      if (!this.availability.mayAnswerWorkers) return this.answerIsolated(m, r);
+      if (!this.availability.mayAnswerAgents) return this.answerIsolated(m, r);
       this.redirectedAt.delete(m.name);
       this.returnedAt.delete(m.name);
       return this.owner.answerHeartbeat(m, r);
@@ -116,7 +116,7 @@
    */
   private answerIsolated(m: MachineRecord, r: Heartbeat): ReportAnswer {
     const { context } = this;
-    if (!this.availability.isolated)
+    if (!this.availability.isIsolated)
       return { kind: 'elsewhere', node: context.isOwned(m) ? null : context.holderOf(m) };
     const t = context.clock.now();
     const token = context.view.fencingTokenOf(m);
@@ -198,7 +198,9 @@
   }
 
   private isStateFresh(): boolean {
-    return this.context.clock.now() - this.context.state.lastContactAt < 2500 && this.membership.valid;
+    return (
+      this.context.clock.now() - this.context.state.lastContactAt < 2500 && this.membership.hasValidLease
+    );
   }
 
   /** Only what the state says is over may be stopped in the owner's place. */
--- a/src/controller/slice-transfer.ts
+++ b/src/controller/slice-transfer.ts
@@ -9,7 +9,7 @@
 import { Unavailable } from '../io/state/client.js';
 import type { Guard, WriteOperation } from '../io/wire.js';
 import type { ShardControl, ShardFact, ShardTransferOutcome } from '../packages/api.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 import type { Membership } from './membership.js';
 
 const OVERTAKEN: ShardTransferOutcome = { kind: 'overtaken' };
@@ -20,13 +20,13 @@
 /** Changes the holders of slices. */
 export class ShardTransfer implements ShardControl {
   constructor(
-    private readonly context: Context,
+    private readonly context: ControllerContext,
     private readonly membership: Membership,
   ) {}
 
   async takeOver(shard: ShardFact): Promise<ShardTransferOutcome> {
     const { context, membership } = this;
-    if (!membership.valid) return UNAVAILABLE;
+    if (!membership.hasValidLease) return UNAVAILABLE;
     const session = context.view.sessions.get(shard.holder);
     // A new life of the holder takes its slice back by itself.
     if (session !== undefined && session.incarnation !== shard.incarnation) return OVERTAKEN;
@@ -71,7 +71,7 @@
     const { context, membership } = this;
     const receiver = context.view.sessions.get(to);
     const mine = context.view.sessions.get(context.settings.node);
-    if (!membership.valid || mine?.incarnation !== context.incarnation) return UNAVAILABLE;
+    if (!membership.hasValidLease || mine?.incarnation !== context.incarnation) return UNAVAILABLE;
     if (receiver === undefined || receiver.draining === true) return OVERTAKEN;
     membership.drainFor(drainForMs);
     const value: ShardRecord = { holder: receiver.node, incarnation: receiver.incarnation };
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -2,7 +2,7 @@
 import { CPU, GPU, NO_RESOURCES, MICRO_UNITS, type ResourceVector } from '../core/types.js';
 import type { Dependency } from '../core/dependencies.js';
 import { key } from '../core/keys.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 import { leaderOf } from './leader/leader.js';
 import type { ShardController } from './owner/owner.js';
 
@@ -19,7 +19,7 @@
 const amounts = (a: ResourceVector) => ({ cpus: a[CPU] / MICRO_UNITS, gpus: a[GPU] / MICRO_UNITS });
 
 /** The state of the fleet as this controller sees it, for operators. */
-export function status(context: Context, owner: ShardController, healthy: boolean) {
+export function status(context: ControllerContext, owner: ShardController, healthy: boolean) {
   const { view } = context;
   const totals = context.allocations();
   const wall = context.clock.wallClock();
--- a/src/controller/substitute-list.ts
+++ b/src/controller/substitute-list.ts
@@ -7,7 +7,7 @@
 import type { MachineName, ProxiedMachinesRecord } from '../core/types.js';
 import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
 import type { WriteOperation } from '../io/wire.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 
 /** What a record takes beside the names in it. */
 const RECORD_OVERHEAD_BYTES = 100;
@@ -17,7 +17,7 @@
   /** What stands in each record, as text. */
   private readonly written: string[] = [];
 
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   /** How many records the list takes now. */
   get records(): number {
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -3,7 +3,7 @@
  * without a listener an event is not even made.
  */
 import type { JobFailures } from './failures.js';
-import type { Run } from './slowness.js';
+import type { TaskRun } from './slowness.js';
 import type {
   Attempt,
   AgentCommand,
@@ -43,7 +43,7 @@
   /** A report, or the answer to a direct message, was taken in under the machine's present token. */
   | { readonly kind: 'heartbeat_recorded'; readonly heartbeat: Heartbeat }
   | { readonly kind: 'task_exited'; readonly task: TaskOnMachine; readonly why: ExitReason | null }
-  | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: Run }
+  | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: TaskRun }
   | { readonly kind: 'job_failing'; readonly job: JobId; readonly failures: JobFailures }
   | {
       readonly kind: 'transaction';
--- a/src/core/failures.ts
+++ b/src/core/failures.ts
@@ -49,7 +49,7 @@
 type MachineState = Map<JobId, number>;
 
 /** Remembers failures of jobs and of machines; losing them costs time, never a rule. */
-export class Failures {
+export class FailureTracker {
   private readonly jobs = new Map<JobId, JobState>();
   private readonly machines = new Map<MachineName, MachineState>();
 
@@ -59,22 +59,28 @@
   ) {}
 
   /** A task failed. `knownRounds`: what an earlier owner of the job has recorded. */
-  failed(job: JobId, machine: MachineName, why: FailureCause, now: MonotonicMs, knownRounds = 0): void {
+  recordFailure(
+    job: JobId,
+    machine: MachineName,
+    why: FailureCause,
+    now: MonotonicMs,
+    knownRounds = 0,
+  ): void {
     const state = this.stateOf(job);
     state.machines.delete(machine);
     state.machines.add(machine);
     state.why = why;
     state.rounds = Math.max(state.rounds, knownRounds);
-    if (why === 'error') this.count(machine, job);
+    if (why === 'error') this.countFailure(machine, job);
     // The tasks of one round fail one after the other; only what was tried after the wait is a new round.
-    if (!this.isBlamed(state) || now < state.until) return;
+    if (!this.isFailingEverywhere(state) || now < state.until) return;
     state.rounds++;
     const wait = Math.min(MOST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (state.rounds - 1));
     state.until = (now + wait * (1 - JITTER + 2 * JITTER * this.random())) as MonotonicMs;
   }
 
   /** Takes over what another controller has learned of a job, unless more is known here. */
-  adopt(job: JobId, known: JobFailures): void {
+  mergeFailures(job: JobId, known: JobFailures): void {
     const state = this.stateOf(job);
     if (state.rounds >= known.rounds) return;
     state.rounds = known.rounds;
@@ -84,7 +90,7 @@
   }
 
   /** A task was done: the job is sound, and so is the machine. */
-  done(job: JobId, machine: MachineName): void {
+  recordSuccess(job: JobId, machine: MachineName): void {
     const state = this.jobs.get(job);
     if (state !== undefined) {
       state.machines.clear();
@@ -96,7 +102,7 @@
   }
 
   /** A task of the job has been running for `RUNS_WELL_MS`. */
-  ranLong(job: JobId): void {
+  recordLongRun(job: JobId): void {
     this.stateOf(job).ranLong = true;
   }
 
@@ -107,7 +113,7 @@
   }
 
   /** All jobs that are taken to fail everywhere. */
-  *blamed(): Iterable<[JobId, JobFailures]> {
+  *failingJobs(): Iterable<[JobId, JobFailures]> {
     for (const entry of this.jobs) if (entry[1].rounds > 0) yield entry;
   }
 
@@ -151,13 +157,13 @@
     return state;
   }
 
-  private isBlamed({ rounds, machines, done, ranLong }: JobState): boolean {
+  private isFailingEverywhere({ rounds, machines, done, ranLong }: JobState): boolean {
     if (rounds > 0) return true;
     if (done) return false;
     return machines.size >= (ranLong ? MACHINES_TO_BLAME_RUNNING_JOB : MACHINES_TO_BLAME_JOB);
   }
 
-  private count(machine: MachineName, job: JobId): void {
+  private countFailure(machine: MachineName, job: JobId): void {
     const failures = this.machines.get(machine) ?? new Map<JobId, number>();
     failures.set(job, (failures.get(job) ?? 0) + 1);
     this.machines.set(machine, failures);
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -57,7 +57,7 @@
   readonly recordRoom: (machine: MachineName) => number;
   /** So many tasks are placed at most, on so many machines: each of these is a change to write. */
   readonly most: number;
-  readonly mostMachines: number;
+  readonly maxMachines: number;
   readonly order: Omit<OrderContext, 'hasTasks'>;
   /** Leaves empty ordinary machines to gangs that wait for them, since it may use spot machines. */
   readonly yields: (job: JobRecord) => boolean;
@@ -335,7 +335,7 @@
   };
 
   const machines = new Set<MachineName>();
-  while (queues.size > 0 && placements.length < input.most && machines.size < input.mostMachines) {
+  while (queues.size > 0 && placements.length < input.most && machines.size < input.maxMachines) {
     let team: TeamName | null = null;
     let share = Number.POSITIVE_INFINITY;
     for (const name of queues.keys()) {
--- a/src/core/slowness.ts
+++ b/src/core/slowness.ts
@@ -3,11 +3,11 @@
  * compared with the other runs of its job; where those are too few, with what is usual for its class: the ratio of
  * run time to estimate, against the class's median.
  */
-import { dropOldest } from './bounded.js';
+import { evictOldest } from './bounded.js';
 import type { JobId, MachineName } from './types.js';
 
 /** When a machine counts as slow. */
-export interface SlownessOptions {
+export interface SlowMachineOptions {
   /** Runs must take this many times the usual, every one of the machine's latest. */
   readonly factor: number;
   readonly runs: number;
@@ -16,10 +16,10 @@
 }
 
 /** A finished run of a task. */
-export interface Run {
+export interface TaskRun {
   readonly job: JobId;
-  readonly cls: string;
-  readonly tookS: number;
+  readonly jobClass: string;
+  readonly durationS: number;
   readonly estimateS: number;
 }
 
@@ -32,43 +32,43 @@
 };
 
 /** Compares run times of machines with what is usual. */
-export class Slowness {
+export class SlowMachineDetector {
   private readonly classes = new Map<string, number[]>();
   private readonly jobs = new Map<JobId, number[]>();
-  private readonly machines = new Map<MachineName, Run[]>();
+  private readonly machines = new Map<MachineName, TaskRun[]>();
 
-  constructor(private readonly options: SlownessOptions) {}
+  constructor(private readonly options: SlowMachineOptions) {}
 
-  ran(machine: MachineName, run: Run): void {
+  recordRun(machine: MachineName, run: TaskRun): void {
     if (run.estimateS <= 0) return;
-    const all = this.classes.get(run.cls) ?? [];
-    this.classes.set(run.cls, [...all, run.tookS / run.estimateS].slice(-KEPT));
+    const all = this.classes.get(run.jobClass) ?? [];
+    this.classes.set(run.jobClass, [...all, run.durationS / run.estimateS].slice(-KEPT));
     const peers = this.jobs.get(run.job) ?? [];
     this.jobs.delete(run.job);
-    this.jobs.set(run.job, [...peers, run.tookS].slice(-KEPT));
-    dropOldest(this.jobs, JOBS_KEPT);
+    this.jobs.set(run.job, [...peers, run.durationS].slice(-KEPT));
+    evictOldest(this.jobs, JOBS_KEPT);
     const own = this.machines.get(machine) ?? [];
     this.machines.set(machine, [...own, run].slice(-this.options.runs));
   }
 
-  slow(machine: MachineName): boolean {
+  isSlow(machine: MachineName): boolean {
     const own = this.machines.get(machine);
     if (own === undefined || own.length < this.options.runs) return false;
     const { factor, samples } = this.options;
     const guessed = new Set<JobId>();
-    return own.every(({ job, cls, tookS, estimateS }) => {
+    return own.every(({ job, jobClass, durationS, estimateS }) => {
       const peers = this.jobs.get(job) ?? [];
-      if (peers.length >= samples) return tookS >= median(peers) * factor;
+      if (peers.length >= samples) return durationS >= median(peers) * factor;
       // An estimate is wrong for all tasks of its job alike: against the class, one job says something only once. A job
       // of many tasks that took twice its estimate had condemned every machine that ran three of them.
       if (guessed.has(job)) return false;
       guessed.add(job);
-      const all = this.classes.get(cls) ?? [];
-      return all.length >= samples && tookS / estimateS >= median(all) * factor;
+      const all = this.classes.get(jobClass) ?? [];
+      return all.length >= samples && durationS / estimateS >= median(all) * factor;
     });
   }
 
-  gone(machine: MachineName): void {
+  forgetMachine(machine: MachineName): void {
     this.machines.delete(machine);
   }
 }
--- a/src/io/state/client.ts
+++ b/src/io/state/client.ts
@@ -187,7 +187,11 @@
     }
     if (r.status === 409) this.usage.conflicted += operations.length;
     if (r.status === 409)
-      return { kind: 'conflict', revision: wire.revisionFromWire(r.body), failed: wire.failedFromWire(r.body) };
+      return {
+        kind: 'conflict',
+        revision: wire.revisionFromWire(r.body),
+        failed: wire.failedFromWire(r.body),
+      };
     if (r.status === 400 && operations.some((o) => o.lease !== undefined)) return { kind: 'no_lease' };
     if (r.status === 400) {
       this.onRejected(operations, r.body);
--- a/src/io/users.ts
+++ b/src/io/users.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino';
 import { ConcurrencyLimit } from '../core/admission.js';
 import { jobId, monotonicMs } from '../core/types.js';
-import type { Cancelled, Jobs } from '../controller/jobs.js';
+import type { CancellationResult, JobService } from '../controller/jobs.js';
 import type { HeartbeatRouter } from '../controller/report-router.js';
 import type { PackageHost } from '../packages/host.js';
 import { Unavailable } from './state/client.js';
@@ -12,7 +12,7 @@
 /** What the HTTP server serves, and its limits. */
 export interface ServerOptions {
   readonly log: Logger;
-  readonly jobs: Jobs;
+  readonly jobs: JobService;
   readonly heartbeats: HeartbeatRouter;
   readonly healthy: () => boolean;
   readonly status: () => object;
@@ -100,7 +100,7 @@
     if (!wire.isJobId(req.params.id)) return reply.code(404).send({ error: 'no such job' });
     const id = jobId(req.params.id);
     // Not timed: most of its time is the workers' and says nothing about load here.
-    const r: Cancelled = await o.jobs.cancel(id);
+    const r: CancellationResult = await o.jobs.cancel(id);
     if (r.kind === 'not_found') return reply.code(404).send({ error: 'no such job' });
     if (r.kind === 'later') return reply.code(503).header('retry-after', '1').send(later);
     return reply.send(wire.acceptedToWire(id, r.state));
--- a/src/packages/api.ts
+++ b/src/packages/api.ts
@@ -8,7 +8,7 @@
 import type { ViewChanges } from '../core/changes.js';
 import type { Clock } from '../core/clock.js';
 import type { EventListener } from '../core/events.js';
-import type { Run } from '../core/slowness.js';
+import type { TaskRun } from '../core/slowness.js';
 import type {
   ExitReason,
   Incarnation,
@@ -112,7 +112,7 @@
       readonly machines: readonly MachineName[];
       readonly retryInMs: number;
     }
-  | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: Run };
+  | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: TaskRun };
 
 /** The part of the service that a package may use. */
 export interface Service {
--- a/src/packages/facts.ts
+++ b/src/packages/facts.ts
@@ -2,12 +2,12 @@
 import type { ViewChanges } from '../core/changes.js';
 import { key } from '../core/keys.js';
 import { nodeName, type JobId, type MachineName, type MachineRecord, type NodeName } from '../core/types.js';
-import type { Context } from '../controller/context.js';
+import type { ControllerContext } from '../controller/context.js';
 import type { CommittedFacts, SessionFact, ShardFact } from './api.js';
 
 /** Reads the view of one controller. */
 export class ViewFacts implements CommittedFacts {
-  constructor(private readonly context: Context) {}
+  constructor(private readonly context: ControllerContext) {}
 
   get isReady(): boolean {
     return this.context.watcher.isReady;
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -7,7 +7,7 @@
 import path from 'node:path';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import type { Jobs } from '../src/controller/jobs.js';
+import type { JobService } from '../src/controller/jobs.js';
 import type { HeartbeatRouter } from '../src/controller/report-router.js';
 import { buildServer } from '../src/io/users.js';
 import { submission } from './samples.js';
@@ -33,7 +33,7 @@
   };
   const app = buildServer({
     log: pino({ level: 'silent' }),
-    jobs: jobs as unknown as Jobs,
+    jobs: jobs as unknown as JobService,
     heartbeats: {} as unknown as HeartbeatRouter,
     healthy: () => true,
     status: () => ({ leader: 'c-0' }),
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -6,7 +6,7 @@
 import { WINDOW, isDone, judge, markDone, openTasks, NONE_DONE, zoneCap } from '../src/core/jobs.js';
 import { jobOrder } from '../src/core/job-order.js';
 import { key } from '../src/core/keys.js';
-import { Slowness } from '../src/core/slowness.js';
+import { SlowMachineDetector } from '../src/core/slowness.js';
 import {
   machineName,
   demandVector,
@@ -152,34 +152,40 @@
 });
 
 test('a machine is slow when all its latest runs take much longer than usual for their class', () => {
-  const s = new Slowness({ factor: 1.7, runs: 3, samples: 8 });
+  const s = new SlowMachineDetector({ factor: 1.7, runs: 3, samples: 8 });
   const good = machineName('n-1');
   const bad = machineName('n-2');
   let jobs = 0;
-  const ran = (m: typeof good, cls: string, tookS: number, estimateS: number, job = `wk-${++jobs}`) => {
-    s.ran(m, { job: jobId(job), cls, tookS, estimateS });
+  const ran = (
+    m: typeof good,
+    jobClass: string,
+    durationS: number,
+    estimateS: number,
+    job = `wk-${++jobs}`,
+  ) => {
+    s.recordRun(m, { job: jobId(job), jobClass, durationS, estimateS });
   };
   // Estimates are biased: everything takes half as long again.
   for (let i = 0; i < 8; i++) ran(good, 'a', 150 + i, 100);
   for (let i = 0; i < 2; i++) ran(bad, 'a', 310, 100);
-  assert.equal(s.slow(bad), false, 'two runs may be chance');
+  assert.equal(s.isSlow(bad), false, 'two runs may be chance');
   ran(bad, 'a', 310, 100);
-  assert.equal(s.slow(bad), true);
-  assert.equal(s.slow(good), false);
+  assert.equal(s.isSlow(bad), true);
+  assert.equal(s.isSlow(good), false);
   ran(bad, 'a', 150, 100);
-  assert.equal(s.slow(bad), false, 'it has recovered');
+  assert.equal(s.isSlow(bad), false, 'it has recovered');
   ran(good, 'services', 500, 0);
-  assert.equal(s.slow(good), false);
+  assert.equal(s.isSlow(good), false);
 
   // One job took three times its estimate, on every machine that ran it: that is no machine's fault.
   const many = [...Array(20).keys()].map((i) => machineName(`n-1${i}`));
   for (const m of many) {
     for (let i = 0; i < 3; i++) ran(m, 'a', 300 + i, 100, 'wk-long');
-    assert.equal(s.slow(m), false, `${m} is no slower than its peers`);
+    assert.equal(s.isSlow(m), false, `${m} is no slower than its peers`);
   }
   const last = machineName('n-3');
   for (let i = 0; i < 3; i++) ran(last, 'a', 600, 100, 'wk-long');
-  assert.equal(s.slow(last), true, 'slower than all others with the same job');
+  assert.equal(s.isSlow(last), true, 'slower than all others with the same job');
 });
 
 test('among arrays due alike those with less left go first, but a large one is never put off for long', () => {
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -47,7 +47,7 @@
     const r = await submitTo(sim, 'c-0', { nameId: first, shards: 2 });
     assert.equal(r.kind, 'accepted');
     assert.equal(
-      sim.nodes.get('c-1')!.controller!.ctx.view.jobs.has(jobId(first)),
+      sim.nodes.get('c-1')!.controller!.context.view.jobs.has(jobId(first)),
       false,
       'the view is behind',
     );
@@ -155,7 +155,7 @@
   // The other controllers learn of it by their watches, which leave most of the requests to others.
   await wait(sim, 500);
   for (const n of sim.nodes.values()) {
-    const needs = n.controller!.ctx.view.jobs.get(jobId(last))?.spec.needs ?? [];
+    const needs = n.controller!.context.view.jobs.get(jobId(last))?.spec.needs ?? [];
     assert.ok(needs.length > 300, `${needs.length} of them are kept`);
   }
   await until(sim, () => job(sim, last).toldFinal === 'done', 240_000);
@@ -175,7 +175,7 @@
   await wait(sim, 500);
   for (const n of sim.nodes.values()) n.start();
   await wait(sim, 6000);
-  const reads = [...sim.nodes.values()].map((n) => n.controller!.ctx.finalStates.reads);
+  const reads = [...sim.nodes.values()].map((n) => n.controller!.context.finalStates.reads);
   for (const n of reads) assert.ok(n <= 60, `${n} final states read`);
   assert.equal(waiting.filter(waits).length, 300, 'they wait on');
   assert.equal(waiting.filter((id) => job(sim, id).doneTasks.size > 0).length, 0);
@@ -218,13 +218,13 @@
   for (let i = 0; i < 6; i++)
     await accepted(sim, [head], 40, { tenant: 'red', cards: 4, vcpus: 16, tier: 'production' });
   const { controller } = sim.nodes.get('c-0')!;
-  const startable = () => controller!.ctx.dependencies.all().startable;
+  const startable = () => controller!.context.dependencies.all().startable;
   assert.ok(startable().every((j) => j.spec.needs === undefined));
   // Of the same team, of less priority, and behind them in its team's order: it goes at once.
   const small = await accepted(sim, [], 1, { tenant: 'red', cards: 1, tier: 'low' });
   await until(sim, () => job(sim, small).toldFinal === 'done', 30_000);
   for (const n of sim.nodes.values())
-    for (const [id, j] of n.controller!.ctx.view.jobs)
+    for (const [id, j] of n.controller!.context.view.jobs)
       if (j.spec.needs !== undefined)
         assert.equal(n.controller!.shardController.waitReasons.get(id), undefined);
 });
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -1,7 +1,7 @@
 /** Jobs that fail wherever they run are told from machines that fail whatever they run, and cost little until cancelled. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Failures } from '../src/core/failures.js';
+import { FailureTracker } from '../src/core/failures.js';
 import { parseKey } from '../src/core/keys.js';
 import { jobId, machineName, monotonicMs } from '../src/core/types.js';
 import { all, begun, calledOff, leads, meeting, wait } from './sim/meeting.js';
@@ -11,14 +11,15 @@
 const machine = (i: number) => machineName(`n-${i}`);
 
 test('a job that fails on several machines waits longer and longer, up to a bound, and condemns none of them', () => {
-  const failures = new Failures(() => 0.5);
-  failures.failed(JOB, machine(0), 'error', monotonicMs(0));
+  const failures = new FailureTracker(() => 0.5);
+  failures.recordFailure(JOB, machine(0), 'error', monotonicMs(0));
   assert.equal(failures.failuresOf(JOB), null, 'one machine may be the one at fault');
   let now = 100;
   const waits: number[] = [];
   for (let i = 1; i <= 8; i++) {
     // All tasks of one try fail, on several machines.
-    for (let k = 0; k < 5; k++) failures.failed(JOB, machine(i * 5 + k), 'error', monotonicMs(now + k));
+    for (let k = 0; k < 5; k++)
+      failures.recordFailure(JOB, machine(i * 5 + k), 'error', monotonicMs(now + k));
     const { until, rounds } = failures.failuresOf(JOB)!;
     assert.equal(rounds, i);
     waits.push(until - now);
@@ -26,14 +27,14 @@
   }
   assert.deepEqual(waits, [5000, 10_000, 20_000, 40_000, 60_000, 60_000, 60_000, 60_000]);
   for (let i = 0; i < 50; i++) assert.equal(failures.isFaulty(machine(i)), false);
-  failures.done(JOB, machine(3));
+  failures.recordSuccess(JOB, machine(3));
   assert.equal(failures.failuresOf(JOB), null, 'it is sound after all');
 });
 
 test('the waits of jobs that fail alike are spread', () => {
   const untils = [0, 0.25, 0.75, 0.999].map((r) => {
-    const failures = new Failures(() => r);
-    for (const i of [1, 2]) failures.failed(JOB, machine(i), 'error', monotonicMs(0));
+    const failures = new FailureTracker(() => r);
+    for (const i of [1, 2]) failures.recordFailure(JOB, machine(i), 'error', monotonicMs(0));
     return failures.failuresOf(JOB)!.until;
   });
   assert.ok(Math.min(...untils) >= 3750 && Math.max(...untils) <= 6250);
@@ -41,34 +42,34 @@
 });
 
 test('another owner goes on with the waits that its predecessor recorded', () => {
-  const failures = new Failures(() => 0.5);
-  failures.failed(JOB, machine(1), 'error', monotonicMs(0), 3);
+  const failures = new FailureTracker(() => 0.5);
+  failures.recordFailure(JOB, machine(1), 'error', monotonicMs(0), 3);
   const { rounds, until } = failures.failuresOf(JOB)!;
   assert.equal(rounds, 4);
   assert.equal(until, 40_000);
 });
 
 test('a machine is at fault when it fails what runs elsewhere, or several jobs', () => {
-  const failures = new Failures(() => 0.5);
+  const failures = new FailureTracker(() => 0.5);
   // Many tasks of one array that nobody has seen run yet: it may be the array.
-  for (let i = 0; i < 9; i++) failures.failed(JOB, machine(1), 'error', monotonicMs(i));
+  for (let i = 0; i < 9; i++) failures.recordFailure(JOB, machine(1), 'error', monotonicMs(i));
   assert.equal(failures.isFaulty(machine(1)), false);
-  failures.ranLong(JOB);
+  failures.recordLongRun(JOB);
   assert.equal(failures.isFaulty(machine(1)), true);
-  failures.failed(jobId('wk-2'), machine(2), 'error', monotonicMs(20));
+  failures.recordFailure(jobId('wk-2'), machine(2), 'error', monotonicMs(20));
   assert.equal(failures.isFaulty(machine(2)), false);
-  failures.failed(jobId('wk-3'), machine(2), 'error', monotonicMs(30));
+  failures.recordFailure(jobId('wk-3'), machine(2), 'error', monotonicMs(30));
   assert.equal(failures.isFaulty(machine(2)), true);
-  failures.done(jobId('wk-4'), machine(2));
+  failures.recordSuccess(jobId('wk-4'), machine(2));
   assert.equal(failures.isFaulty(machine(2)), false, 'it does something well again');
 });
 
 test('what is known of a job goes with it', () => {
-  const failures = new Failures(() => 0.5);
-  for (const i of [1, 2]) failures.failed(JOB, machine(i), 'error', monotonicMs(0));
-  assert.equal([...failures.blamed()].length, 1);
+  const failures = new FailureTracker(() => 0.5);
+  for (const i of [1, 2]) failures.recordFailure(JOB, machine(i), 'error', monotonicMs(0));
+  assert.equal([...failures.failingJobs()].length, 1);
   failures.forgetJob(JOB);
-  assert.equal([...failures.blamed()].length, 0);
+  assert.equal([...failures.failingJobs()].length, 0);
 });
 
 /** Starts of tasks of the job so far. */
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readOperator } from '../src/config/operator.js';
-import type { Context } from '../src/controller/context.js';
-import { Health } from '../src/controller/health.js';
+import type { ControllerContext } from '../src/controller/context.js';
+import { HealthTracker } from '../src/controller/health.js';
 import { jobId, version, type Allocation, type Heartbeat } from '../src/core/types.js';
 import { key } from '../src/core/keys.js';
 import { ClusterView } from '../src/core/view.js';
@@ -27,7 +27,7 @@
     types: new Map([[type.name, { ...type, cacheGb }]]),
     clock: { now: () => 0 },
   };
-  return new Health(ctx as unknown as Context, () => 0.5);
+  return new HealthTracker(ctx as unknown as ControllerContext, () => 0.5);
 }
 const report = (seq: number, tasks: [id: string, state: string][]): Heartbeat =>
   heartbeatFromWire({
@@ -43,9 +43,9 @@
   const health = setUp(100, []);
   const gone = { job: jobId('wk-over') } as Allocation;
   // Two machines on which it fails would say that it is the job.
-  for (const m of [record, machine('n-2', [])]) health.exit(m, gone, 'error');
+  for (const m of [record, machine('n-2', [])]) health.recordExit(m, gone, 'error');
   assert.equal(health.failures.failuresOf(gone.job), null);
-  assert.deepEqual([...health.failures.blamed()], []);
+  assert.deepEqual([...health.failures.failingJobs()], []);
   assert.equal(health.failures.isFaulty(record.name), false);
 });
 
@@ -62,27 +62,27 @@
       ['wk-2', 'pulling'],
     ]),
   );
-  assert.deepEqual(first.imagesOf(record), ['img-a'], 'one that is being fetched is not there yet');
+  assert.deepEqual(first.cachedImages(record), ['img-a'], 'one that is being fetched is not there yet');
   first.observeHeartbeat(
     report(2, [
       ['wk-1', 'running'],
       ['wk-2', 'running'],
     ]),
   );
-  const kept = { ...record, images: first.imagesOf(record) };
+  const kept = { ...record, images: first.cachedImages(record) };
   assert.deepEqual(kept.images, ['img-a', 'img-b']);
   // Another controller, which never saw the machine.
   const next = setUp(100, jobs);
-  assert.equal(next.cached(kept, 'img-a'), true);
-  assert.equal(next.cached(kept, 'img-c'), false);
-  assert.equal(next.cached(record, 'img-a'), false);
+  assert.equal(next.hasImage(kept, 'img-a'), true);
+  assert.equal(next.hasImage(kept, 'img-c'), false);
+  assert.equal(next.hasImage(record, 'img-a'), false);
   first.observeHeartbeat(
     report(3, [
       ['wk-2', 'running'],
       ['wk-3', 'running'],
     ]),
   );
-  assert.deepEqual(first.imagesOf(kept), ['img-b', 'img-c'], 'the one used longest ago gives way');
+  assert.deepEqual(first.cachedImages(kept), ['img-b', 'img-c'], 'the one used longest ago gives way');
   // Its part of the record is bounded, however long the names are.
   const many = [...Array(40).keys()].map((i): [string, string, number] => [
     `wk-${i}`,
@@ -96,6 +96,6 @@
       many.map(([id]) => [id, 'running']),
     ),
   );
-  const names = long.imagesOf(record);
+  const names = long.cachedImages(record);
   assert.ok(JSON.stringify(names).length < 320 && names.length > 10);
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
-import type { Context } from '../src/controller/context.js';
+import type { ControllerContext } from '../src/controller/context.js';
 import { UnregisteredMachines } from '../src/controller/leader/unknown-machines.js';
 import { ProxiedMachineList } from '../src/controller/substitute-list.js';
 import { AllocationTotals } from '../src/core/ledger.js';
@@ -174,7 +174,7 @@
       },
     },
   };
-  const list = new ProxiedMachineList(ctx as unknown as Context);
+  const list = new ProxiedMachineList(ctx as unknown as ControllerContext);
   const names = [...Array(Math.floor(MACHINES / 3)).keys()].map((i) =>
     machineName(`n-${String(i).padStart(6, '0')}`),
   );
@@ -203,7 +203,7 @@
 test('4,000 machines that no record knows are believed as soon as each has reported twice', () => {
   let now = 0;
   const ctx = { clock: { now: () => monotonicMs(now) }, settings: { cloudLimits: { list_lag_s: 5 } } };
-  const unknown = new UnregisteredMachines(ctx as unknown as Context);
+  const unknown = new UnregisteredMachines(ctx as unknown as ControllerContext);
   for (const tally of [1, 2])
     for (let i = 0; i < MACHINES; i++) {
       now += 0.6;
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -45,7 +45,7 @@
     avoid: () => false,
     recordRoom: () => 6000,
     most: 50,
-    mostMachines: 50,
+    maxMachines: 50,
     order: { wall: wallClockMs(0), behindMs: 60_000 },
     keepWhole: true,
     yields: () => false,
--- a/test/sim.test.ts
+++ b/test/sim.test.ts
@@ -65,7 +65,7 @@
   for (const end = sim.world.now + ms; sim.world.now < end;) {
     await sim.world.runUntil(Math.min(end, sim.world.now + 20));
     for (const { controller } of sim.nodes.values())
-      for (const m of controller!.ctx.view.machines.values())
+      for (const m of controller!.context.view.machines.values())
         if (m.phase === 'releasing' && m.placed.length > 0) givenUp.add(m.name);
     assert.ok(givenUp.size <= most, `given up with their tasks: ${[...givenUp].join(', ')}`);
   }
@@ -77,15 +77,15 @@
   for (const node of sim.nodes.values()) {
     node.cut.add('state').add('peers');
     await sim.world.runUntil(sim.world.now + 12_000);
-    assert.equal(node.controller!.availability.healthy, false);
-    assert.equal(node.controller!.availability.mayAnswerWorkers, false);
+    assert.equal(node.controller!.availability.isHealthy, false);
+    assert.equal(node.controller!.availability.mayAnswerAgents, false);
     const [open] = [...sim.fleet.submitted].find(([, j]) => j.accepted && j.toldFinal === null)!;
     await assert.rejects(node.controller!.jobs.find(jobId(open)), Unavailable);
     const served = sim.fleet.live().filter((w) => w.node === node.name);
     assert.equal(served.length, 0, `${served.length} workers still report to ${node.name}`);
     node.cut.clear();
     await sim.world.runUntil(sim.world.now + 8000);
-    assert.equal(node.controller!.availability.healthy, true);
+    assert.equal(node.controller!.availability.isHealthy, true);
   }
   assert.equal(sim.fleet.leasesLost, before.lost, 'no lease ran out');
   assert.ok(sim.fleet.starts > before.starts + 10);
@@ -96,7 +96,7 @@
   const before = sim.fleet.leasesLost;
   sim.state.setOutage(true);
   await sim.world.runUntil(sim.world.now + 20_000);
-  for (const node of sim.nodes.values()) assert.equal(node.controller!.availability.healthy, true);
+  for (const node of sim.nodes.values()) assert.equal(node.controller!.availability.isHealthy, true);
   sim.state.setOutage(false);
   await sim.world.runUntil(sim.world.now + 10_000);
   assert.equal(sim.fleet.leasesLost, before);
@@ -107,7 +107,7 @@
   const w = busy(sim)[0]!;
   w.deaf = true;
   const placed = () =>
-    sim.nodes.get('c-0')!.controller!.ctx.view.machines.get(w.name as never)?.placed.length ?? 0;
+    sim.nodes.get('c-0')!.controller!.context.view.machines.get(w.name as never)?.placed.length ?? 0;
   await sim.world.runUntil(sim.world.now + 8000);
   const then = placed();
   await sim.world.runUntil(sim.world.now + 32_000);
--- a/test/sim/node.ts
+++ b/test/sim/node.ts
@@ -2,7 +2,7 @@
 import { pino } from 'pino';
 import { readOperator } from '../../src/config/operator.js';
 import type { Settings } from '../../src/config/settings.js';
-import { Controller, type Outside } from '../../src/controller/controller.js';
+import { Controller, type ControllerDependencies } from '../../src/controller/controller.js';
 import { jobId, nodeName, teamName, zoneName } from '../../src/core/types.js';
 import type { Reply, Transport } from '../../src/io/http.js';
 import type { Peer } from '../../src/io/peers.js';
@@ -56,7 +56,7 @@
     const { world } = sim;
     this.clock = new ProcessClock(world, world.real(1, 1.0005), world.int(-100, 100));
     this.lives++;
-    const outside: Outside = {
+    const outside: ControllerDependencies = {
       clock: this.clock,
       identity: `${this.name}-${this.lives}`,
       random: () => world.real(0, 1),
@@ -291,11 +291,15 @@
     return {
       contact: (ms) => {
         observe('contact');
-        return this.across(clock, name, ms, delay(), (c) => Promise.resolve(c.ctx.state.isReachable(1500)));
+        return this.across(clock, name, ms, delay(), (c) =>
+          Promise.resolve(c.context.state.isReachable(1500)),
+        );
       },
       cancel: (job, ms) => {
         observe({ cancel: job });
-        return this.across(clock, name, ms, 3, (c) => Promise.resolve(c.jobs.takeCancel(jobId(job))));
+        return this.across(clock, name, ms, 3, (c) =>
+          Promise.resolve(c.jobs.acceptForwardedCancellation(jobId(job))),
+        );
       },
       ask: (topic, payload, ms) => {
         observe({ topic, payload });
--- a/test/state-usage.test.ts
+++ b/test/state-usage.test.ts
@@ -7,7 +7,8 @@
 /** Changes written so far for one reason, by all controllers. */
 const written = (sim: Sim, reason: string): number => {
   let sum = 0;
-  for (const n of sim.nodes.values()) sum += n.controller!.ctx.state.usage.snapshot().written[reason] ?? 0;
+  for (const n of sim.nodes.values())
+    sum += n.controller!.context.state.usage.snapshot().written[reason] ?? 0;
   return sum;
 };
 
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -3,19 +3,19 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import type { Jobs, Submitted } from '../src/controller/jobs.js';
+import type { JobService, SubmissionResult } from '../src/controller/jobs.js';
 import type { HeartbeatRouter } from '../src/controller/report-router.js';
 import { fencingToken } from '../src/core/types.js';
 import { Unavailable } from '../src/io/state/client.js';
 import { buildServer } from '../src/io/users.js';
 import { submission } from './samples.js';
 
-const server = (over: Partial<Record<keyof Jobs, unknown>> = {}, most = 50) => {
+const server = (over: Partial<Record<keyof JobService, unknown>> = {}, most = 50) => {
   const seen: string[] = [];
   const jobs = {
     submit: (spec: { id: string }) => {
       seen.push(spec.id);
-      return Promise.resolve<Submitted>({ kind: 'accepted', state: 'pending' });
+      return Promise.resolve<SubmissionResult>({ kind: 'accepted', state: 'pending' });
     },
     find: () => Promise.resolve(undefined),
     cancel: () => Promise.resolve({ kind: 'not_found' }),
@@ -24,7 +24,7 @@
   const reports = { answer: () => ({ kind: 'ok', token: fencingToken(7), commands: [] }) };
   const app = buildServer({
     log: pino({ level: 'silent' }),
-    jobs: jobs as unknown as Jobs,
+    jobs: jobs as unknown as JobService,
     heartbeats: reports as unknown as HeartbeatRouter,
     healthy: () => true,
     status: () => ({}),
