--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -3,7 +3,7 @@
 import type { Operator } from '../config/operator.js';
 import type { Settings } from '../config/settings.js';
 import type { Clock } from '../core/clock.js';
-import type { OrderContext } from '../core/job-order.js';
+import type { JobOrderContext } from '../core/job-order.js';
 import { EventBus } from '../core/events.js';
 import { AllocationTotals } from '../core/ledger.js';
 import { key } from '../core/keys.js';
@@ -161,12 +161,12 @@
   }
 
   /** What the order of a team's jobs depends on: owners and the leader have to agree on it. */
-  order(): Omit<OrderContext, 'hasTasks'> {
-    return { wall: this.clock.wallClock(), behindMs: this.operator.placement.behind_s * 1000 };
+  order(): Omit<JobOrderContext, 'hasTasks'> {
+    return { wallClock: this.clock.wallClock(), starvationMs: this.operator.placement.behind_s * 1000 };
   }
 
   /** Whether room is kept for the gang: owners and the leader have to agree on it. */
-  mayHold(job: JobRecord): boolean {
+  mayReserve(job: JobRecord): boolean {
     const { tasks } = job.spec;
     if (job.failing !== undefined) return false;
     const afterMs = (this.operator.placement.hold_after_s * 1000) / Math.sqrt(tasks);
@@ -177,10 +177,10 @@
    * While a gang waits that may not use spot machines, work that may leaves it the empty ones of the others; but not
    * for long, since spot machines may be refused.
    */
-  yielding(): (job: JobRecord) => boolean {
+  gangWholeMachinePolicy(): (job: JobRecord) => boolean {
     const totals = this.allocations();
     const wanted = this.dependencies
-      .all()
+      .current()
       .startable.some(
         ({ spec, phase, failing }) =>
           spec.kind === 'gang' &&
@@ -196,7 +196,7 @@
   private readonly recordSizes = new WeakMap<MachineRecord, number>();
 
   /** How many bytes more may be placed in a machine's record, everything counted that may still be added to it. */
-  recordRoom(m: MachineRecord): number {
+  recordBytesLeft(m: MachineRecord): number {
     const { valueBytes } = this.state.limits;
     let size = this.recordSizes.get(m);
     if (size === undefined) {
@@ -235,7 +235,7 @@
     return commit(this.state, this.watcher, guards, operations, priority);
   }
 
-  task(job: JobId, index: number): string {
+  taskId(job: JobId, index: number): string {
     return `${job}/${index}`;
   }
 }
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -1,12 +1,12 @@
 /** Reads the final states of jobs that others need, and keeps what follows from them at hand. */
 import {
-  chainOf,
-  judgeDependencies,
-  judgeNeeds,
-  needsOf,
-  unreadOf,
-  type Dependencies,
-  type Dependency,
+  transitiveDependencies,
+  resolveDependencies,
+  resolveDependency,
+  dependenciesOf,
+  unreadFinalStates,
+  type DependencyGraph,
+  type DependencyStatus,
 } from '../core/dependencies.js';
 import type { JobId, JobRecord } from '../core/types.js';
 import { viewChangesOfJobs } from '../core/changes.js';
@@ -20,7 +20,7 @@
 
 /** Keeps at hand which jobs may start, wait or are withdrawn, and reads the final states that decide it. */
 export class DependencyTracker {
-  private now: Dependencies | null = null;
+  private now: DependencyGraph | null = null;
   /** The state of the view from which that follows. */
   private at = -1;
   /** Some final state is unread that decides about a waiting job. */
@@ -33,7 +33,7 @@
   ) {
     // Not waited for until somebody plans: what follows from an end is wanted at once.
     context.listeners.push(({ jobs }) => {
-      if ([...jobs].some((id) => !context.view.jobs.has(id))) this.all();
+      if ([...jobs].some((id) => !context.view.jobs.has(id))) this.current();
     });
   }
 
@@ -42,8 +42,8 @@
     const totals = context.allocations();
     return {
       jobs: context.view.jobs,
-      final: (id: JobId) => this.finalStates.cached(id),
-      started: (j: JobRecord) => totals.jobs.has(j.spec.id),
+      finalState: (id: JobId) => this.finalStates.cached(id),
+      hasStarted: (j: JobRecord) => totals.jobs.has(j.spec.id),
       runMs: (j: JobRecord) => {
         let fetchS = 0;
         for (const t of context.types.values()) fetchS = Math.max(fetchS, j.spec.imageGb / t.fetchGbPerS);
@@ -53,22 +53,22 @@
   }
 
   /** What the view and the final states read so far say. */
-  all(): Dependencies {
+  current(): DependencyGraph {
     const { jobChangeCount } = this.context.view;
     if (this.now === null || this.at !== jobChangeCount) {
       this.at = jobChangeCount;
-      this.now = judgeDependencies(this.input);
-      this.incomplete = [...this.now.of.values()].some((d) => unreadOf(d).length > 0);
+      this.now = resolveDependencies(this.input);
+      this.incomplete = [...this.now.byJob.values()].some((d) => unreadFinalStates(d).length > 0);
     }
     if (this.incomplete) this.readSoon();
     return this.now;
   }
 
   /** As `all`, of one job, with all final states read that decide it. Throws `Unavailable` where that can't be now. */
-  async decide(job: JobRecord): Promise<Dependency | undefined> {
-    if (needsOf(job).length === 0) return undefined;
+  async resolve(job: JobRecord): Promise<DependencyStatus | undefined> {
+    if (dependenciesOf(job).length === 0) return undefined;
     for (;;) {
-      const d = judgeNeeds(job, this.input);
+      const d = resolveDependency(job, this.input);
       const open = d?.kind === 'blocked' || d?.kind === 'unknown' ? this.unread(job) : [];
       if (open.length === 0) return d;
       for (const id of open.slice(0, READS_AT_ONCE))
@@ -81,8 +81,8 @@
   private unread(job: JobRecord): JobId[] {
     const { jobs } = this.context.view;
     const out = new Set<JobId>();
-    for (const j of chainOf(job, jobs))
-      for (const id of needsOf(j))
+    for (const j of transitiveDependencies(job, jobs))
+      for (const id of dependenciesOf(j))
         if (!jobs.has(id) && this.finalStates.cached(id) === undefined) out.add(id);
     return [...out];
   }
@@ -100,7 +100,8 @@
     const { context } = this;
     for (;;) {
       const unread = new Map<JobId, JobId>();
-      for (const [id, d] of this.all().of) for (const need of unreadOf(d)) unread.set(need, id);
+      for (const [id, d] of this.current().byJob)
+        for (const need of unreadFinalStates(d)) unread.set(need, id);
       if (unread.size === 0) return;
       const some = [...unread].slice(0, READS_AT_ONCE);
       const read = await Promise.all(
--- a/src/controller/jobs.ts
+++ b/src/controller/jobs.ts
@@ -1,5 +1,5 @@
 /** Submitting, showing and cancelling jobs: what users are told, and only after it is committed. */
-import { NONE_DONE, judge } from '../core/jobs.js';
+import { NO_TASKS_DONE, checkFeasibility } from '../core/jobs.js';
 import { toStoredJob } from '../core/records.js';
 import {
   NO_VERSION,
@@ -74,7 +74,7 @@
     const { view } = context;
     if (!context.watcher.isReady || view.types === null || !context.state.isReachable(1500))
       return { kind: 'later' };
-    const verdict = judge(spec, context.teams, view.types);
+    const verdict = checkFeasibility(spec, context.teams, view.types);
     if (verdict !== 'ok') return this.knownOrImpossible(spec.id, verdict);
     if (view.jobs.has(spec.id) || this.context.finalStates.cached(spec.id) !== undefined) {
       const known = await this.find(spec.id);
@@ -96,7 +96,7 @@
     const record: JobRecord = {
       spec: needs.left.length === 0 ? rest : { ...rest, needs: needs.left },
       phase: 'active',
-      done: NONE_DONE,
+      done: NO_TASKS_DONE,
       submitted: context.clock.wallClock(),
     };
     // One that does not fit is refused with its status: its change would be refused for ever.
@@ -154,7 +154,7 @@
       // A service runs until it is cancelled: what waits for its end could never run.
       if (job.spec.kind === 'service') return { kind: 'impossible' };
       left.push(id);
-      const dependency = await context.dependencies.decide(job);
+      const dependency = await context.dependencies.resolve(job);
       if (dependency?.kind === 'withdrawn') because ??= dependency.because;
     }
     return because === null ? { kind: 'open', left } : { kind: 'withdrawn', because };
@@ -173,7 +173,7 @@
     await context.watcher.waitUntilFresh();
     const job = context.view.jobs.get(id);
     if (job !== undefined) {
-      const d = await context.dependencies.decide(job);
+      const d = await context.dependencies.resolve(job);
       // Its record may stand for a while yet, but it can never start: no user has to wait for the change to be written,
       // nor for an outage to end. A cancellation is for ever, so every controller comes to this answer from now on.
       if (d?.kind === 'withdrawn') return { state: 'cancelled', done: 0, running: 0, because: d.because };
@@ -190,7 +190,7 @@
 
   private inheritedBy(job: JobRecord): Pick<JobStatus, 'inherited'> {
     const { dependencies, clock } = this.context;
-    const urgency = dependencies.all().inherited.get(job.spec.id);
+    const urgency = dependencies.current().inherited.get(job.spec.id);
     if (urgency === undefined) return {};
     const { priority, dueMs } = urgency;
     return { inherited: { priority, dueInS: dueMs === null ? null : (dueMs - clock.wallClock()) / 1000 } };
--- a/src/controller/leader/fleet-planner.ts
+++ b/src/controller/leader/fleet-planner.ts
@@ -1,7 +1,7 @@
 /** Plans the fleet: which machines change slice, which are rented and which are returned. */
-import { planFleet, type FleetPlan, type Reserve } from '../../core/fleet.js';
-import { Forecast } from '../../core/forecast.js';
-import { typeAllowed } from '../../core/jobs.js';
+import { planScaling, type ScalingPlan, type Headroom } from '../../core/fleet.js';
+import { DemandForecast } from '../../core/forecast.js';
+import { allowsMachineType } from '../../core/jobs.js';
 import {
   fitsWithin,
   type JobRecord,
@@ -16,51 +16,55 @@
 import type { MisroutedAgents } from './strayed-machines.js';
 
 /** Less room than this in a record is too little for another job's tasks. */
-const FULL_RECORD = 300;
+const MIN_RECORD_BYTES_LEFT = 300;
 /** The boot time of a type that is not known any more. */
-const USUAL_BOOT_S = 60;
+const DEFAULT_BOOT_S = 60;
 /** Beyond the factor that operators set, a boot that never ends is given up so much later. */
-const LOST_BOOT_EXTRA_S = 30;
+const LOST_BOOT_GRACE_S = 30;
 
 /** A job that fails everywhere after so many tries is hardly one that only met faulty machines. */
-const ROUNDS_WORTH_RENTING = 2;
+const MAX_FAILED_ROUNDS_WITH_RENTALS = 2;
 
 /** Makes the leader's plan from the view, the forecast and what is known of machines. */
-export class FleetPlanner {
+export class ScalingPlanner {
   private readonly emptySince = new Map<MachineName, MonotonicMs>();
-  private readonly forecast: Forecast;
+  private readonly forecast: DemandForecast;
 
   constructor(
     private readonly context: ControllerContext,
-    private readonly strayed: MisroutedAgents,
+    private readonly misroutedAgents: MisroutedAgents,
     private readonly rentals: Rentals,
   ) {
     const { forecast_window_s, spare_spread, overhead_s } = context.operator.fleet;
-    this.forecast = new Forecast({ windowS: forecast_window_s, spread: spare_spread, overheadS: overhead_s });
+    this.forecast = new DemandForecast({
+      windowS: forecast_window_s,
+      spread: spare_spread,
+      overheadS: overhead_s,
+    });
   }
 
-  plan(): FleetPlan {
+  plan(): ScalingPlan {
     const { context } = this;
     const { view } = context;
     const machines = [...view.machines.values()];
     this.noteEmpty(machines);
-    const plan = planFleet({
-      jobs: context.dependencies.all().startable.filter((j) => this.deservesRoom(j)),
+    const plan = planScaling({
+      jobs: context.dependencies.current().startable.filter((j) => this.deservesRoom(j)),
       machines,
       rentals: view.rentals.values(),
       ledger: context.allocations(),
       types: view.types ?? [],
-      owners: new Map([...view.teams].map(([team, r]) => [team, r.owner])),
+      shardByTeam: new Map([...view.teams].map(([team, r]) => [team, r.owner])),
       order: context.order(),
-      usable: (m) => this.isUsable(m),
-      movable: (m) => (m.heard ?? 0) >= view.fencingTokenOf(m) && !this.strayed.isMisrouted(m.name),
-      yields: context.yielding(),
-      mayHold: (j) => context.mayHold(j),
-      reserve: this.reserve(),
-      available: (type, zone, spot) => this.rentals.isAvailable(type, zone, spot),
-      idle: (m) => this.isIdle(m),
+      isUsable: (m) => this.isUsable(m),
+      isMovable: (m) => (m.heard ?? 0) >= view.fencingTokenOf(m) && !this.misroutedAgents.isMisrouted(m.name),
+      leavesWholeMachinesToGangs: context.gangWholeMachinePolicy(),
+      mayReserve: (j) => context.mayReserve(j),
+      headroom: this.headroom(),
+      isAvailable: (type, zone, spot) => this.rentals.isAvailable(type, zone, spot),
+      isIdle: (m) => this.isIdle(m),
     });
-    return { ...plan, releases: [...machines.filter((m) => this.isUseless(m)), ...plan.releases] };
+    return { ...plan, releases: [...machines.filter((m) => this.shouldRelease(m)), ...plan.releases] };
   }
 
   ageS(m: MachineRecord): number {
@@ -68,7 +72,7 @@
   }
 
   private bootS(m: MachineRecord): number {
-    return this.context.types.get(m.type)?.bootS ?? USUAL_BOOT_S;
+    return this.context.types.get(m.type)?.bootS ?? DEFAULT_BOOT_S;
   }
 
   private noteEmpty(machines: readonly MachineRecord[]): void {
@@ -81,23 +85,25 @@
   }
 
   /** It never came up, or is drained and empty. */
-  private isUseless(m: MachineRecord): boolean {
+  private shouldRelease(m: MachineRecord): boolean {
     const { lost_boot_factor } = this.context.operator.fleet;
-    if (m.phase === 'booting') return this.ageS(m) > this.bootS(m) * lost_boot_factor + LOST_BOOT_EXTRA_S;
+    if (m.phase === 'booting') return this.ageS(m) > this.bootS(m) * lost_boot_factor + LOST_BOOT_GRACE_S;
     return m.phase === 'up' && m.drain === true && m.placed.length === 0;
   }
 
   /** What fails wherever it runs gets room of its own for its first tries; later ones use what is free. */
   private deservesRoom({ failing }: JobRecord): boolean {
     if (failing === undefined) return true;
-    return failing.rounds <= ROUNDS_WORTH_RENTING && failing.until <= this.context.clock.wallClock();
+    return (
+      failing.rounds <= MAX_FAILED_ROUNDS_WITH_RENTALS && failing.until <= this.context.clock.wallClock()
+    );
   }
 
   private isUsable(m: MachineRecord): boolean {
     const { context } = this;
     if (m.drain === true) return false;
     // A machine whose record is full takes nothing more, however much of it is free.
-    if (m.placed.length > 0 && context.recordRoom(m) <= FULL_RECORD) return false;
+    if (m.placed.length > 0 && context.recordBytesLeft(m) <= MIN_RECORD_BYTES_LEFT) return false;
     // Its owner does not reach it, so what is free on it is of no use now.
     if (context.proxyOf(m) !== null) return false;
     if (m.phase === 'booting') return this.ageS(m) < this.bootS(m) * context.operator.fleet.late_boot_factor;
@@ -113,31 +119,31 @@
     );
   }
 
-  private reserve(): Reserve[] {
+  private headroom(): Headroom[] {
     const { context } = this;
     const underWay = new Map<string, number>();
     // A job that waits for others is no work yet: it arrives when the last of them is done.
-    for (const j of context.dependencies.all().startable) {
+    for (const j of context.dependencies.current().startable) {
       // What fails wherever it runs says nothing about the room that its class needs.
       if (j.failing !== undefined) continue;
-      this.forecast.arrived(j.spec, j.submitted / 1000);
+      this.forecast.recordArrival(j.spec, j.submitted / 1000);
       const left = j.spec.tasks - j.done.count;
       underWay.set(j.spec.class, (underWay.get(j.spec.class) ?? 0) + left);
     }
     const typeOf = (spec: JobSpec): MachineType | undefined =>
       [...context.types.values()].find(
-        (t) => typeAllowed(spec, t.name) && fitsWithin(spec.demand, t.capacity),
+        (t) => allowsMachineType(spec, t.name) && fitsWithin(spec.demand, t.capacity),
       );
     return [
-      ...this.forecast.reserve(context.clock.wallClock() / 1000, underWay, typeOf),
-      ...this.spareForLoss(),
+      ...this.forecast.headroom(context.clock.wallClock() / 1000, underWay, typeOf),
+      ...this.serviceHeadroom(),
     ];
   }
 
   /** Services are wanted all the time: room for those of any one machine, should it be lost. */
-  private spareForLoss(): Reserve[] {
+  private serviceHeadroom(): Headroom[] {
     const { view } = this.context;
-    let most: Reserve | null = null;
+    let most: Headroom | null = null;
     for (const m of view.machines.values()) {
       const services = m.placed.filter((p) => p.kind === 'service' && p.stop !== true);
       const tasks = services.reduce((n, p) => n + p.tasks.length, 0);
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -20,7 +20,7 @@
 import type { Membership } from '../membership.js';
 import { Notification } from '../notification.js';
 import { CloudInventory } from './cloud-inventory.js';
-import { FleetPlanner } from './fleet-planner.js';
+import { ScalingPlanner } from './fleet-planner.js';
 import { LeaderTransactions } from './leader-transactions.js';
 import { Rentals, markForReturn } from './rentals.js';
 import { MisroutedAgents } from './strayed-machines.js';
@@ -39,11 +39,11 @@
 export class Leader {
   private readonly notification: Notification;
   private readonly transactions: LeaderTransactions;
-  private readonly unknown: UnregisteredMachines;
+  private readonly unregisteredMachines: UnregisteredMachines;
   private readonly inventory: CloudInventory;
   private readonly rentals: Rentals;
-  private readonly strayed: MisroutedAgents;
-  private readonly planner: FleetPlanner;
+  private readonly misroutedAgents: MisroutedAgents;
+  private readonly planner: ScalingPlanner;
   private leadingSince: MonotonicMs | null = null;
   private planMs = 0;
 
@@ -54,13 +54,20 @@
   ) {
     this.notification = new Notification(context.clock);
     this.transactions = new LeaderTransactions(context, membership);
-    this.unknown = new UnregisteredMachines(context);
-    this.inventory = new CloudInventory(context, membership, cloud, this.transactions, this.unknown, () => {
-      this.notification.notify();
-    });
+    this.unregisteredMachines = new UnregisteredMachines(context);
+    this.inventory = new CloudInventory(
+      context,
+      membership,
+      cloud,
+      this.transactions,
+      this.unregisteredMachines,
+      () => {
+        this.notification.notify();
+      },
+    );
     this.rentals = new Rentals(context, cloud, this.transactions);
-    this.strayed = new MisroutedAgents(context);
-    this.planner = new FleetPlanner(context, this.strayed, this.rentals);
+    this.misroutedAgents = new MisroutedAgents(context);
+    this.planner = new ScalingPlanner(context, this.misroutedAgents, this.rentals);
     context.listeners.push(({ sessions, leader, jobs }) => {
       if (sessions.size > 0 || leader || jobs.size > 0) this.notification.notify();
     });
@@ -68,7 +75,7 @@
 
   /** A worker that no record knows has reported to this controller. */
   recordUnregistered(heartbeat: Heartbeat): void {
-    if (this.unknown.recordHeartbeat(heartbeat)) this.notification.notify();
+    if (this.unregisteredMachines.recordHeartbeat(heartbeat)) this.notification.notify();
   }
 
   async run(): Promise<never> {
@@ -81,7 +88,7 @@
       pauseMs = PAUSE_MS;
       if (!context.watcher.isReady || !this.membership.isLeader) {
         this.leadingSince = null;
-        this.unknown.clear();
+        this.unregisteredMachines.clear();
         continue;
       }
       this.leadingSince ??= context.clock.now();
@@ -107,7 +114,7 @@
     if (!(await this.assignShards(shards, live))) return;
     await this.inventory.registerMachines(shards);
     this.inventory.startReleases();
-    await this.resizeFleet(shards);
+    await this.scaleFleet(shards);
   }
 
   private liveControllers(): LiveController[] {
@@ -119,13 +126,13 @@
         node,
         incarnation,
         sessionAgeS: (now - (context.sessionSince.get(node) ?? now)) / 1000,
-        canReachAgents: this.strayed.canReachAgents(node) && draining !== true,
+        canReachAgents: this.misroutedAgents.canReachAgents(node) && draining !== true,
       });
     return live.sort((a, b) => (a.node < b.node ? -1 : 1));
   }
 
   private async moveMisroutedMachines(live: readonly LiveController[]): Promise<boolean> {
-    const moves = this.strayed.update(live);
+    const moves = this.misroutedAgents.update(live);
     const operations = moves.map(({ machine, to }) =>
       this.moveOperation(machine, to, 'reaches only that one'),
     );
@@ -165,7 +172,7 @@
     return operations.length === 0 || this.transactions.commitEach(operations, REQUEST_PRIORITY.session);
   }
 
-  private async resizeFleet(shards: readonly NodeName[]): Promise<void> {
+  private async scaleFleet(shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
     const start = context.clock.now();
     const plan = this.planner.plan();
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -1,6 +1,6 @@
 /** Rents machines: each request is committed before the cloud is asked, so that nothing is ever rented twice. */
 import { key } from '../../core/keys.js';
-import type { RentalNeed } from '../../core/fleet.js';
+import type { RentalRequest } from '../../core/fleet.js';
 import { jsonBytes } from '../../core/records.js';
 import {
   NO_VERSION,
@@ -70,7 +70,7 @@
   }
 
   /** Begins to rent unless that is under way. */
-  start(needs: readonly RentalNeed[], shards: readonly NodeName[]): void {
+  start(needs: readonly RentalRequest[], shards: readonly NodeName[]): void {
     if (this.busy) return;
     if (needs.length === 0 && this.context.view.rentals.size === 0) return;
     this.busy = true;
@@ -83,7 +83,7 @@
       });
   }
 
-  private async rent(needs: readonly RentalNeed[], shards: readonly NodeName[]): Promise<void> {
+  private async rent(needs: readonly RentalRequest[], shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
     // Rentals that an earlier round, or an earlier leader, decided and did not bring to an end: their names
     // give the same answer again, so nothing is rented twice.
@@ -96,7 +96,7 @@
         type,
         zone,
         spot,
-        owners: list.slice(0, this.mostAtOnce(shards)).map((need) => need.owner),
+        owners: list.slice(0, this.mostAtOnce(shards)).map((need) => need.shard),
       };
       const k = key.rental(rental.name);
       const group = {
@@ -152,8 +152,8 @@
   }
 }
 
-function byKind(needs: readonly RentalNeed[]): Map<string, RentalNeed[]> {
-  const kinds = new Map<string, RentalNeed[]>();
+function byKind(needs: readonly RentalRequest[]): Map<string, RentalRequest[]> {
+  const kinds = new Map<string, RentalRequest[]>();
   for (const need of needs) {
     const list = kinds.get(kindOf(need));
     if (list === undefined) kinds.set(kindOf(need), [need]);
--- a/src/controller/owner/job-reconciler.ts
+++ b/src/controller/owner/job-reconciler.ts
@@ -122,7 +122,7 @@
     const { context } = this;
     const totals = context.allocations();
     const groups: ChangeSet[] = [];
-    for (const [id, dependency] of context.dependencies.all().of) {
+    for (const [id, dependency] of context.dependencies.current().byJob) {
       if (groups.length >= MAX_DEPENDENTS_PER_PASS) break;
       if (dependency.kind !== 'withdrawn') continue;
       const job = context.view.jobs.get(id);
@@ -136,7 +136,7 @@
   private finishCancelled(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations();
-    const dependencies = context.dependencies.all().of;
+    const dependencies = context.dependencies.current().byJob;
     const groups: ChangeSet[] = [];
     for (const job of context.view.jobs.values()) {
       const { id, team } = job.spec;
--- a/src/controller/owner/machine-reconciler.ts
+++ b/src/controller/owner/machine-reconciler.ts
@@ -89,7 +89,7 @@
       });
     context.log.info(
       {
-        task: context.task(placed.job, index),
+        task: context.taskId(placed.job, index),
         attempt: placed.attempt,
         machine: machine.name,
         token: memory.token,
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/owner/machine-sessions.ts
@@ -107,7 +107,7 @@
     const { context } = this;
     for (const command of sent) {
       const { op, job, index, attempt } = command;
-      context.log.debug({ op, task: context.task(job, index), attempt, machine, token }, 'command');
+      context.log.debug({ op, task: context.taskId(job, index), attempt, machine, token }, 'command');
       if (context.events.isActive) context.events.emit({ kind: 'command_sent', machine, command });
     }
   }
--- a/src/controller/owner/preemptor.ts
+++ b/src/controller/owner/preemptor.ts
@@ -5,11 +5,11 @@
 import { key } from '../../core/keys.js';
 import type { WaitReason } from '../../core/placement.js';
 import {
-  pickGangVictims,
-  pickVictims,
-  stopped,
-  withinGuarantee,
-  type PreemptInput,
+  selectGangVictims,
+  selectVictims,
+  markStopping,
+  isWithinGuarantee,
+  type PreemptionInput,
 } from '../../core/preemption.js';
 import type {
   JobId,
@@ -52,7 +52,7 @@
   preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, shard: readonly MachineRecord[]): ChangeSet[] {
     const { context } = this;
     this.forgetOld(waitReasons);
-    const startable = new Map(context.dependencies.all().startable.map((j) => [j.spec.id, j]));
+    const startable = new Map(context.dependencies.current().startable.map((j) => [j.spec.id, j]));
     for (const [id, reason] of waitReasons) {
       if (reason !== 'no_room') continue;
       const job = startable.get(id);
@@ -78,7 +78,7 @@
   }
 
   private isEntitled({ spec }: JobRecord): boolean {
-    return withinGuarantee(this.context.teams.get(spec.team), this.context.allocations(), spec, 1);
+    return isWithinGuarantee(this.context.teams.get(spec.team), this.context.allocations(), spec, 1);
   }
 
   private mayPreempt(job: JobRecord): boolean {
@@ -94,14 +94,14 @@
   }
 
   private makeRoom(job: JobRecord, shard: readonly MachineRecord[]): ChangeSet[] {
-    const found = pickVictims(this.input(job, shard));
+    const found = selectVictims(this.input(job, shard));
     if (found === null) return [];
     return [this.stop(job, found.machine, found.victims)];
   }
 
   /** A gang starts as a whole, so that all its room is made and kept at once. */
   private makeGangRoom(job: JobRecord, shard: readonly MachineRecord[]): ChangeSet[] {
-    const places = pickGangVictims(this.input(job, shard)) ?? [];
+    const places = selectGangVictims(this.input(job, shard)) ?? [];
     const groups: ChangeSet[] = [];
     for (const { machine, victims } of places) {
       if (victims.length > 0) groups.push(this.stop(job, machine, victims));
@@ -110,16 +110,16 @@
     return groups;
   }
 
-  private input({ spec }: JobRecord, shard: readonly MachineRecord[]): PreemptInput {
+  private input({ spec }: JobRecord, shard: readonly MachineRecord[]): PreemptionInput {
     const { context } = this;
-    const taken = (m: MachineRecord) => this.claims.has(m.name);
+    const isClaimed = (m: MachineRecord) => this.claims.has(m.name);
     return {
       job: spec,
       jobs: context.view.jobs,
-      slice: shard,
+      machines: shard,
       ledger: context.allocations(),
       teams: context.teams,
-      taken,
+      isClaimed,
     };
   }
 
@@ -154,7 +154,7 @@
         'preempt',
       );
     }
-    const value: MachineRecord = { ...machine, placed: stopped(machine.placed, victims) };
+    const value: MachineRecord = { ...machine, placed: markStopping(machine.placed, victims) };
     const k = key.machine(machine.name);
     return {
       operations: [{ key: k, value, reason: 'preemption' }],
--- a/src/controller/owner/starts.ts
+++ b/src/controller/owner/starts.ts
@@ -1,6 +1,6 @@
 /** Plans which waiting tasks start on which of this controller's machines, and commits the starts. */
 import { allocationFor, addAllocation } from '../../core/placed.js';
-import { BUSY_FETCHING, schedule, type WaitReason, type Placement } from '../../core/placement.js';
+import { FETCH_RANK_BUSY, placeTasks, type WaitReason, type Placement } from '../../core/placement.js';
 import { key } from '../../core/keys.js';
 import { removeExits } from '../../core/worker-reports.js';
 import {
@@ -94,30 +94,30 @@
   private place(): readonly Placement[] {
     const { context } = this;
     const { placement } = context.operator;
-    const mine = context.dependencies.all().startable.filter((j) => context.ownsTeam(j.spec.team));
+    const mine = context.dependencies.current().startable.filter((j) => context.ownsTeam(j.spec.team));
     const ended = this.endedTasks();
     const totals = context.allocations();
     for (const { machine, allocation, isDurable } of ended)
       totals.vacate(machine, allocation, false, isDurable);
-    const { placements, waitReasons } = schedule({
+    const { placements, waitReasons } = placeTasks({
       jobs: mine.filter((j) => !this.health.isBackingOff(j)),
-      slice: this.availableMachines(),
+      machines: this.availableMachines(),
       ledger: totals,
       // A number for each start; the revision at which the team's slice got its holder is put before it below,
       // so that no attempt is ever used twice.
       newAttempt: () => attempt(++this.counter),
       fetchRank: (m, image) => this.fetchRank(m, image),
-      avoid: (job, m) => this.health.avoidsMachine(job, m) || this.preemptor.isClaimedByOther(job, m),
-      recordRoom: (name) => context.recordRoom(context.view.machines.get(name)!),
-      most: MOST_PLANNED,
-      maxMachines: this.mostMachines(),
+      isAvoided: (job, m) => this.health.avoidsMachine(job, m) || this.preemptor.isClaimedByOther(job, m),
+      recordBytesLeft: (name) => context.recordBytesLeft(context.view.machines.get(name)!),
+      maxPlacements: MOST_PLANNED,
+      maxMachines: this.maxMachines(),
       order: context.order(),
-      keepWhole: this.hasRecentGangs(),
-      yields: context.yielding(),
-      mayHold: (j) => context.mayHold(j),
-      overdue: (j) => context.clock.wallClock() - j.submitted > placement.behind_s * 1000,
-      fails: (j) => this.health.isFailingEverywhere(j),
-      hSlack: placement.h_slack,
+      preferPartlyUsedMachines: this.hasRecentGangs(),
+      leavesWholeMachinesToGangs: context.gangWholeMachinePolicy(),
+      mayReserve: (j) => context.mayReserve(j),
+      isStarving: (j) => context.clock.wallClock() - j.submitted > placement.behind_s * 1000,
+      isFailingEverywhere: (j) => this.health.isFailingEverywhere(j),
+      fitnessTolerance: placement.h_slack,
     });
     for (const { machine, allocation, isDurable } of ended)
       totals.vacate(machine, allocation, true, isDurable);
@@ -142,7 +142,7 @@
     return ended;
   }
 
-  private mostMachines(): number {
+  private maxMachines(): number {
     return Math.max(LEAST_MACHINES, Math.min(MOST_MACHINES, this.context.state.writesWithin(PASS_MS)));
   }
 
@@ -164,7 +164,7 @@
     for (const p of machine.placed) {
       const other = this.context.view.jobs.get(p.job)?.spec.image;
       if (other === image) return 1;
-      if (other !== undefined && !this.health.hasImage(machine, other)) rank = BUSY_FETCHING;
+      if (other !== undefined && !this.health.hasImage(machine, other)) rank = FETCH_RANK_BUSY;
     }
     return rank;
   }
@@ -240,14 +240,14 @@
     if (context.events.isActive) context.events.emit({ kind: 'task_placed', task, team });
     context.log.info(
       {
-        task: context.task(id, p.index),
+        task: context.taskId(id, p.index),
         team,
         attempt: full,
         machine: p.machine.name,
         token: context.view.fencingTokenOf(p.machine),
         share: Number(p.share.toPrecision(5)),
-        h: Number(p.h.toPrecision(5)),
-        fetch: p.fetch,
+        h: Number(p.fitness.toPrecision(5)),
+        fetch: p.fetchRank,
       },
       'place',
     );
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -1,6 +1,6 @@
 /** What an operator sees: who holds what, how the teams stand to one another, and why jobs wait. */
 import { CPU, GPU, NO_RESOURCES, MICRO_UNITS, type ResourceVector } from '../core/types.js';
-import type { Dependency } from '../core/dependencies.js';
+import type { DependencyStatus } from '../core/dependencies.js';
 import { key } from '../core/keys.js';
 import type { ControllerContext } from './context.js';
 import { leaderOf } from './leader/leader.js';
@@ -9,7 +9,7 @@
 /** Lists are cut to this length, so that an answer stays readable and small. */
 const MOST = 200;
 
-const waitsFor = (d: Exclude<Dependency, { kind: 'ready' }>) =>
+const waitsFor = (d: Exclude<DependencyStatus, { kind: 'ready' }>) =>
   d.kind === 'blocked'
     ? `waits for ${d.by.join(', ')}`
     : d.kind === 'unknown'
@@ -28,7 +28,7 @@
     const tasks = j.spec.tasks - j.done.count - placed;
     if (tasks <= 0) return [];
     const { id, team, kind, priority } = j.spec;
-    const need = context.dependencies.all().of.get(id);
+    const need = context.dependencies.current().byJob.get(id);
     const why =
       need !== undefined && need.kind !== 'ready'
         ? waitsFor(need)
@@ -69,7 +69,7 @@
       drain: m.drain === true,
       answeredBy: context.proxyOf(m) ?? context.holderOf(m),
       free: amounts(totals.freeByMachine.get(m.name) ?? NO_RESOURCES),
-      tasks: m.placed.flatMap((p) => p.tasks.map((i) => context.task(p.job, i))),
+      tasks: m.placed.flatMap((p) => p.tasks.map((i) => context.taskId(p.job, i))),
     })),
     waiting: waiting.sort((a, b) => b.waitsS - a.waitsS).slice(0, MOST),
   };
--- a/src/core/dependencies.ts
+++ b/src/core/dependencies.ts
@@ -13,7 +13,7 @@
 } from './types.js';
 
 /** Whether a job that names others may start. */
-export type Dependency =
+export type DependencyStatus =
   /** All needed jobs are done; since when, as far as their final states tell. */
   | { readonly kind: 'ready'; readonly since: WallClockMs }
   /** Some are unfinished; of the others, those whose final states are not read yet may have been cancelled. */
@@ -24,9 +24,9 @@
   | { readonly kind: 'withdrawn'; readonly because: JobId };
 
 /** What follows from the records for all unfinished jobs. */
-export interface Dependencies {
+export interface DependencyGraph {
   /** By job that names others; one that names none is not in it. */
-  readonly of: ReadonlyMap<JobId, Dependency>;
+  readonly byJob: ReadonlyMap<JobId, DependencyStatus>;
   /** What jobs inherit from those that need them. */
   readonly inherited: ReadonlyMap<JobId, EffectiveUrgency>;
   /** Unfinished jobs as they are to be scheduled: those that may start, with what they inherit. */
@@ -36,28 +36,28 @@
 /** The records, and what is known beside them. */
 export interface DependencyInput {
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
-  readonly final: (id: JobId) => FinalRecord | undefined;
+  readonly finalState: (id: JobId) => FinalRecord | undefined;
   /** It has tasks on machines: its needs were found done before, and done is for ever. */
-  readonly started: (job: JobRecord) => boolean;
+  readonly hasStarted: (job: JobRecord) => boolean;
   /** How long a task of the job takes, for what must lie between two deadlines. */
   readonly runMs: (job: JobRecord) => number;
 }
 
 const NO_NEEDS: readonly JobId[] = [];
 /** The jobs that a job names. */
-export const needsOf = (job: JobRecord): readonly JobId[] => job.spec.needs ?? NO_NEEDS;
+export const dependenciesOf = (job: JobRecord): readonly JobId[] => job.spec.needs ?? NO_NEEDS;
 
 /** The jobs that name others, each after those that it names: however long a chain is, nothing recurses. */
-function inOrder(list: Iterable<JobRecord>, jobs: ReadonlyMap<JobId, JobRecord>): JobRecord[] {
+function topologicalOrder(list: Iterable<JobRecord>, jobs: ReadonlyMap<JobId, JobRecord>): JobRecord[] {
   const missing = new Map<JobId, number>();
   const waiting = new Map<JobId, JobRecord[]>();
   const out: JobRecord[] = [];
   for (const j of list) {
-    if (needsOf(j).length === 0) continue;
+    if (dependenciesOf(j).length === 0) continue;
     let n = 0;
-    for (const id of needsOf(j)) {
+    for (const id of dependenciesOf(j)) {
       const need = jobs.get(id);
-      if (need === undefined || needsOf(need).length === 0) continue;
+      if (need === undefined || dependenciesOf(need).length === 0) continue;
       n++;
       const list = waiting.get(id);
       if (list === undefined) waiting.set(id, [j]);
@@ -75,19 +75,23 @@
   return out;
 }
 
-function judgeOne(job: JobRecord, of: ReadonlyMap<JobId, Dependency>, input: DependencyInput): Dependency {
+function resolveOne(
+  job: JobRecord,
+  of: ReadonlyMap<JobId, DependencyStatus>,
+  input: DependencyInput,
+): DependencyStatus {
   let since = job.submitted;
   const by: JobId[] = [];
   const unread: JobId[] = [];
-  const begun = job.done.count > 0 || input.started(job);
-  for (const id of needsOf(job)) {
+  const begun = job.done.count > 0 || input.hasStarted(job);
+  for (const id of dependenciesOf(job)) {
     if (input.jobs.has(id)) {
       const before = of.get(id);
       if (before?.kind === 'withdrawn') return before;
       by.push(id);
       continue;
     }
-    const final = input.final(id);
+    const final = input.finalState(id);
     if (final === undefined) unread.push(id);
     else if (final.state === 'cancelled') return { kind: 'withdrawn', because: final.because ?? id };
     else if (final.at !== undefined && final.at > since) since = final.at;
@@ -98,22 +102,25 @@
   return { kind: 'ready', since };
 }
 
-function judgeAll(ordered: readonly JobRecord[], input: DependencyInput): Map<JobId, Dependency> {
-  const of = new Map<JobId, Dependency>();
-  for (const j of ordered) of.set(j.spec.id, judgeOne(j, of, input));
+function resolveAll(ordered: readonly JobRecord[], input: DependencyInput): Map<JobId, DependencyStatus> {
+  const of = new Map<JobId, DependencyStatus>();
+  for (const j of ordered) of.set(j.spec.id, resolveOne(j, of, input));
   return of;
 }
 
 /** Needed jobs that are over and whose final states have to be read to decide about the job. */
-export const unreadOf = (dependency: Dependency): readonly JobId[] =>
+export const unreadFinalStates = (dependency: DependencyStatus): readonly JobId[] =>
   dependency.kind === 'blocked' || dependency.kind === 'unknown' ? dependency.unread : [];
 
 /** The job and the unfinished ones that it needs, through any depth. */
-export function chainOf(job: JobRecord, jobs: ReadonlyMap<JobId, JobRecord>): ReadonlySet<JobRecord> {
+export function transitiveDependencies(
+  job: JobRecord,
+  jobs: ReadonlyMap<JobId, JobRecord>,
+): ReadonlySet<JobRecord> {
   const found = new Set<JobRecord>([job]);
   // A set is gone through in the order of its entries, those added on the way too.
   for (const j of found)
-    for (const id of needsOf(j)) {
+    for (const id of dependenciesOf(j)) {
       const need = jobs.get(id);
       if (need !== undefined) found.add(need);
     }
@@ -121,8 +128,8 @@
 }
 
 /** Whether one job may start, waits, or is to be withdrawn. */
-export const judgeNeeds = (job: JobRecord, input: DependencyInput): Dependency | undefined =>
-  judgeAll(inOrder(chainOf(job, input.jobs), input.jobs), input).get(job.spec.id);
+export const resolveDependency = (job: JobRecord, input: DependencyInput): DependencyStatus | undefined =>
+  resolveAll(topologicalOrder(transitiveDependencies(job, input.jobs), input.jobs), input).get(job.spec.id);
 
 /** How urgent a job is, those that need it included. */
 export interface EffectiveUrgency {
@@ -148,7 +155,7 @@
  */
 function inheritUrgency(
   ordered: readonly JobRecord[],
-  of: ReadonlyMap<JobId, Dependency>,
+  of: ReadonlyMap<JobId, DependencyStatus>,
   input: DependencyInput,
 ): Map<JobId, EffectiveUrgency> {
   const inherited = new Map<JobId, EffectiveUrgency>();
@@ -157,7 +164,7 @@
     if (job.phase !== 'active' || of.get(job.spec.id)?.kind === 'withdrawn') continue;
     const { priority, dueMs } = mostUrgent(ownUrgency(job), inherited.get(job.spec.id));
     const asks = { priority, dueMs: dueMs === null ? null : dueMs - input.runMs(job) };
-    for (const id of needsOf(job))
+    for (const id of dependenciesOf(job))
       if (input.jobs.has(id)) inherited.set(id, mostUrgent(asks, inherited.get(id)));
   }
   return inherited;
@@ -171,19 +178,19 @@
 }
 
 /** What the records and the final states read so far say of all unfinished jobs. */
-export function judgeDependencies(input: DependencyInput): Dependencies {
+export function resolveDependencies(input: DependencyInput): DependencyGraph {
   const { jobs } = input;
-  const ordered = inOrder(jobs.values(), jobs);
-  const of = judgeAll(ordered, input);
-  const inherited = inheritUrgency(ordered, of, input);
+  const ordered = topologicalOrder(jobs.values(), jobs);
+  const byJob = resolveAll(ordered, input);
+  const inherited = inheritUrgency(ordered, byJob, input);
   const startable: JobRecord[] = [];
   for (const job of jobs.values()) {
-    const dependency = of.get(job.spec.id);
+    const dependency = byJob.get(job.spec.id);
     if (dependency !== undefined && dependency.kind !== 'ready') continue;
     const from = inherited.get(job.spec.id);
     const asItStands = dependency === undefined && from === undefined;
     const since = dependency?.since ?? job.submitted;
     startable.push(asItStands ? job : withUrgency(job, since, mostUrgent(ownUrgency(job), from)));
   }
-  return { of, inherited, startable };
+  return { byJob, inherited, startable };
 }
--- a/src/core/fleet-reclaim.ts
+++ b/src/core/fleet-reclaim.ts
@@ -1,14 +1,14 @@
 /** Which machines change slice with low-priority work on them, for work of higher priority that the cloud has no room for. */
-import type { Bin, FleetInput, Want } from './fleet.js';
-import { typeAllowed } from './jobs.js';
+import type { PackingBin, ScalingInput, PendingDemand } from './fleet.js';
+import { allowsMachineType } from './jobs.js';
 import { PRIORITY_RANK, tasksThatFit, type NodeName, type Allocation, type Zone } from './types.js';
 
 /** Moves cost changes of the state service, and a plan is made every second or so. */
-const MOST_RECLAIMED = 6;
+const MAX_RECLAIMED_PER_PLAN = 6;
 
 /** Tasks for which neither a slice nor the cloud has room. */
-export interface RefusedWant {
-  readonly want: Want;
+export interface UnmetDemand {
+  readonly demand: PendingDemand;
   readonly tasks: number;
 }
 
@@ -20,36 +20,37 @@
  * Machines to move so that their new owner can stop what is on them, which only an owner may. Without it the background
  * work of a team without a guarantee kept whole machines for minutes that gangs of high priority waited for.
  */
-export function reclaimed(
-  input: FleetInput,
-  bins: readonly Bin[],
-  refused: readonly RefusedWant[],
-): { bin: Bin; to: NodeName }[] {
+export function reclaimMachines(
+  input: ScalingInput,
+  bins: readonly PackingBin[],
+  refused: readonly UnmetDemand[],
+): { bin: PackingBin; to: NodeName }[] {
   const types = new Map(input.types.map((t) => [t.name, t]));
-  const out: { bin: Bin; to: NodeName }[] = [];
-  for (const { want, tasks } of refused) {
-    const { spec, node } = want;
+  const out: { bin: PackingBin; to: NodeName }[] = [];
+  for (const { demand, tasks } of refused) {
+    const { spec, shard } = demand;
     if (PRIORITY_RANK[spec.priority] >= PRIORITY_RANK.normal) continue;
-    const places = (b: Bin): number => {
-      if (b.owner === node || b.real?.phase !== 'up' || !input.movable(b.real)) return 0;
-      if (!isReclaimable(b.real.placed) || out.some((x) => x.bin === b)) return 0;
-      if (!typeAllowed(spec, b.type) || (b.spot && !spec.spot) || (spec.zone ?? b.zone) !== b.zone) return 0;
+    const places = (b: PackingBin): number => {
+      if (b.shard === shard || b.machine?.phase !== 'up' || !input.isMovable(b.machine)) return 0;
+      if (!isReclaimable(b.machine.placed) || out.some((x) => x.bin === b)) return 0;
+      if (!allowsMachineType(spec, b.type) || (b.spot && !spec.spot) || (spec.zone ?? b.zone) !== b.zone)
+        return 0;
       return tasksThatFit(spec.demand, types.get(b.type)!.capacity);
     };
-    const zone = want.zone ?? (spec.oneZone ? zoneWithMost(bins, places) : null);
+    const zone = demand.zone ?? (spec.oneZone ? zoneWithMost(bins, places) : null);
     let left = tasks;
     for (const bin of bins) {
-      if (left <= 0 || out.length >= MOST_RECLAIMED) break;
+      if (left <= 0 || out.length >= MAX_RECLAIMED_PER_PLAN) break;
       const n = zone === null || bin.zone === zone ? places(bin) : 0;
       if (n === 0) continue;
-      out.push({ bin, to: node });
+      out.push({ bin, to: shard });
       left -= n;
     }
   }
   return out;
 }
 
-function zoneWithMost(bins: readonly Bin[], places: (b: Bin) => number): Zone | null {
+function zoneWithMost(bins: readonly PackingBin[], places: (b: PackingBin) => number): Zone | null {
   const sums = new Map<Zone, number>();
   for (const b of bins) sums.set(b.zone, (sums.get(b.zone) ?? 0) + places(b));
   let best: Zone | null = null;
--- a/src/core/forecast.ts
+++ b/src/core/forecast.ts
@@ -3,7 +3,7 @@
  * there before it comes. Per class of jobs: arrivals are counted over a window, and the tasks under way at once
  * are taken for a compound Poisson sum, whose mean and spread follow from Little's law.
  */
-import type { Reserve } from './fleet.js';
+import type { Headroom } from './fleet.js';
 import type { JobId, JobSpec, MachineType } from './types.js';
 
 interface Arrival {
@@ -12,7 +12,7 @@
 }
 
 /** Over which time arrivals are counted, and how much room is kept. */
-export interface ForecastOptions {
+export interface DemandForecastOptions {
   readonly windowS: number;
   /** How many standard deviations above the mean are kept. */
   readonly spread: number;
@@ -21,14 +21,14 @@
 }
 
 /** Counts arrivals by class and says how much room to keep for those to come. */
-export class Forecast {
+export class DemandForecast {
   private readonly classes = new Map<string, Arrival[]>();
   private readonly seen = new Set<JobId>();
   private startS: number | null = null;
 
-  constructor(private readonly options: ForecastOptions) {}
+  constructor(private readonly options: DemandForecastOptions) {}
 
-  arrived(spec: JobSpec, atS: number): void {
+  recordArrival(spec: JobSpec, atS: number): void {
     if (this.seen.has(spec.id)) return;
     this.seen.add(spec.id);
     this.startS = Math.min(this.startS ?? atS, atS);
@@ -38,13 +38,13 @@
   }
 
   /** Room to keep beside the tasks that are waiting or placed now (`underWay`, by class). */
-  reserve(
+  headroom(
     nowS: number,
     underWay: ReadonlyMap<string, number>,
     type: (spec: JobSpec) => MachineType | undefined,
-  ): Reserve[] {
+  ): Headroom[] {
     const { windowS, spread, overheadS } = this.options;
-    const out: Reserve[] = [];
+    const out: Headroom[] = [];
     for (const [name, all] of this.classes) {
       const list = all.filter((a) => a.atS > nowS - windowS);
       for (const a of all) if (a.atS <= nowS - windowS) this.seen.delete(a.spec.id);
--- a/src/core/jobs.ts
+++ b/src/core/jobs.ts
@@ -17,10 +17,10 @@
  * Only this many tasks beyond the first unfinished one may be under way. It bounds the bitmap of a job with
  * 100,000 tasks, whose record must stay below the state service's limit for a value.
  */
-export const WINDOW = 8192;
+export const TASK_WINDOW = 8192;
 
 /** The results of a job that has none. */
-export const NONE_DONE: DoneSet = { base: 0, bits: '', count: 0 };
+export const NO_TASKS_DONE: DoneSet = { base: 0, bits: '', count: 0 };
 
 /** Whether the task is done. */
 export function isDone(set: DoneSet, index: TaskIndex): boolean {
@@ -33,13 +33,13 @@
 
 /** The results with further tasks done; throws where one lies beyond the window. */
 export function markDone(set: DoneSet, indexes: Iterable<TaskIndex>): DoneSet {
-  const bytes = Buffer.alloc(WINDOW >> 3);
+  const bytes = Buffer.alloc(TASK_WINDOW >> 3);
   Buffer.from(set.bits, 'base64').copy(bytes);
   let count = set.count;
   for (const index of indexes) {
     const at = index - set.base;
     if (at < 0) continue;
-    if (at >= WINDOW) throw new Error(`task ${index} lies beyond the window of its job`);
+    if (at >= TASK_WINDOW) throw new Error(`task ${index} lies beyond the window of its job`);
     const bit = 1 << (at & 7);
     if ((bytes[at >> 3]! & bit) !== 0) continue;
     bytes[at >> 3]! |= bit;
@@ -53,10 +53,10 @@
 }
 
 /** The tasks that may be started, as far as the job alone can tell, in order. */
-export function* openTasks(job: JobRecord): Generator<TaskIndex> {
+export function* unfinishedTasks(job: JobRecord): Generator<TaskIndex> {
   const { spec, done } = job;
   const bytes = Buffer.from(done.bits, 'base64');
-  const end = Math.min(spec.tasks, done.base + WINDOW);
+  const end = Math.min(spec.tasks, done.base + TASK_WINDOW);
   for (let i = done.base; i < end; i++) {
     const at = i - done.base;
     if (((bytes[at >> 3] ?? 0) & (1 << (at & 7))) === 0) yield i;
@@ -64,24 +64,24 @@
 }
 
 /** Whether the job may run on machines of the type. */
-export function typeAllowed(spec: JobSpec, type: TypeName): boolean {
+export function allowsMachineType(spec: JobSpec, type: TypeName): boolean {
   return spec.types === null || spec.types.includes(type);
 }
 
 /** Whether a job could ever run, or why not. */
-export type Verdict = 'ok' | 'unknown_team' | 'fits_no_type' | 'over_limit';
+export type Feasibility = 'ok' | 'unknown_team' | 'fits_no_type' | 'over_limit';
 
 /** Whether the job could ever run. The caller must know the machine types before it asks. */
-export function judge(
+export function checkFeasibility(
   spec: JobSpec,
   teams: ReadonlyMap<TeamName, Team>,
   types: Iterable<MachineType>,
-): Verdict {
+): Feasibility {
   const team = teams.get(spec.team);
   if (team === undefined) return 'unknown_team';
   let fitting = false;
   for (const t of types) {
-    if (!typeAllowed(spec, t.name)) continue;
+    if (!allowsMachineType(spec, t.name)) continue;
     if (spec.zone !== null && !t.zones.includes(spec.zone)) continue;
     if (fitsWithin(spec.demand, t.capacity)) fitting = true;
   }
@@ -93,6 +93,6 @@
 }
 
 /** At most this many tasks of a spread job may be in one zone. */
-export function zoneCap(spec: JobSpec): number {
+export function maxTasksPerZone(spec: JobSpec): number {
   return spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
 }
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -3,8 +3,8 @@
  * its task goes to the fitting machine with the least H, and a gang goes whole or not at all.
  */
 import { fitness } from './drfh.js';
-import { openTasks, typeAllowed, zoneCap } from './jobs.js';
-import { jobOrder, type OrderContext } from './job-order.js';
+import { unfinishedTasks, allowsMachineType, maxTasksPerZone } from './jobs.js';
+import { compareJobs, type JobOrderContext } from './job-order.js';
 import type { AllocationTotals } from './ledger.js';
 import { allocationFor } from './placed.js';
 import { TASK_INDEX_BYTES, allocationBytes } from './records.js';
@@ -32,57 +32,57 @@
   readonly machine: MachineRecord;
   readonly attempt: Attempt;
   readonly share: number;
-  readonly h: number;
-  readonly fetch: number;
+  readonly fitness: number;
+  readonly fetchRank: number;
 }
 
 /** What a further record to write counts among machines that are alike otherwise: less than a fetch rank. */
-const WRITE_TIE = 0.5;
+const NEW_RECORD_PENALTY = 0.5;
 
 /** The highest fetch rank: the machine is fetching other images, which share its rate. */
-export const BUSY_FETCHING = 3;
+export const FETCH_RANK_BUSY = 3;
 
 /** What a scheduling pass needs to know. */
-export interface ScheduleInput {
+export interface PlacementInput {
   readonly jobs: Iterable<JobRecord>;
   /** Machines that new work may be put on; the ledger covers every machine. */
-  readonly slice: readonly MachineRecord[];
+  readonly machines: readonly MachineRecord[];
   readonly ledger: AllocationTotals;
   readonly newAttempt: () => Attempt;
   /** How long the machine would need for the image, as a rank: 0 where it has it. Only a tie-break beside H. */
   readonly fetchRank: (machine: MachineRecord, image: string) => number;
   /** Machines that a job should not go to again for now. */
-  readonly avoid: (job: JobId, machine: MachineName) => boolean;
+  readonly isAvoided: (job: JobId, machine: MachineName) => boolean;
   /** How many bytes a record has left for further tasks (its size is limited). */
-  readonly recordRoom: (machine: MachineName) => number;
+  readonly recordBytesLeft: (machine: MachineName) => number;
   /** So many tasks are placed at most, on so many machines: each of these is a change to write. */
-  readonly most: number;
+  readonly maxPlacements: number;
   readonly maxMachines: number;
-  readonly order: Omit<OrderContext, 'hasTasks'>;
+  readonly order: Omit<JobOrderContext, 'hasTasks'>;
   /** Leaves empty ordinary machines to gangs that wait for them, since it may use spot machines. */
-  readonly yields: (job: JobRecord) => boolean;
+  readonly leavesWholeMachinesToGangs: (job: JobRecord) => boolean;
   /** There are jobs that need whole machines, so empty ones are opened last. */
-  readonly keepWhole: boolean;
+  readonly preferPartlyUsedMachines: boolean;
   /** A gang that has waited so long that room is kept for it. */
-  readonly mayHold: (job: JobRecord) => boolean;
+  readonly mayReserve: (job: JobRecord) => boolean;
   /** The job has waited too long to be left behind a gang that waits for its team's limit. */
-  readonly overdue: (job: JobRecord) => boolean;
+  readonly isStarving: (job: JobRecord) => boolean;
   /** The job fails wherever it runs: of its tasks only one is tried at a time. */
-  readonly fails: (job: JobRecord) => boolean;
+  readonly isFailingEverywhere: (job: JobRecord) => boolean;
   /** Machines whose H differs by less than this count as fitting alike. */
-  readonly hSlack: number;
+  readonly fitnessTolerance: number;
 }
 
 /** Why a job of the team was passed over: for the status command and the logs. */
 export type WaitReason = 'team_limit' | 'no_room' | 'old_attempt' | 'behind_gang' | 'failing';
 
 /** The starts of one pass, and why the other jobs wait. */
-export interface ScheduleResult {
+export interface PlacementResult {
   readonly placements: readonly Placement[];
   readonly waitReasons: ReadonlyMap<JobId, WaitReason>;
 }
 
-interface Room {
+interface CandidateMachine {
   readonly m: MachineRecord;
   /** What its record has left, and the jobs that this pass has given an entry there. */
   bytes: number;
@@ -125,14 +125,14 @@
 
 /** Most machines are full most of the time: only those are looked at that can take the least of the demands. */
 function openRooms(
-  { slice: shard, ledger: totals, recordRoom }: ScheduleInput,
+  { machines: shard, ledger: totals, recordBytesLeft }: PlacementInput,
   least: ResourceVector | null,
-): Room[] {
+): CandidateMachine[] {
   if (least === null) return [];
   const open = shard.filter((m) => fitsWithin(least, totals.freeByMachine.get(m.name)!));
   return open.map((m) => ({
     m,
-    bytes: recordRoom(m.name),
+    bytes: recordBytesLeft(m.name),
     entries: new Set(),
     used: m.placed.length,
     fetches: new Set(),
@@ -141,25 +141,25 @@
 }
 
 /** Places waiting tasks; the ledger is left as it was. */
-export function schedule(input: ScheduleInput): ScheduleResult {
+export function placeTasks(input: PlacementInput): PlacementResult {
   const { ledger: totals } = input;
   const placements: Placement[] = [];
   const waitReasons = new Map<JobId, WaitReason>();
 
-  const order = jobOrder({ ...input.order, hasTasks: (id) => totals.jobs.has(id) });
+  const order = compareJobs({ ...input.order, hasTasks: (id) => totals.jobs.has(id) });
   const queues = queuesByTeam(input.jobs, order);
   const rooms = openRooms(input, leastDemand(queues.values()));
   const next = new Map<JobId, Iterator<TaskIndex>>();
   const attempts = new Map<JobId, Attempt>();
 
   /** For how many more of the job's tasks the record has room: those of one pass share an entry. */
-  const slots = ({ bytes, entries }: Room, spec: JobSpec): number =>
+  const slots = ({ bytes, entries }: CandidateMachine, spec: JobSpec): number =>
     Math.floor((bytes - (entries.has(spec.id) ? 0 : allocationBytes(spec))) / TASK_INDEX_BYTES);
 
-  const rankOf = (room: Room, image: string): number => {
+  const rankOf = (room: CandidateMachine, image: string): number => {
     const rank = input.fetchRank(room.m, image);
     if (rank === 0 || room.fetches.size === 0) return rank;
-    return room.fetches.has(image) ? Math.min(rank, 1) : BUSY_FETCHING;
+    return room.fetches.has(image) ? Math.min(rank, 1) : FETCH_RANK_BUSY;
   };
 
   const pick = (
@@ -169,21 +169,21 @@
     zones: Map<Zone, number>,
     yielding = false,
   ) => {
-    const cap = zoneCap(spec);
-    let best: Room | null = null;
+    const cap = maxTasksPerZone(spec);
+    let best: CandidateMachine | null = null;
     let bestH = 0;
     let bestTier = 0;
     let bestTie = 0;
     for (const room of rooms) {
       const { m } = room;
-      if (kept(room, spec) || !typeAllowed(spec, m.type) || (m.spot && !spec.spot)) continue;
+      if (kept(room, spec) || !allowsMachineType(spec, m.type) || (m.spot && !spec.spot)) continue;
       if (spec.zone !== null && m.zone !== spec.zone) continue;
       if (zone !== null && m.zone !== zone) continue;
       if ((zones.get(m.zone) ?? 0) >= cap) continue;
       const n = taken.get(m.name) ?? 0;
       if (slots(room, spec) <= n) continue;
       const free: ResourceVector = addResources(totals.freeByMachine.get(m.name)!, spec.demand, -n);
-      if (!fitsWithin(spec.demand, free) || input.avoid(spec.id, m.name)) continue;
+      if (!fitsWithin(spec.demand, free) || input.isAvoided(spec.id, m.name)) continue;
       const h = fitness(spec.demand, free, totals.fleetCapacity);
       // H decides among the machines in use. An empty one is opened only when nothing in use fits: H looks at
       // shape and not at size, and would else put something small on every machine that a gang needs whole.
@@ -194,18 +194,19 @@
       // start was a change of its own. Replicas of a service are better off apart.
       const rank = rankOf(room, spec.image);
       const written = room.entries.size > 0 || n > 0;
-      const tie = rank + (written || spec.kind === 'service' ? 0 : WRITE_TIE);
+      const tie = rank + (written || spec.kind === 'service' ? 0 : NEW_RECORD_PENALTY);
       // Where nobody needs whole machines, an empty one is better than one that is busy fetching other images.
       // Work that may use spot machines leaves the others to work that may not, while it has a choice.
       if (empty && yielding && !m.spot) continue;
       const tier =
-        (spec.spot && !m.spot ? 8 : 0) + (empty ? (input.keepWhole ? 4 : 1) : rank === BUSY_FETCHING ? 2 : 0);
+        (spec.spot && !m.spot ? 8 : 0) +
+        (empty ? (input.preferPartlyUsedMachines ? 4 : 1) : rank === FETCH_RANK_BUSY ? 2 : 0);
       const better =
         best === null ||
         tier < bestTier ||
         (tier === bestTier &&
-          (h < bestH - input.hSlack ||
-            (h < bestH + input.hSlack && (tie < bestTie || (tie === bestTie && h < bestH)))));
+          (h < bestH - input.fitnessTolerance ||
+            (h < bestH + input.fitnessTolerance && (tie < bestTie || (tie === bestTie && h < bestH)))));
       if (better) {
         best = room;
         bestH = h;
@@ -227,15 +228,15 @@
   };
 
   /** How many tasks of the job the machine could take, as far as this quick look tells. */
-  const times = (room: Room, spec: JobSpec, zone: Zone | null): number => {
+  const times = (room: CandidateMachine, spec: JobSpec, zone: Zone | null): number => {
     const { m } = room;
-    if (kept(room, spec) || !typeAllowed(spec, m.type) || (m.spot && !spec.spot)) return 0;
+    if (kept(room, spec) || !allowsMachineType(spec, m.type) || (m.spot && !spec.spot)) return 0;
     if ((zone ?? spec.zone ?? m.zone) !== m.zone) return 0;
     return Math.min(slots(room, spec), tasksThatFit(spec.demand, totals.freeByMachine.get(m.name)!));
   };
 
   /** Kept for a gang of at least the same priority. */
-  const kept = ({ heldFor }: Room, spec: JobSpec): boolean =>
+  const kept = ({ heldFor }: CandidateMachine, spec: JobSpec): boolean =>
     heldFor !== null &&
     heldFor.id !== spec.id &&
     PRIORITY_RANK[heldFor.priority] <= PRIORITY_RANK[spec.priority];
@@ -249,7 +250,7 @@
   const hold = (spec: JobSpec): void => {
     heldFor.push(spec);
     const zones: (Zone | null)[] = spec.oneZone ? [...new Set(rooms.map((r) => r.m.zone))].sort() : [null];
-    let best: Room[] = [];
+    let best: CandidateMachine[] = [];
     for (const zone of zones) {
       const fitting = rooms.filter((r) => times(r, spec, zone) > 0).slice(0, spec.tasks);
       if (fitting.length > best.length) best = fitting;
@@ -257,11 +258,18 @@
     for (const r of best) r.heldFor = spec;
   };
 
-  const put = (spec: JobSpec, index: TaskIndex, room: Room, att: Attempt, share: number, h: number) => {
-    const fetch = rankOf(room, spec.image);
-    if (fetch > 0) room.fetches.add(spec.image);
+  const put = (
+    spec: JobSpec,
+    index: TaskIndex,
+    room: CandidateMachine,
+    att: Attempt,
+    share: number,
+    h: number,
+  ) => {
+    const fetchRank = rankOf(room, spec.image);
+    if (fetchRank > 0) room.fetches.add(spec.image);
     machines.add(room.m.name);
-    placements.push({ job: spec, index, machine: room.m, attempt: att, share, h, fetch });
+    placements.push({ job: spec, index, machine: room.m, attempt: att, share, fitness: h, fetchRank });
     room.bytes -= TASK_INDEX_BYTES + (room.entries.has(spec.id) ? 0 : allocationBytes(spec));
     room.entries.add(spec.id);
     room.used++;
@@ -273,13 +281,13 @@
     if (totals.jobs.has(spec.id)) return 'old_attempt';
     if (!totals.isWithinQuota(spec.team, spec.demand, spec.tasks)) return 'team_limit';
     const zones: (Zone | null)[] = spec.oneZone ? [...new Set(rooms.map((r) => r.m.zone))].sort() : [null];
-    let best: { room: Room; h: number }[] | null = null;
+    let best: { room: CandidateMachine; h: number }[] | null = null;
     let bestH = 0;
     for (const zone of zones) {
       if (!hasRoom(spec, zone)) continue;
       const taken = new Map<MachineName, number>();
       const perZone = new Map<Zone, number>();
-      const chosen: { room: Room; h: number }[] = [];
+      const chosen: { room: CandidateMachine; h: number }[] = [];
       let sum = 0;
       while (chosen.length < spec.tasks) {
         const c = pick(spec, taken, zone, perZone);
@@ -307,7 +315,7 @@
     const { spec } = j;
     let it = next.get(spec.id);
     if (it === undefined) {
-      it = openTasks(j);
+      it = unfinishedTasks(j);
       next.set(spec.id, it);
     }
     const placement = totals.jobs.get(spec.id);
@@ -320,11 +328,11 @@
         break;
       }
     }
-    if (placement !== undefined && input.fails(j)) return 'failing';
+    if (placement !== undefined && input.isFailingEverywhere(j)) return 'failing';
     if (!totals.isWithinQuota(spec.team, spec.demand, 1)) return 'team_limit';
     const zones = placement?.tasksPerZone ?? new Map<Zone, number>();
     const only = spec.oneZone ? ([...zones].find(([, n]) => n > 0)?.[0] ?? null) : null;
-    const c = pick(spec, new Map(), only, zones, input.yields(j));
+    const c = pick(spec, new Map(), only, zones, input.leavesWholeMachinesToGangs(j));
     if (c === null) return 'no_room';
     // One number for all that this pass starts of the job: it tells this start of a task from its others, and tasks of one
     // number share an entry of their machine's record.
@@ -335,7 +343,7 @@
   };
 
   const machines = new Set<MachineName>();
-  while (queues.size > 0 && placements.length < input.most && machines.size < input.maxMachines) {
+  while (queues.size > 0 && placements.length < input.maxPlacements && machines.size < input.maxMachines) {
     let team: TeamName | null = null;
     let share = Number.POSITIVE_INFINITY;
     for (const name of queues.keys()) {
@@ -356,7 +364,7 @@
         if (j.spec.kind === 'gang') queue.shift();
       } else {
         if (why !== 'nothing_left') waitReasons.set(j.spec.id, why);
-        if (why === 'no_room' && j.spec.kind === 'gang' && heldFor.length === 0 && input.mayHold(j))
+        if (why === 'no_room' && j.spec.kind === 'gang' && heldFor.length === 0 && input.mayReserve(j))
           hold(j.spec);
         queue.shift();
         // A gang next in its team's order that waits for the team's limit only: smaller work behind it would take
@@ -370,7 +378,7 @@
         ) {
           const behind = queue.splice(0);
           for (const later of behind) {
-            if (input.overdue(later)) queue.push(later);
+            if (input.isStarving(later)) queue.push(later);
             else waitReasons.set(later.spec.id, 'behind_gang');
           }
         }
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -2,7 +2,7 @@
  * Whom to stop for a job that finds no room. Allowed are: work of lower priority, and, for a job within its
  * team's guarantee, work that another team runs beyond its own. What loses least goes first.
  */
-import { typeAllowed, zoneCap } from './jobs.js';
+import { allowsMachineType, maxTasksPerZone } from './jobs.js';
 import type { AllocationTotals } from './ledger.js';
 import {
   CPU,
@@ -21,7 +21,7 @@
 } from './types.js';
 
 /** Whether the team, with so much more, stays within what it is guaranteed. */
-export function withinGuarantee(
+export function isWithinGuarantee(
   team: Team | undefined,
   totals: AllocationTotals,
   spec: JobSpec,
@@ -33,7 +33,7 @@
   return asked.length > 0 && asked.every((r) => used[r as 0 | 2] <= team.guarantee[r as 0 | 2]);
 }
 
-function beyondGuarantee(team: Team | undefined, totals: AllocationTotals): boolean {
+function isBeyondGuarantee(team: Team | undefined, totals: AllocationTotals): boolean {
   if (team === undefined) return true;
   const used = totals.usedBy(team.name);
   // All that a team without any guarantee runs is beyond it.
@@ -44,7 +44,7 @@
 }
 
 /** What stopping loses, roughly in seconds of one task's run. */
-function loss(p: Allocation, job: JobRecord | undefined): number {
+function preemptionCost(p: Allocation, job: JobRecord | undefined): number {
   if (job === undefined) return 0;
   const { spec } = job;
   const each = spec.checkpointS > 0 ? spec.saveS + 5 : Math.max(30, spec.estimateS / 2);
@@ -53,37 +53,40 @@
 }
 
 /** What the choice of tasks to stop needs to know. */
-export interface PreemptInput {
+export interface PreemptionInput {
   readonly job: JobSpec;
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
-  readonly slice: readonly MachineRecord[];
+  readonly machines: readonly MachineRecord[];
   readonly ledger: AllocationTotals;
   readonly teams: ReadonlyMap<TeamName, Team>;
-  readonly taken: (m: MachineRecord) => boolean;
+  readonly isClaimed: (m: MachineRecord) => boolean;
 }
 
 /** One machine on which one task of the job fits once the victims are gone. */
-export function pickVictims(input: PreemptInput): { machine: MachineRecord; victims: Allocation[] } | null {
+export function selectVictims(
+  input: PreemptionInput,
+): { machine: MachineRecord; victims: Allocation[] } | null {
   const { job, jobs, ledger: totals, teams } = input;
-  const entitled = withinGuarantee(teams.get(job.team), totals, job, 1);
+  const entitled = isWithinGuarantee(teams.get(job.team), totals, job, 1);
   const zones = totals.jobs.get(job.id)?.tasksPerZone;
   const may = (p: Allocation): boolean => {
     if (p.stop === true || p.kind === 'service' || p.job === job.id) return false;
     if (PRIORITY_RANK[p.priority] > PRIORITY_RANK[job.priority]) return true;
-    return entitled && p.team !== job.team && beyondGuarantee(teams.get(p.team), totals);
+    return entitled && p.team !== job.team && isBeyondGuarantee(teams.get(p.team), totals);
   };
   let best: { machine: MachineRecord; victims: Allocation[] } | null = null;
   let bestLoss = Number.POSITIVE_INFINITY;
-  for (const machine of input.slice) {
-    if (!typeAllowed(job, machine.type) || (machine.spot && !job.spot) || input.taken(machine)) continue;
+  for (const machine of input.machines) {
+    if (!allowsMachineType(job, machine.type) || (machine.spot && !job.spot) || input.isClaimed(machine))
+      continue;
     if (job.zone !== null && machine.zone !== job.zone) continue;
-    if ((zones?.get(machine.zone) ?? 0) >= zoneCap(job)) continue;
+    if ((zones?.get(machine.zone) ?? 0) >= maxTasksPerZone(job)) continue;
     if (job.oneZone && zones !== undefined && zones.size > 0 && !zones.has(machine.zone)) continue;
     const order = machine.placed
       .filter(may)
       // Of tasks that end by themselves one can go without the others.
       .flatMap((p) => (p.kind === 'array' ? p.tasks.map((i) => ({ ...p, tasks: [i] })) : [p]))
-      .map((p) => ({ p, cost: loss(p, jobs.get(p.job)) }))
+      .map((p) => ({ p, cost: preemptionCost(p, jobs.get(p.job)) }))
       .sort((a, b) => a.cost - b.cost);
     let free = totals.freeByMachine.get(machine.name)!;
     let cost = 0;
@@ -108,14 +111,14 @@
 }
 
 /** Tasks that the machine can take of a gang, now or once its low-priority work is gone, and what that loses. */
-function gangPlaceOn(machine: MachineRecord, { job, jobs, ledger: totals }: PreemptInput) {
+function gangPlaceOn(machine: MachineRecord, { job, jobs, ledger: totals }: PreemptionInput) {
   const free = totals.freeByMachine.get(machine.name)!;
   const victims = machine.placed.filter((p) => p.priority === 'low' && p.kind === 'array' && p.stop !== true);
   const now = tasksThatFit(job.demand, free);
   const all = victims.reduce((room, p) => addResources(room, p.demand, p.tasks.length), free);
   const later = tasksThatFit(job.demand, all);
   if (later <= now) return { machine, victims: [], places: now, cost: 0 };
-  const cost = victims.reduce((sum, p) => sum + loss(p, jobs.get(p.job)), 0);
+  const cost = victims.reduce((sum, p) => sum + preemptionCost(p, jobs.get(p.job)), 0);
   return { machine, victims, places: later, cost };
 }
 
@@ -123,12 +126,15 @@
  * Machines of one slice on which a whole gang fits once low-priority work there is gone, with the least lost; null where
  * there are not enough. Only the lowest priority gives way to gangs: they take whole machines, and many at once.
  */
-export function pickGangVictims(input: PreemptInput): GangPlace[] | null {
+export function selectGangVictims(input: PreemptionInput): GangPlace[] | null {
   const { job } = input;
   if (PRIORITY_RANK[job.priority] >= PRIORITY_RANK.normal) return null;
-  const able = input.slice.filter(
+  const able = input.machines.filter(
     (m) =>
-      typeAllowed(job, m.type) && (!m.spot || job.spot) && (job.zone ?? m.zone) === m.zone && !input.taken(m),
+      allowsMachineType(job, m.type) &&
+      (!m.spot || job.spot) &&
+      (job.zone ?? m.zone) === m.zone &&
+      !input.isClaimed(m),
   );
   const places = able
     .map((m) => gangPlaceOn(m, input))
@@ -153,7 +159,7 @@
 }
 
 /** What a machine holds once the victims are marked to go; entries of which only a part goes are split. */
-export function stopped(placed: readonly Allocation[], victims: readonly Allocation[]): Allocation[] {
+export function markStopping(placed: readonly Allocation[], victims: readonly Allocation[]): Allocation[] {
   return placed.flatMap((p) => {
     const go = new Set(victims.flatMap((v) => (v.job === p.job && v.attempt === p.attempt ? v.tasks : [])));
     const stay = p.tasks.filter((i) => !go.has(i));
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,6 +1,6 @@
 /** How records are stored: the state service takes values up to a limit, which may fall while we run. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import { WINDOW } from './jobs.js';
+import { TASK_WINDOW } from './jobs.js';
 import type { JobId, JobRecord, JobSpec, MachineRecord, Allocation } from './types.js';
 
 /** How many bytes a value has in the state service. */
@@ -41,7 +41,7 @@
 }
 
 /** What a bitmap of results may add to a job's record until it ends. */
-const resultBytes = (tasks: number): number => Math.ceil(Math.min(tasks, WINDOW) / 6) + 30;
+const resultBytes = (tasks: number): number => Math.ceil(Math.min(tasks, TASK_WINDOW) / 6) + 30;
 
 /** Null where the record could come to exceed the limit, whatever is done. */
 export function toStoredJob(record: JobRecord, limit: number): StoredJob | null {
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -3,8 +3,16 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { ConcurrencyLimit } from '../src/core/admission.js';
-import { WINDOW, isDone, judge, markDone, openTasks, NONE_DONE, zoneCap } from '../src/core/jobs.js';
-import { jobOrder } from '../src/core/job-order.js';
+import {
+  TASK_WINDOW,
+  isDone,
+  checkFeasibility,
+  markDone,
+  unfinishedTasks,
+  NO_TASKS_DONE,
+  maxTasksPerZone,
+} from '../src/core/jobs.js';
+import { compareJobs } from '../src/core/job-order.js';
 import { key } from '../src/core/keys.js';
 import { SlowMachineDetector } from '../src/core/slowness.js';
 import {
@@ -40,7 +48,7 @@
           ),
         ),
       ([n, order, step]) => {
-        let set = NONE_DONE;
+        let set = NO_TASKS_DONE;
         for (let i = 0; i < order.length; i += step) set = markDone(set, order.slice(i, i + step));
         const done = new Set(order);
         assert.equal(set.count, done.size);
@@ -52,7 +60,7 @@
           submitted: wallClockMs(0),
         };
         assert.deepEqual(
-          [...openTasks(job)],
+          [...unfinishedTasks(job)],
           [...Array(n).keys()].filter((i) => !done.has(i)),
         );
       },
@@ -61,22 +69,22 @@
 });
 
 test("a job of 100,000 tasks keeps its record below the state service's limit", () => {
-  let set = NONE_DONE;
+  let set = NO_TASKS_DONE;
   const job = {
     spec: spec({ shards: 100_000 }),
     phase: 'active' as const,
     done: set,
     submitted: wallClockMs(0),
   };
-  const open = [...openTasks(job)];
-  assert.equal(open.length, WINDOW);
+  const open = [...unfinishedTasks(job)];
+  assert.equal(open.length, TASK_WINDOW);
   // Every second task: the worst case for the bitmap.
   set = markDone(
     set,
     open.filter((i) => i % 2 === 1),
   );
   assert.ok(JSON.stringify({ ...job, done: set }).length < 4096);
-  assert.throws(() => markDone(set, [WINDOW]));
+  assert.throws(() => markDone(set, [TASK_WINDOW]));
 });
 
 test('demands are rounded up and capacities down, so rounding never overfills a machine', () => {
@@ -108,7 +116,7 @@
       zones: [zoneName('a')],
     },
   ];
-  const verdict = (over: Record<string, unknown>) => judge(spec(over), teams, types);
+  const verdict = (over: Record<string, unknown>) => checkFeasibility(spec(over), teams, types);
   assert.equal(verdict({ shape: 'sweep', shards: 50 }), 'ok');
   assert.equal(verdict({ tenant: 'nobody' }), 'unknown_team');
   assert.equal(verdict({ flavors: ['g9'] }), 'fits_no_type');
@@ -121,9 +129,9 @@
 });
 
 test('a spread job may have half of its tasks, rounded up, in one zone', () => {
-  assert.equal(zoneCap(spec({ scatter: true, shards: 9 })), 5);
-  assert.equal(zoneCap(spec({ scatter: true, shards: 1 })), 1);
-  assert.equal(zoneCap(spec({ scatter: false, shards: 9 })), 9);
+  assert.equal(maxTasksPerZone(spec({ scatter: true, shards: 9 })), 5);
+  assert.equal(maxTasksPerZone(spec({ scatter: true, shards: 1 })), 1);
+  assert.equal(maxTasksPerZone(spec({ scatter: false, shards: 9 })), 9);
 });
 
 test('the limit on requests shrinks when answers get slow and grows when they are quick', () => {
@@ -192,10 +200,10 @@
   const job = (id: string, tasks: number, submittedS: number, done = 0) => ({
     spec: spec({ nameId: id, shards: tasks, dueS: 200 }),
     phase: 'active' as const,
-    done: { ...NONE_DONE, count: done },
+    done: { ...NO_TASKS_DONE, count: done },
     submitted: wallClockMs(submittedS * 1000),
   });
-  const before = jobOrder({ wall: wallClockMs(0), hasTasks: () => false, behindMs: 60_000 });
+  const before = compareJobs({ wallClock: wallClockMs(0), hasTasks: () => false, starvationMs: 60_000 });
   const order = (...jobs: ReturnType<typeof job>[]) => jobs.sort(before).map((j) => j.spec.id);
   assert.deepEqual(order(job('wk-1', 90, 0), job('wk-2', 10, 20)), ['wk-2', 'wk-1']);
   assert.deepEqual(order(job('wk-2', 10, 20), job('wk-1', 90, 0, 85)), ['wk-1', 'wk-2'], 'nearly done');
@@ -207,16 +215,16 @@
   const job = (id: string, tasks: number, submittedS: number, dueS: number) => ({
     spec: spec({ nameId: id, shards: tasks, dueS }),
     phase: 'active' as const,
-    done: NONE_DONE,
+    done: NO_TASKS_DONE,
     submitted: wallClockMs(submittedS * 1000),
   });
   const vast = job('wk-1', 25_000, 0, 30);
   const single = job('wk-2', 1, 20, 900);
   const first = (wallS: number, running: readonly string[], other = single) => {
-    const order = jobOrder({
-      wall: wallClockMs(wallS * 1000),
+    const order = compareJobs({
+      wallClock: wallClockMs(wallS * 1000),
       hasTasks: (id) => running.includes(id),
-      behindMs: 60_000,
+      starvationMs: 60_000,
     });
     return [vast, other].sort(order)[0]!.spec.id;
   };
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -218,7 +218,7 @@
   for (let i = 0; i < 6; i++)
     await accepted(sim, [head], 40, { tenant: 'red', cards: 4, vcpus: 16, tier: 'production' });
   const { controller } = sim.nodes.get('c-0')!;
-  const startable = () => controller!.context.dependencies.all().startable;
+  const startable = () => controller!.context.dependencies.current().startable;
   assert.ok(startable().every((j) => j.spec.needs === undefined));
   // Of the same team, of less priority, and behind them in its team's order: it goes at once.
   const small = await accepted(sim, [], 1, { tenant: 'red', cards: 1, tier: 'low' });
--- a/test/dependency-rules.test.ts
+++ b/test/dependency-rules.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { NONE_DONE } from '../src/core/jobs.js';
-import { judgeDependencies, judgeNeeds, type DependencyInput } from '../src/core/dependencies.js';
+import { NO_TASKS_DONE } from '../src/core/jobs.js';
+import { resolveDependencies, resolveDependency, type DependencyInput } from '../src/core/dependencies.js';
 import { jobId, wallClockMs, type FinalRecord, type JobRecord } from '../src/core/types.js';
 import { jobFromWire } from '../src/io/wire.js';
 import { submission } from './samples.js';
@@ -16,7 +16,7 @@
 ): JobRecord => ({
   spec: jobFromWire(submission({ nameId: id, awaits: needs, dueS: null, ...over }) as never),
   phase: 'active',
-  done: NONE_DONE,
+  done: NO_TASKS_DONE,
   submitted: wallClockMs(submitted),
 });
 const input = (
@@ -25,8 +25,8 @@
   runMs = 1000,
 ): DependencyInput => ({
   jobs: new Map(jobs.map((j) => [j.spec.id, j])),
-  final: (id) => finals[id],
-  started: () => false,
+  finalState: (id) => finals[id],
+  hasStarted: () => false,
   runMs: () => runMs,
 });
 const done = (at?: number): FinalRecord => ({
@@ -35,7 +35,7 @@
   ...(at === undefined ? {} : { at: wallClockMs(at) }),
 });
 const cancelled: FinalRecord = { state: 'cancelled', done: 0 };
-const startable = (i: DependencyInput) => judgeDependencies(i).startable.map((j) => j.spec.id as string);
+const startable = (i: DependencyInput) => resolveDependencies(i).startable.map((j) => j.spec.id as string);
 
 test('no needs, an empty list and null are the same; repeated ids count once', () => {
   for (const awaits of [undefined, null, []])
@@ -52,14 +52,17 @@
   assert.deepEqual(startable(input([b, a], { 'wk-x': done() })), ['wk-a']);
   // A job that is not in the view may be over in any way, or its record may be on its way.
   assert.deepEqual(startable(input([b], { 'wk-x': done() })), []);
-  assert.deepEqual(judgeNeeds(b, input([b], { 'wk-x': done() })), { kind: 'unknown', unread: ['wk-a'] });
+  assert.deepEqual(resolveDependency(b, input([b], { 'wk-x': done() })), {
+    kind: 'unknown',
+    unread: ['wk-a'],
+  });
   const i = input([b], { 'wk-a': done(900), 'wk-x': done(400) });
   assert.deepEqual(startable(i), ['wk-b']);
   // Its own times count from then.
-  assert.equal(judgeDependencies(i).startable[0]!.submitted, 900);
+  assert.equal(resolveDependencies(i).startable[0]!.submitted, 900);
   // Versions before pipelines wrote no time.
   assert.equal(
-    judgeDependencies(input([b], { 'wk-a': done(), 'wk-x': done() })).startable[0]!.submitted,
+    resolveDependencies(input([b], { 'wk-a': done(), 'wk-x': done() })).startable[0]!.submitted,
     100,
   );
 });
@@ -68,8 +71,8 @@
   const depth = 5000;
   const chain = [...Array(depth).keys()].map((i) => record(`wk-${i + 1}`, [`wk-${i}`]));
   const before = record('wk-before', []);
-  const d = judgeDependencies(input([...chain.reverse(), before], { 'wk-0': cancelled }));
-  const withdrawn = [...d.of.values()].filter((x) => x.kind === 'withdrawn');
+  const d = resolveDependencies(input([...chain.reverse(), before], { 'wk-0': cancelled }));
+  const withdrawn = [...d.byJob.values()].filter((x) => x.kind === 'withdrawn');
   assert.equal(withdrawn.length, depth);
   assert.ok(withdrawn.every((x) => x.because === 'wk-0'));
   assert.deepEqual(
@@ -83,16 +86,16 @@
   const b = record('wk-b', ['wk-a'], { tier: 'low' });
   const c = record('wk-c', ['wk-b'], { tier: 'urgent', dueS: 60 }, 5000);
   const other = record('wk-d', ['wk-a'], { tier: 'standard', dueS: 30 }, 4000);
-  const [first] = judgeDependencies(input([a, b, c, other], {}, 10_000)).startable;
+  const [first] = resolveDependencies(input([a, b, c, other], {}, 10_000)).startable;
   assert.equal(first!.spec.id, 'wk-a');
   assert.equal(first!.spec.priority, 'high');
   // By wk-d's deadline: 34 s less its own 10 s; by wk-c's: 65 s less 20 s.
   assert.equal(first!.submitted + first!.spec.deadlineS! * 1000, 24_000);
   // Without the last job nobody has a deadline.
-  assert.equal(judgeDependencies(input([a, b], {}, 10_000)).startable[0]!.spec.deadlineS, null);
+  assert.equal(resolveDependencies(input([a, b], {}, 10_000)).startable[0]!.spec.deadlineS, null);
   // One that was called off asks for nothing.
   const off = { ...c, phase: 'cancelling' as const };
-  assert.equal(judgeDependencies(input([a, b, off], {}, 10_000)).startable[0]!.spec.priority, 'low');
+  assert.equal(resolveDependencies(input([a, b, off], {}, 10_000)).startable[0]!.spec.priority, 'low');
 });
 
 test('whatever the graph and whatever is over: what may start, waits or is withdrawn follows from its needs', () => {
@@ -120,7 +123,7 @@
           }
         });
         if (shuffled) jobs.reverse();
-        const d = judgeDependencies(input(jobs, finals));
+        const d = resolveDependencies(input(jobs, finals));
         const may = new Set(d.startable.map((j) => j.spec.id as string));
         for (const j of jobs) {
           const needs = j.spec.needs ?? [];
@@ -129,8 +132,8 @@
             needs.every((n) => finals[n]?.state === 'done'),
           );
           if (needs.length === 0) continue;
-          assert.equal(d.of.get(j.spec.id)?.kind === 'withdrawn', doomed.get(j.spec.id));
-          assert.deepEqual(judgeNeeds(j, input(jobs, finals)), d.of.get(j.spec.id));
+          assert.equal(d.byJob.get(j.spec.id)?.kind === 'withdrawn', doomed.get(j.spec.id));
+          assert.deepEqual(resolveDependency(j, input(jobs, finals)), d.byJob.get(j.spec.id));
         }
       },
     ),
@@ -142,16 +145,16 @@
   const wide = [...Array(800).keys()].map((i) => record(`wk-w${i}`, ['wk-0']));
   let reads = 0;
   const i = input([record('wk-0', []), ...wide]);
-  judgeDependencies({
+  resolveDependencies({
     ...i,
-    final: () => {
+    finalState: () => {
       reads++;
       return undefined;
     },
   });
   assert.equal(reads, 0, 'what is unfinished is in the view');
   assert.deepEqual(
-    judgeDependencies(i).startable.map((j) => j.spec.id),
+    resolveDependencies(i).startable.map((j) => j.spec.id),
     [jobId('wk-0')],
   );
 });
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -1,5 +1,5 @@
 /** Jobs, teams and plans as several tests of scheduling use them. */
-import { planFleet, type FleetInput } from '../src/core/fleet.js';
+import { planScaling, type ScalingInput } from '../src/core/fleet.js';
 import { AllocationTotals } from '../src/core/ledger.js';
 import { allocationFor } from '../src/core/placed.js';
 import {
@@ -38,24 +38,24 @@
 });
 export const on = (j: JobRecord, ...tasks: number[]) => allocationFor(j.spec, attempt(1), tasks);
 
-export const planned = (jobs: JobRecord[], machines: MachineRecord[], over: Partial<FleetInput> = {}) =>
-  planFleet({
+export const planned = (jobs: JobRecord[], machines: MachineRecord[], over: Partial<ScalingInput> = {}) =>
+  planScaling({
     jobs,
     machines,
     rentals: [],
     ledger: new AllocationTotals(machines, types, teams),
     types: [type],
-    owners: new Map([
+    shardByTeam: new Map([
       [teamName('red'), nodeName('c-0')],
       [teamName('blue'), nodeName('c-1')],
     ]),
-    order: { wall: wallClockMs(0), behindMs: 60_000 },
-    usable: () => true,
-    movable: () => true,
-    yields: () => false,
-    mayHold: () => true,
-    reserve: [],
-    available: () => false,
-    idle: () => true,
+    order: { wallClock: wallClockMs(0), starvationMs: 60_000 },
+    isUsable: () => true,
+    isMovable: () => true,
+    leavesWholeMachinesToGangs: () => false,
+    mayReserve: () => true,
+    headroom: [],
+    isAvailable: () => false,
+    isIdle: () => true,
     ...over,
   });
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,10 +1,10 @@
 /** Which tasks are placed, kept room for, and stopped for others. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { FleetInput } from '../src/core/fleet.js';
+import type { ScalingInput } from '../src/core/fleet.js';
 import { AllocationTotals } from '../src/core/ledger.js';
-import { schedule, type ScheduleInput } from '../src/core/placement.js';
-import { pickVictims } from '../src/core/preemption.js';
+import { placeTasks, type PlacementInput } from '../src/core/placement.js';
+import { selectVictims } from '../src/core/preemption.js';
 import {
   attempt,
   nodeName,
@@ -18,41 +18,41 @@
 import { job, on, planned, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
 
-const choose = (wanted: JobRecord, others: JobRecord[], slice: MachineRecord[]) =>
-  pickVictims({
+const choose = (wanted: JobRecord, others: JobRecord[], machines: MachineRecord[]) =>
+  selectVictims({
     job: wanted.spec,
     jobs: new Map([wanted, ...others].map((j) => [j.spec.id, j])),
-    slice,
-    ledger: new AllocationTotals(slice, types, teams),
+    machines,
+    ledger: new AllocationTotals(machines, types, teams),
     teams,
-    taken: () => false,
+    isClaimed: () => false,
   });
 
 /** One scheduling pass; nothing is cached, avoided or short of room in its record. */
 const pass = (
   jobs: JobRecord[],
-  slice: MachineRecord[],
-  over: Partial<ScheduleInput> = {},
+  machines: MachineRecord[],
+  over: Partial<PlacementInput> = {},
   known: ReadonlyMap<TeamName, Team> = teams,
 ) => {
   let n = 1;
-  return schedule({
+  return placeTasks({
     jobs,
-    slice,
-    ledger: new AllocationTotals(slice, types, known),
+    machines,
+    ledger: new AllocationTotals(machines, types, known),
     newAttempt: () => attempt(++n),
     fetchRank: () => 2,
-    avoid: () => false,
-    recordRoom: () => 6000,
-    most: 50,
+    isAvoided: () => false,
+    recordBytesLeft: () => 6000,
+    maxPlacements: 50,
     maxMachines: 50,
-    order: { wall: wallClockMs(0), behindMs: 60_000 },
-    keepWhole: true,
-    yields: () => false,
-    mayHold: () => true,
-    overdue: () => false,
-    fails: () => false,
-    hSlack: 0.25,
+    order: { wallClock: wallClockMs(0), starvationMs: 60_000 },
+    preferPartlyUsedMachines: true,
+    leavesWholeMachinesToGangs: () => false,
+    mayReserve: () => true,
+    isStarving: () => false,
+    isFailingEverywhere: () => false,
+    fitnessTolerance: 0.25,
     ...over,
   });
 };
@@ -99,9 +99,11 @@
   const slice = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [on(busy, i)]));
   const array = job('wk-2', { shards: 12, cards: 0, vcpus: 1, memoryGb: 6 });
   const cached = (m: MachineRecord) => (m.name === 'n-4' || m.name === 'n-5' ? 0 : 2);
-  const used = (fetchRank: ScheduleInput['fetchRank'], wanted = array) =>
+  const used = (fetchRank: PlacementInput['fetchRank'], wanted = array) =>
     new Set(
-      pass([wanted], slice, { hSlack: 0.6, fetchRank }).placements.map((p) => p.machine.name as string),
+      pass([wanted], slice, { fitnessTolerance: 0.6, fetchRank }).placements.map(
+        (p) => p.machine.name as string,
+      ),
     );
   // Eight of them fit on one of the machines, and all have the image.
   assert.equal(used(() => 0).size, 2);
@@ -134,7 +136,11 @@
   const red = job('wk-1', { shards: 6, tenant: 'red' });
   const blue = job('wk-2', { shards: 6, tenant: 'blue' });
   const slice = [machine('n-1', [on(blue, 0)]), machine('n-2', [])];
-  const { placements } = pass([red, blue], slice, { most: 4, keepWhole: false, hSlack: 0 });
+  const { placements } = pass([red, blue], slice, {
+    maxPlacements: 4,
+    preferPartlyUsedMachines: false,
+    fitnessTolerance: 0,
+  });
   assert.deepEqual(
     placements.map((p) => p.job.team),
     ['red', 'blue', 'red', 'blue'],
@@ -153,7 +159,12 @@
   assert.equal(held.placements.length, 0);
   assert.equal(held.waitReasons.get(small.spec.id), 'behind_gang');
   // A job that has waited for long goes all the same; it must not count as neglected beside free room.
-  const late = pass([running, gang, small], slice, { overdue: (j) => j.spec.id === small.spec.id }, limited);
+  const late = pass(
+    [running, gang, small],
+    slice,
+    { isStarving: (j) => j.spec.id === small.spec.id },
+    limited,
+  );
   assert.equal(late.placements.length, 3);
   // Where a service holds the limit for good, waiting would help nobody.
   const service = job('wk-4', { shards: 1, shape: 'daemon' });
@@ -220,7 +231,7 @@
     planned([gang], [...own, other]).moves.map((m) => m.machine.name),
     ['n-3'],
   );
-  assert.deepEqual(planned([gang], [...own, other], { movable: (m) => m.owner === 'c-0' }).moves, []);
+  assert.deepEqual(planned([gang], [...own, other], { isMovable: (m) => m.owner === 'c-0' }).moves, []);
 });
 
 test('the plan for a grown fleet rents what is missing, once, and looks at each machine a few times only', () => {
@@ -236,7 +247,7 @@
     });
   });
   const waiting = [...Array(300).keys()].map((i) => job(`wk-${i + 1}`, { shards: 10 }));
-  const plan = planned(waiting, fleet, { available: () => true });
+  const plan = planned(waiting, fleet, { isAvailable: () => true });
   assert.equal(plan.rentals.length, 750, 'four tasks a machine');
   assert.deepEqual(plan.moves, []);
   // Full machines are set aside once, not for each job or task.
@@ -250,13 +261,19 @@
   const slice = [machine('n-1', []), machine('n-2', [on(service, 0)]), spot];
   const used = (yields: boolean) =>
     new Set(
-      pass([array], slice, { yields: () => yields, keepWhole: false }).placements.map((p) => p.machine.name),
+      pass([array], slice, {
+        leavesWholeMachinesToGangs: () => yields,
+        preferPartlyUsedMachines: false,
+      }).placements.map((p) => p.machine.name),
     );
   assert.deepEqual(used(true), new Set(['n-3', 'n-2']));
   assert.ok(pass([array], [machine('n-1', [])], {}).placements.length > 0);
-  const plan = planned([array], [machine('n-1', [])], { available: () => true, yields: () => true });
+  const plan = planned([array], [machine('n-1', [])], {
+    isAvailable: () => true,
+    leavesWholeMachinesToGangs: () => true,
+  });
   assert.deepEqual(new Set(plan.rentals.map((r) => r.spot)), new Set([true]));
-  assert.equal(planned([array], [machine('n-1', [])], { available: () => true }).rentals.length, 1);
+  assert.equal(planned([array], [machine('n-1', [])], { isAvailable: () => true }).rentals.length, 1);
 });
 
 test('where there is not room for all, slices are levelled by weight, a few machines at a time, and stay so', () => {
@@ -269,7 +286,7 @@
     owner: nodeName('c-1'),
   }));
   const count = () => fleet.filter((m) => m.owner === 'c-0').length;
-  const step = (jobs: JobRecord[], over: Partial<FleetInput> = {}) => {
+  const step = (jobs: JobRecord[], over: Partial<ScalingInput> = {}) => {
     const { moves } = planned(jobs, fleet, over);
     const to = new Map(moves.map((m) => [m.machine.name, m.to]));
     assert.equal(to.size, moves.length);
@@ -277,7 +294,7 @@
     return moves.length;
   };
   assert.equal(step([blue]), 0, 'nobody else waits');
-  assert.equal(step([blue, red], { available: () => true }), 0, 'more can be rented');
+  assert.equal(step([blue, red], { isAvailable: () => true }), 0, 'more can be rented');
   let plans = 0;
   for (let n = step([blue, red]); n > 0; n = step([blue, red])) {
     assert.ok(n <= 2, `${n} moves in one plan`);
--- a/test/reclaim.test.ts
+++ b/test/reclaim.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AllocationTotals } from '../src/core/ledger.js';
-import { pickGangVictims, pickVictims } from '../src/core/preemption.js';
+import { selectGangVictims, selectVictims } from '../src/core/preemption.js';
 import { nodeName, teamName, type JobRecord, type MachineRecord } from '../src/core/types.js';
 import { job, on, planned, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
@@ -13,15 +13,15 @@
 test('all that a team without a guarantee runs may be stopped for a guarantee, and shares are defined for it', () => {
   const wanted = job('wk-1', { shape: 'daemon', tier: 'low', shards: 1 });
   const guest = job('wk-2', { tier: 'urgent', tenant: GUEST, shards: 4 });
-  const slice = [machine('n-1', [on(guest, 0, 1, 2, 3)])];
-  const ledger = new AllocationTotals(slice, types, withGuest);
-  const found = pickVictims({
+  const machines = [machine('n-1', [on(guest, 0, 1, 2, 3)])];
+  const ledger = new AllocationTotals(machines, types, withGuest);
+  const found = selectVictims({
     job: wanted.spec,
     jobs: new Map([wanted, guest].map((j) => [j.spec.id, j])),
-    slice,
+    machines,
     ledger,
     teams: withGuest,
-    taken: () => false,
+    isClaimed: () => false,
   });
   assert.equal(found?.victims.length, 1);
   assert.ok(
@@ -35,14 +35,14 @@
   const low = job('wk-2', { tier: 'low', tenant: 'blue', shards: 9, snapshotEveryS: 10, snapshotS: 2 });
   const costly = job('wk-3', { tier: 'low', tenant: 'blue', shards: 9, snapshotEveryS: 0, expectedS: 600 });
   const normal = job('wk-4', { tier: 'standard', tenant: 'blue', shards: 9 });
-  const find = (wanted: JobRecord, slice: MachineRecord[]) =>
-    pickGangVictims({
+  const find = (wanted: JobRecord, machines: MachineRecord[]) =>
+    selectGangVictims({
       job: wanted.spec,
       jobs: new Map([gang, low, costly, normal].map((j) => [j.spec.id, j])),
-      slice,
-      ledger: new AllocationTotals(slice, types, teams),
+      machines,
+      ledger: new AllocationTotals(machines, types, teams),
       teams,
-      taken: () => false,
+      isClaimed: () => false,
     })?.map((p) => [p.machine.name, p.victims.length]);
   const slice = [
     machine('n-1', [on(low, 0, 1)], 'a'),
@@ -76,7 +76,7 @@
     other('n-5', [on(low, 12, 13, 14, 15)]),
   ];
   const moves = (available: boolean) =>
-    planned([gang], fleet, { available: () => available }).moves.map((m) => m.machine.name as string);
+    planned([gang], fleet, { isAvailable: () => available }).moves.map((m) => m.machine.name as string);
   assert.deepEqual(moves(false), ['n-1', 'n-3'], 'as many as it needs, in one zone');
   assert.deepEqual(moves(true), [], 'new ones are rented where they can be');
 });
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import { markDone } from '../src/core/jobs.js';
 import { AllocationTotals } from '../src/core/ledger.js';
-import { judgeDependencies } from '../src/core/dependencies.js';
+import { resolveDependencies } from '../src/core/dependencies.js';
 import { allocationFor, addAllocation } from '../src/core/placed.js';
-import { stopped } from '../src/core/preemption.js';
+import { markStopping } from '../src/core/preemption.js';
 import {
   TASK_INDEX_BYTES,
   jsonBytes,
@@ -66,10 +66,10 @@
   });
   const ledger = new AllocationTotals(view.machines.values(), types, new Map());
   assert.equal(ledger.jobs.get(id)?.tasks.size, 3);
-  const d = judgeDependencies({
+  const d = resolveDependencies({
     jobs: view.jobs,
-    final: () => undefined,
-    started: () => true,
+    finalState: () => undefined,
+    hasStarted: () => true,
     runMs: () => 0,
   });
   assert.equal(d.startable[0], view.jobs.get(id), 'as it stands');
@@ -78,10 +78,10 @@
     ...view.jobs.get(id)!,
     spec: { ...view.jobs.get(id)!.spec, id: jobId('wk-2'), needs: [jobId('wk-0')] },
   };
-  const after = judgeDependencies({
+  const after = resolveDependencies({
     jobs: new Map([[next.spec.id, next]]),
-    final: () => JSON.parse('{"state":"done","done":1}') as never,
-    started: () => false,
+    finalState: () => JSON.parse('{"state":"done","done":1}') as never,
+    hasStarted: () => false,
     runMs: () => 0,
   });
   assert.equal(after.startable.length, 1);
@@ -99,7 +99,7 @@
     submitted: 0 as never,
   };
   const shared = allocationFor(spec, attempt(9), [0, 1, 2]);
-  const m: MachineRecord = machine('n-1', stopped([shared], [{ ...shared, tasks: [1] }]));
+  const m: MachineRecord = machine('n-1', markStopping([shared], [{ ...shared, tasks: [1] }]));
   assert.deepEqual(
     m.placed.map((p) => [p.tasks, p.stop]),
     [
