--- a/packages/tracing/src/index.ts
+++ b/packages/tracing/src/index.ts
@@ -4,7 +4,7 @@
  */
 import { OTLPTraceExporter } from '@opentelemetry/exporter-trace-otlp-http';
 import { Gauge, Registry } from 'prom-client';
-import type { RunningPackage, Service, ServicePackage } from '../../../src/packages/api.js';
+import type { RunningPackage, Service, ServicePackage } from '../../../src/plugin-host/api.js';
 import { JobSpans } from './job-spans.js';
 import { JsonLinesExporter } from './json-lines-exporter.js';
 import { OptionsSchema, type Options } from './options.js';
--- a/packages/tracing/src/job-spans.ts
+++ b/packages/tracing/src/job-spans.ts
@@ -3,10 +3,11 @@
  * Spans of one job have the same trace at every controller, so that a job which changes its owner stays one trace.
  */
 import type { SpanContext } from '@opentelemetry/api';
-import { evictOldest } from '../../../src/core/bounded.js';
+import { evictOldest } from '../../../src/core/bounded-map.js';
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
-import { key } from '../../../src/core/keys.js';
-import type { JobId, MachineName, Heartbeat } from '../../../src/core/types.js';
+import { key } from '../../../src/core/records/keys.js';
+import type { Heartbeat } from '../../../src/core/model/heartbeats.js';
+import type { JobId, MachineName } from '../../../src/core/model/ids.js';
 import type { SpanTracer } from './span-tracer.js';
 import { isSampled, jobContext } from './trace-ids.js';
 
--- a/packages/tracing/src/span-queue.ts
+++ b/packages/tracing/src/span-queue.ts
@@ -4,7 +4,7 @@
  */
 import { ExportResultCode } from '@opentelemetry/core';
 import type { ReadableSpan, SpanExporter, SpanProcessor } from '@opentelemetry/sdk-trace-base';
-import type { Clock } from '../../../src/core/clock.js';
+import type { Clock } from '../../../src/core/model/clock.js';
 
 /** Bounds of a queue. */
 export interface QueueOptions {
--- a/packages/tracing/src/span-tracer.ts
+++ b/packages/tracing/src/span-tracer.ts
@@ -8,8 +8,8 @@
 } from '@opentelemetry/api';
 import { BasicTracerProvider, AlwaysOnSampler, type SpanProcessor } from '@opentelemetry/sdk-trace-base';
 import { resourceFromAttributes } from '@opentelemetry/resources';
-import type { Clock } from '../../../src/core/clock.js';
-import type { FinishedSpan, TraceParent, Tracer } from '../../../src/packages/api.js';
+import type { Clock } from '../../../src/core/model/clock.js';
+import type { FinishedSpan, TraceParent, Tracer } from '../../../src/plugin-host/api.js';
 import { ReservableIds, formatTraceParent, parseTraceParent } from './trace-ids.js';
 
 const below = (parent: SpanContext | null): Context =>
--- a/packages/tracing/src/trace-ids.ts
+++ b/packages/tracing/src/trace-ids.ts
@@ -2,7 +2,7 @@
 import { createHash, randomBytes } from 'node:crypto';
 import { TraceFlags, type SpanContext } from '@opentelemetry/api';
 import type { IdGenerator } from '@opentelemetry/sdk-trace-base';
-import type { TraceParent } from '../../../src/packages/api.js';
+import type { TraceParent } from '../../../src/plugin-host/api.js';
 
 const TRACE_ID_DIGITS = 32;
 const SPAN_ID_DIGITS = 16;
--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -10,19 +10,19 @@
 import { OTLPTraceExporter } from '@opentelemetry/exporter-trace-otlp-http';
 import type { ReadableSpan, SpanExporter } from '@opentelemetry/sdk-trace-base';
 import type { ServiceEvent } from '../../../src/core/events.js';
-import { key } from '../../../src/core/keys.js';
+import { key } from '../../../src/core/records/keys.js';
 import {
   attempt,
   jobId,
   machineName,
-  monotonicMs,
   teamName,
   fencingToken,
   typeName,
   zoneName,
-} from '../../../src/core/types.js';
-import { realClock } from '../../../src/io/clock.js';
-import { ProcessClock, World } from '../../../test/sim/world.js';
+} from '../../../src/core/model/ids.js';
+import { monotonicMs } from '../../../src/core/model/time.js';
+import { realClock } from '../../../src/io/system-clock.js';
+import { ProcessClock, World } from '../../../test/sim/virtual-time.js';
 import { JobSpans } from '../src/job-spans.js';
 import { JsonLinesExporter, type SpanLine } from '../src/json-lines-exporter.js';
 import { SpanQueue } from '../src/span-queue.js';
--- a/packages/warm-standby/measure/takeovers.ts
+++ b/packages/warm-standby/measure/takeovers.ts
@@ -9,8 +9,8 @@
 import { Command } from 'commander';
 import { Cluster, NODES, type ControllerProcess } from '../test/loopback/cluster.js';
 import { Users, sleep } from '../test/loopback/users.js';
-import { key } from '../../../src/core/keys.js';
-import { machineName } from '../../../src/core/types.js';
+import { key } from '../../../src/core/records/keys.js';
+import { machineName } from '../../../src/core/model/ids.js';
 import type { Shown } from '../test/standbys.js';
 
 const SHORT_PAUSE_MS = 700;
--- a/packages/warm-standby/src/cluster.ts
+++ b/packages/warm-standby/src/cluster.ts
@@ -1,6 +1,6 @@
 /** Which controllers stand by for which slice, by what is committed now. */
-import type { NodeName } from '../../../src/core/types.js';
-import type { Service, ShardFact } from '../../../src/packages/api.js';
+import type { NodeName } from '../../../src/core/model/ids.js';
+import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
 import type { FailureDomains } from './failure-domains.js';
 import { placeStandbys } from './placement.js';
 
--- a/packages/warm-standby/src/decision-log.ts
+++ b/packages/warm-standby/src/decision-log.ts
@@ -2,9 +2,9 @@
  * The holder's side of a slice's log: a bounded tail of numbered entries, and the state that all entries add up to. Adding to
  * it never waits for anybody.
  */
-import type { NodeName, Version } from '../../../src/core/types.js';
+import type { NodeName, Version } from '../../../src/core/model/ids.js';
 import type { LogEntry } from './entries.js';
-import { ReplicatedState } from './slice-memory.js';
+import { ReplicatedState } from './replicated-state.js';
 
 /** Workers report every few seconds: without a change theirs is an entry only so often. */
 const WORKER_ENTRY_EVERY_MS = 10_000;
--- a/packages/warm-standby/src/entries.ts
+++ b/packages/warm-standby/src/entries.ts
@@ -1,8 +1,10 @@
 /** What the decision log holds: decisions of a slice's holder, and what it has learned and not written down yet. */
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
-import type { TaskRun } from '../../../src/core/slowness.js';
-import type { Attempt, ExitReason, JobId, MachineName, WallClockMs } from '../../../src/core/types.js';
-import type { Hint } from '../../../src/packages/api.js';
+import type { TaskRun } from '../../../src/core/health/slow-machine-detector.js';
+import type { ExitReason } from '../../../src/core/model/heartbeats.js';
+import type { Attempt, JobId, MachineName } from '../../../src/core/model/ids.js';
+import type { WallClockMs } from '../../../src/core/model/time.js';
+import type { Hint } from '../../../src/plugin-host/api.js';
 
 type AgentHint = Extract<Hint, { kind: 'agent' }>;
 
--- a/packages/warm-standby/src/failure-domains.ts
+++ b/packages/warm-standby/src/failure-domains.ts
@@ -3,8 +3,8 @@
  * network that holds it. Without networks a controller's zone is its domain.
  */
 import ipaddr from 'ipaddr.js';
-import type { Settings } from '../../../src/config/settings.js';
-import { splitAddress } from '../../../src/core/address.js';
+import type { PlatformSettings } from '../../../src/config/platform-settings.js';
+import { splitAddress } from '../../../src/core/model/address.js';
 
 type Address = ipaddr.IPv4 | ipaddr.IPv6;
 
@@ -96,7 +96,7 @@
 /** The domain of each controller by name. Throws `DomainError` where networks are given and one is in none. */
 export function domainsOfControllers(
   domains: FailureDomains,
-  settings: Settings,
+  settings: PlatformSettings,
 ): ReadonlyMap<string, string> {
   const own = { node: settings.node, zone: settings.zone, address: settings.peerBind };
   const out = new Map<string, string>();
--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -1,8 +1,8 @@
 /** Planned handover: what a controller holds goes to warm standbys before it is restarted, without waiting for detection. */
 import { Type } from '@sinclair/typebox';
-import { check } from '../../../src/config/settings.js';
-import type { NodeName } from '../../../src/core/types.js';
-import type { CommandReply, Service, ShardFact } from '../../../src/packages/api.js';
+import { firstSchemaError } from '../../../src/config/platform-settings.js';
+import type { NodeName } from '../../../src/core/model/ids.js';
+import type { CommandReply, Service, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import { TOPIC, decodePrepareAnswer, encodePrepare, readAnswer } from './messages.js';
 import type { Options } from './options.js';
@@ -39,7 +39,7 @@
   /** The operator's command. */
   async request(body: unknown): Promise<CommandReply> {
     const asked = body ?? {};
-    const wrong = check(RequestSchema, asked);
+    const wrong = firstSchemaError(RequestSchema, asked);
     if (wrong !== null) return { status: 400, body: { error: wrong } };
     const to = (asked as { to?: string }).to as NodeName | undefined;
     if (to !== undefined && !this.service.peers.some((p) => p.node === to))
--- a/packages/warm-standby/src/holder-monitor.ts
+++ b/packages/warm-standby/src/holder-monitor.ts
@@ -1,5 +1,6 @@
 /** How long holders have been silent, and how suspicious that is. */
-import type { NodeName, MonotonicMs } from '../../../src/core/types.js';
+import type { NodeName } from '../../../src/core/model/ids.js';
+import type { MonotonicMs } from '../../../src/core/model/time.js';
 import type { Options } from './options.js';
 import { PhiAccrual } from './phi-accrual.js';
 
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -2,7 +2,7 @@
  * Warm standby: for each slice another controller follows what its holder decides and learns, watches the holder, and takes
  * over within seconds once it has surely lost the slice. docs/warm-standby.md has the design.
  */
-import type { RunningPackage, Service, ServicePackage } from '../../../src/packages/api.js';
+import type { RunningPackage, Service, ServicePackage } from '../../../src/plugin-host/api.js';
 import { Cluster } from './cluster.js';
 import { DomainError, FailureDomains, domainsOfControllers } from './failure-domains.js';
 import { Handover } from './handover.js';
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -1,6 +1,7 @@
 /** Messages between standbys and holders, and their form on the wire: protobuf, with a version of the format. */
 import protobuf from 'protobufjs/light.js';
-import type { Attempt, ExitReason, JobId, MachineName, NodeName, Version } from '../../../src/core/types.js';
+import type { ExitReason } from '../../../src/core/model/heartbeats.js';
+import type { Attempt, JobId, MachineName, NodeName, Version } from '../../../src/core/model/ids.js';
 import type { LogEntry } from './entries.js';
 import type { AppendMessage, SnapshotMessage } from './replica.js';
 
--- a/packages/warm-standby/src/placement.ts
+++ b/packages/warm-standby/src/placement.ts
@@ -3,7 +3,7 @@
  * asking one another, and one that comes or goes moves only the standbys that it gains or had.
  */
 import { createHash } from 'node:crypto';
-import type { NodeName } from '../../../src/core/types.js';
+import type { NodeName } from '../../../src/core/model/ids.js';
 
 /** What placement depends on. */
 export interface PlacementInput {
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -2,8 +2,9 @@
  * The holder's loop: keeps the log of each slice that this process holds and sends it to the slice's standbys. A standby that
  * is slow or away falls behind; nothing here ever waits for it.
  */
-import type { NodeName, MonotonicMs } from '../../../src/core/types.js';
-import type { Service, ShardFact } from '../../../src/packages/api.js';
+import type { NodeName } from '../../../src/core/model/ids.js';
+import type { MonotonicMs } from '../../../src/core/model/time.js';
+import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
 import { ByteBudget } from './byte-budget.js';
 import type { Cluster } from './cluster.js';
 import { DecisionLog } from './decision-log.js';
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -1,6 +1,6 @@
 /** The standby's side of the messages: follows the logs of slices, answers probes and the question before a handover. */
-import type { NodeName } from '../../../src/core/types.js';
-import type { Service, ShardFact } from '../../../src/packages/api.js';
+import type { NodeName } from '../../../src/core/model/ids.js';
+import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import {
--- a/packages/warm-standby/src/replica.ts
+++ b/packages/warm-standby/src/replica.ts
@@ -2,9 +2,10 @@
  * The standby's side of a slice's log. It applies entries in order or not at all, and knows how far it is behind. Nothing
  * that it holds is carried out: what runs where is read from the state service alone.
  */
-import type { NodeName, MonotonicMs, Version } from '../../../src/core/types.js';
+import type { NodeName, Version } from '../../../src/core/model/ids.js';
+import type { MonotonicMs } from '../../../src/core/model/time.js';
 import type { LogEntry } from './entries.js';
-import { ReplicatedState } from './slice-memory.js';
+import { ReplicatedState } from './replicated-state.js';
 
 /** What became of a message. */
 export type ReplicaOutcome =
--- a/packages/warm-standby/src/slice-memory.ts
+++ b/packages/warm-standby/src/replicated-state.ts
@@ -2,9 +2,9 @@
  * The state that a decision log adds up to: what a snapshot holds, and what a standby has at a takeover. The holder and its
  * standbys keep it by the same code from the same entries.
  */
-import { evictOldest } from '../../../src/core/bounded.js';
-import type { JobId, MachineName } from '../../../src/core/types.js';
-import type { Hint } from '../../../src/packages/api.js';
+import { evictOldest } from '../../../src/core/bounded-map.js';
+import type { JobId, MachineName } from '../../../src/core/model/ids.js';
+import type { Hint } from '../../../src/plugin-host/api.js';
 import type { LogEntry } from './entries.js';
 
 type AgentEntry = Extract<LogEntry, { kind: 'agent' }>;
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -1,5 +1,5 @@
 /** What `status` shows of the package. */
-import type { Service, ShardFact } from '../../../src/packages/api.js';
+import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import type { Publisher } from './publisher.js';
--- a/packages/warm-standby/src/takeover-history.ts
+++ b/packages/warm-standby/src/takeover-history.ts
@@ -1,7 +1,7 @@
 /** What became of the last takeovers: their phases, for operators, metrics and traces. */
 import type { ServiceEvent } from '../../../src/core/events.js';
-import type { Incarnation, MachineName, NodeName, Version } from '../../../src/core/types.js';
-import type { Service, TraceParent } from '../../../src/packages/api.js';
+import type { Incarnation, MachineName, NodeName, Version } from '../../../src/core/model/ids.js';
+import type { Service, TraceParent } from '../../../src/plugin-host/api.js';
 
 /** Why a slice came to this controller. */
 export type TakeoverCause =
--- a/packages/warm-standby/src/takeover-policy.ts
+++ b/packages/warm-standby/src/takeover-policy.ts
@@ -1,5 +1,5 @@
 /** Decides whether a standby takes a slice now, from what it knows; without input or output. */
-import type { NodeName } from '../../../src/core/types.js';
+import type { NodeName } from '../../../src/core/model/ids.js';
 
 /** What one other controller said of a holder that does not answer. */
 export interface Witness {
--- a/packages/warm-standby/src/takeover.ts
+++ b/packages/warm-standby/src/takeover.ts
@@ -2,8 +2,8 @@
  * The standby's loop: watches the holders of the slices that this controller stands by for, confirms a suspicion with the
  * other controllers, and takes the slice. Suspicion starts a takeover and proves nothing; the state service decides.
  */
-import type { NodeName, Version } from '../../../src/core/types.js';
-import type { Service, ShardFact } from '../../../src/packages/api.js';
+import type { NodeName, Version } from '../../../src/core/model/ids.js';
+import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
 import { Backoff } from './backoff.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
@@ -11,7 +11,7 @@
 import type { Options } from './options.js';
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
-import type { ReplicatedState } from './slice-memory.js';
+import type { ReplicatedState } from './replicated-state.js';
 import type { Takeover, TakeoverHistory } from './takeover-history.js';
 import { decideTakeover, doubtOf, type Reluctance, type Witness } from './takeover-policy.js';
 
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -1,21 +1,22 @@
 /** What a takeover rests on: guarded transactions, and standbys that believe neither strangers nor former holders. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { key } from '../../../src/core/keys.js';
-import { nodeName, version, type NodeName } from '../../../src/core/types.js';
-import { ShardTransfer } from '../../../src/controller/slice-transfer.js';
-import type { ShardTransferOutcome } from '../../../src/packages/api.js';
-import { Unavailable } from '../../../src/io/state/client.js';
-import { ViewFacts } from '../../../src/packages/facts.js';
-import { all, begun, leads, wait } from '../../../test/sim/meeting.js';
-import type { Node } from '../../../test/sim/node.js';
-import { answered } from '../../../test/sim/pipelines.js';
-import type { Sim } from '../../../test/sim/run.js';
+import { key } from '../../../src/core/records/keys.js';
+import { nodeName, version, type NodeName } from '../../../src/core/model/ids.js';
+import { ShardTransfer } from '../../../src/controller/membership/shard-transfer.js';
+import type { ShardTransferOutcome } from '../../../src/plugin-host/api.js';
+import { Unavailable } from '../../../src/io/state/state-client.js';
+import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
+import { all, begun, leads, wait } from '../../../test/sim/fault-scenario.js';
+import type { Node } from '../../../test/sim/simulated-controller.js';
+import { answered } from '../../../test/sim/pipeline-helpers.js';
+import type { Sim } from '../../../test/sim/simulation.js';
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
 import { holderOf, shown, standby } from './standbys.js';
 
 const transferOf = ({ controller }: Node) => new ShardTransfer(controller!.context, controller!.membership);
-const factOf = ({ controller }: Node, slice: NodeName) => new ViewFacts(controller!.context).shard(slice)!;
+const factOf = ({ controller }: Node, slice: NodeName) =>
+  new ViewCommittedFacts(controller!.context).shard(slice)!;
 
 /** The outcome of what a controller does, while the run goes on. */
 const outcomeOf = async (sim: Sim, work: () => Promise<ShardTransferOutcome>) =>
--- a/packages/warm-standby/test/loopback/cluster.ts
+++ b/packages/warm-standby/test/loopback/cluster.ts
@@ -9,11 +9,11 @@
 import net, { type AddressInfo } from 'node:net';
 import os from 'node:os';
 import path from 'node:path';
-import { HttpClient, type Method, type Reply } from '../../../../src/io/http.js';
-import { key } from '../../../../src/core/keys.js';
-import { Fleet, type Worker } from '../../../../test/sim/fleet.js';
-import { StateService } from '../../../../test/sim/state.js';
-import { World } from '../../../../test/sim/world.js';
+import { HttpClient, type Method, type Reply } from '../../../../src/io/http-client.js';
+import { key } from '../../../../src/core/records/keys.js';
+import { Fleet, type Worker } from '../../../../test/sim/agents-and-cloud.js';
+import { StateService } from '../../../../test/sim/state-service.js';
+import { World } from '../../../../test/sim/virtual-time.js';
 
 type Json = Record<string, unknown>;
 
--- a/packages/warm-standby/test/loopback/users.ts
+++ b/packages/warm-standby/test/loopback/users.ts
@@ -1,6 +1,6 @@
 /** Users of a loopback cluster: they submit, ask and submit again, and the history of their answers is checked. */
 import assert from 'node:assert/strict';
-import { newJob, type Submitted } from '../../../../test/sim/submitted.js';
+import { newJob, type Submitted } from '../../../../test/sim/submitted-job.js';
 import { submission } from '../../../../test/samples.js';
 import { NODES, type Cluster } from './cluster.js';
 
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -2,16 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import {
-  jobId,
-  machineName,
-  nodeName,
-  monotonicMs,
-  fencingToken,
-  version,
-  wallClockMs,
-} from '../../../src/core/types.js';
-import { attempt } from '../../../src/core/types.js';
+import { jobId, machineName, nodeName, fencingToken, version } from '../../../src/core/model/ids.js';
+import { monotonicMs, wallClockMs } from '../../../src/core/model/time.js';
+import { attempt } from '../../../src/core/model/ids.js';
 import { DecisionLog } from '../src/decision-log.js';
 import type { LogEntry } from '../src/entries.js';
 import {
@@ -25,7 +18,7 @@
 } from '../src/messages.js';
 import { Replica, type AppendMessage } from '../src/replica.js';
 import { OptionsSchema } from '../src/options.js';
-import { ReplicatedState } from '../src/slice-memory.js';
+import { ReplicatedState } from '../src/replicated-state.js';
 
 const shard = nodeName('c-0');
 const node = nodeName('c-1');
--- a/packages/warm-standby/test/standby-decisions.test.ts
+++ b/packages/warm-standby/test/standby-decisions.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { readSettings } from '../../../src/config/settings.js';
-import { nodeName, type NodeName } from '../../../src/core/types.js';
-import { configure } from '../../../src/packages/loader.js';
+import { readPlatformSettings } from '../../../src/config/platform-settings.js';
+import { nodeName, type NodeName } from '../../../src/core/model/ids.js';
+import { configure } from '../../../src/plugin-host/plugin-loader.js';
 import { platformSettings } from '../../../test/samples.js';
 import { Backoff } from '../src/backoff.js';
 import { ByteBudget } from '../src/byte-budget.js';
@@ -58,7 +58,7 @@
 });
 
 test('options that cannot be used end the start with the path and the reason', () => {
-  const settings = readSettings(platformSettings);
+  const settings = readPlatformSettings(platformSettings);
   const reject = (options: object, message: RegExp) => {
     assert.throws(() => configure('warm_standby', servicePackage, options, settings), message);
   };
--- a/packages/warm-standby/test/standbys.ts
+++ b/packages/warm-standby/test/standbys.ts
@@ -1,11 +1,11 @@
 /** Seeded runs with the package enabled: its options, scaled as everything else is there, and what tests ask of it. */
 import assert from 'node:assert/strict';
-import type { Settings } from '../../../src/config/settings.js';
-import { key } from '../../../src/core/keys.js';
-import type { LoadedPackage } from '../../../src/packages/api.js';
-import { configure } from '../../../src/packages/loader.js';
-import type { Node } from '../../../test/sim/node.js';
-import type { Sim } from '../../../test/sim/run.js';
+import type { PlatformSettings } from '../../../src/config/platform-settings.js';
+import { key } from '../../../src/core/records/keys.js';
+import type { LoadedPackage } from '../../../src/plugin-host/api.js';
+import { configure } from '../../../src/plugin-host/plugin-loader.js';
+import type { Node } from '../../../test/sim/simulated-controller.js';
+import type { Sim } from '../../../test/sim/simulation.js';
 import { servicePackage } from '../src/index.js';
 
 /** A session lives for 2 s in these runs, so that detection has to be faster than that. */
@@ -19,7 +19,7 @@
 /** The package for each controller of a run, with other options on top. */
 export const standby =
   (over: object = {}) =>
-  (settings: Settings): LoadedPackage[] => [
+  (settings: PlatformSettings): LoadedPackage[] => [
     configure('warm_standby', servicePackage, { ...OPTIONS, ...over }, settings),
   ];
 
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -5,12 +5,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { attempt, jobId, machineName, nodeName } from '../../../src/core/types.js';
-import { answered } from '../../../test/sim/pipelines.js';
-import { ViewFacts } from '../../../src/packages/facts.js';
-import type { Node } from '../../../test/sim/node.js';
-import { LEASE_MS, all, begun, ends, leads, meeting, wait } from '../../../test/sim/meeting.js';
-import type { Sim } from '../../../test/sim/run.js';
+import { attempt, jobId, machineName, nodeName } from '../../../src/core/model/ids.js';
+import { answered } from '../../../test/sim/pipeline-helpers.js';
+import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
+import type { Node } from '../../../test/sim/simulated-controller.js';
+import { LEASE_MS, all, begun, ends, leads, meeting, wait } from '../../../test/sim/fault-scenario.js';
+import type { Sim } from '../../../test/sim/simulation.js';
 import type { LogEntry } from '../src/entries.js';
 import { TOPIC, encodeAppend } from '../src/messages.js';
 import { holderOf, shown, standby, standbyOf, takeovers, total } from './standbys.js';
@@ -253,7 +253,7 @@
   const [node] = owners(sim);
   const taker = standbyOf(sim, node!.name);
   const shard = nodeName(node!.name);
-  const { epoch } = new ViewFacts(taker.controller!.context).shard(shard)!;
+  const { epoch } = new ViewCommittedFacts(taker.controller!.context).shard(shard)!;
   const machine = [...sim.fleet.machines.keys()].map(machineName);
   const { applied } = shown(taker).slices.find((s) => s.slice === shard)!;
   const task = (index: number) => ({
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -2,10 +2,11 @@
 import { readFileSync, writeSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import pino from 'pino';
-import { readOperators, type Operator } from '../config/operator.js';
-import { SettingsError, readSettings, type Settings } from '../config/settings.js';
-import type { LoadedPackage } from '../packages/api.js';
-import { loadPackages } from '../packages/loader.js';
+import { paths } from '../io/paths.js';
+import { readOperatorSettingsFiles, type OperatorSettings } from '../config/operator-settings.js';
+import { SettingsError, readPlatformSettings, type PlatformSettings } from '../config/platform-settings.js';
+import type { LoadedPackage } from '../plugin-host/api.js';
+import { loadPackages } from '../plugin-host/plugin-loader.js';
 
 const VERSION = '0.1.0';
 /** Exit codes: 0 done, 1 the service said no or could not be reached, 2 wrong usage or settings. */
@@ -24,8 +25,8 @@
 }
 
 interface Loaded {
-  readonly settings: Settings;
-  readonly operator: Operator;
+  readonly settings: PlatformSettings;
+  readonly operator: OperatorSettings;
   readonly packages: readonly LoadedPackage[];
 }
 
@@ -39,11 +40,11 @@
 
 function load(files: Files): Loaded {
   const text = readText(files.config);
-  const settings = inFile(files.config, () => readSettings(text));
+  const settings = inFile(files.config, () => readPlatformSettings(text));
   const fromEnvironment = process.env['PEPPERBANK_OPERATOR'];
   const paths = files.operator ?? (fromEnvironment === undefined ? [] : [fromEnvironment]);
   const operatorFiles = paths.map((path) => ({ path, text: readText(path) }));
-  const operator = readOperators(operatorFiles);
+  const operator = readOperatorSettingsFiles(operatorFiles);
   if (Object.keys(operator.packages).length === 0) return { settings, operator, packages: [] };
   // Where several files hold sections, the message names them all: the path in it says which section it is.
   return inFile(paths.join(', '), () => ({
@@ -70,8 +71,8 @@
     { level: ['error', 'info', 'debug'].includes(level) ? level : 'info', base: { node: settings.node } },
     pino.destination({ fd: 2, sync: true }),
   );
-  const controller = await import('../controller/controller.js');
-  await controller.serve(settings, operator, log, packages);
+  const { serve: serveController } = await import('../controller/serve.js');
+  await serveController(settings, operator, log, packages);
 }
 
 /** Asks a controller and prints its answer; the exit code says how it went. */
@@ -82,7 +83,7 @@
   body?: unknown,
   { indent, timeoutMs = ANSWER_MS }: { indent?: number; timeoutMs?: number } = {},
 ): Promise<void> {
-  const { HttpClient } = await import('../io/http.js');
+  const { HttpClient } = await import('../io/http-client.js');
   const client = new HttpClient(address.replace(/^http:\/\//, '').replace(/\/$/, ''), 1);
   try {
     const r = await client.request(method, path, body, timeoutMs);
@@ -138,18 +139,15 @@
     } catch (e) {
       throw new SettingsError(`${file}: ${(e as Error).message}`);
     }
-    const { paths } = await import('../io/wire.js');
     await ask(o.address, 'POST', paths.jobs, body);
   });
   withAddress(program.command('show').description("show a job's state").argument('<id>')).action(
     async (id: string, o: AddressOption) => {
-      const { paths } = await import('../io/wire.js');
       await ask(o.address, 'GET', paths.job.replace(':id', encodeURIComponent(id)));
     },
   );
   withAddress(program.command('cancel').description('cancel a job').argument('<id>')).action(
     async (id: string, o: AddressOption) => {
-      const { paths } = await import('../io/wire.js');
       await ask(o.address, 'POST', paths.cancel.replace(':id', encodeURIComponent(id)));
     },
   );
@@ -165,7 +163,6 @@
       .command('status')
       .description('show teams, slices, machines and why jobs wait, as a controller sees them'),
   ).action(async (o: AddressOption) => {
-    const { paths } = await import('../io/wire.js');
     await ask(o.address, 'GET', paths.status, undefined, { indent: 2 });
   });
   withAddress(
@@ -174,7 +171,6 @@
       .description('move what a controller holds to its warm standbys, before it is restarted')
       .option('--to <node>', 'to this controller only'),
   ).action(async (o: AddressOption & { to?: string }) => {
-    const { paths } = await import('../io/wire.js');
     const path = paths.packageCommand.replace(':name', 'warm_standby').replace(':command', 'handover');
     const body = o.to === undefined ? {} : { to: o.to };
     await ask(o.address, 'POST', path, body, { indent: 2, timeoutMs: HANDOVER_MS });
--- a/src/config/operator.ts
+++ b/src/config/operator-settings.ts
@@ -3,13 +3,13 @@
  * not known is an error, because it is most likely misspelled.
  */
 import { Type, type Static } from '@sinclair/typebox';
-import { SettingsError, check, parseToml } from './settings.js';
+import { SettingsError, firstSchemaError, parseToml } from './platform-settings.js';
 
 const seconds = (value: number) => Type.Number({ exclusiveMinimum: 0, default: value });
 const section = { additionalProperties: false, default: {} };
 
 /** The operators' settings file, with its defaults. */
-export const OperatorSchema = Type.Object(
+export const OperatorSettingsSchema = Type.Object(
   {
     sessions: Type.Object(
       {
@@ -84,15 +84,15 @@
   section,
 );
 /** The operators' settings, complete with defaults. */
-export type Operator = Static<typeof OperatorSchema>;
+export type OperatorSettings = Static<typeof OperatorSettingsSchema>;
 
 /** Reads the text of an operators' settings file. Throws `SettingsError`. */
-export function readOperator(text: string): Operator {
-  return readOperators([{ path: 'the file', text }]);
+export function readOperatorSettings(text: string): OperatorSettings {
+  return readOperatorSettingsFiles([{ path: 'the file', text }]);
 }
 
 /** A file of operators' settings. */
-export interface OperatorFile {
+export interface OperatorSettingsFile {
   readonly path: string;
   readonly text: string;
 }
@@ -121,16 +121,16 @@
 }
 
 /** Reads several files as one; a setting may stand in one of them only. Throws `SettingsError` with file and path. */
-export function readOperators(files: readonly OperatorFile[]): Operator {
+export function readOperatorSettingsFiles(files: readonly OperatorSettingsFile[]): OperatorSettings {
   const all: Table = {};
   for (const { path, text } of files) {
     const raw = parseToml(text, path);
-    const wrong = check(OperatorSchema, structuredClone(raw));
+    const wrong = firstSchemaError(OperatorSettingsSchema, structuredClone(raw));
     if (wrong !== null) throw new SettingsError(`${path}: ${wrong}`);
     const twice = merge(all, raw as Table, '');
     if (twice !== null) throw new SettingsError(`${path}: ${twice}: another file sets it, too`);
   }
-  const wrong = check(OperatorSchema, all);
+  const wrong = firstSchemaError(OperatorSettingsSchema, all);
   if (wrong !== null) throw new SettingsError(wrong);
-  return all as Operator;
+  return all as OperatorSettings;
 }
--- a/src/config/settings.ts
+++ b/src/config/platform-settings.ts
@@ -5,7 +5,9 @@
 import { Type, type Static, type TSchema } from '@sinclair/typebox';
 import { Ajv } from 'ajv';
 import { parse } from 'smol-toml';
-import { GPU, capacityVector, nodeName, teamName, zoneName, type Team, type Zone } from '../core/types.js';
+import type { Team } from '../core/model/cluster.js';
+import { nodeName, teamName, zoneName, type Zone } from '../core/model/ids.js';
+import { GPU, capacityVector } from '../core/model/resources.js';
 
 const text = Type.String({ minLength: 1, maxLength: 200 });
 const address = Type.String({ pattern: '^[0-9A-Za-z.-]+:[0-9]{1,5}$' });
@@ -14,7 +16,7 @@
 const whole = Type.Integer({ minimum: 1 });
 
 /** The platform's settings file; fields that are not named here are ignored. */
-export const PlatformSchema = Type.Object({
+export const PlatformSettingsSchema = Type.Object({
   node: text,
   area: text,
   bind: address,
@@ -65,13 +67,13 @@
   }),
 });
 /** The platform's settings as they are written. */
-export type Platform = Static<typeof PlatformSchema>;
+export type PlatformSettingsFile = Static<typeof PlatformSettingsSchema>;
 
 /** Settings that cannot be used; the message says what is wrong with them. */
 export class SettingsError extends Error {}
 
 /** Fills in defaults; gives the first thing wrong as a line naming the field, or null. */
-export function check(schema: TSchema, value: unknown): string | null {
+export function firstSchemaError(schema: TSchema, value: unknown): string | null {
   const validate = new Ajv({ useDefaults: true, strict: false }).compile(schema);
   if (validate(value)) return null;
   const e = validate.errors?.[0];
@@ -94,7 +96,7 @@
 }
 
 /** The platform's settings as the program uses them. */
-export interface Settings {
+export interface PlatformSettings {
   readonly node: ReturnType<typeof nodeName>;
   readonly zone: Zone;
   readonly bind: string;
@@ -109,19 +111,19 @@
   readonly nodes: number;
   readonly zones: readonly Zone[];
   readonly teams: readonly Team[];
-  readonly objectives: NonNullable<Platform['cluster']['objectives']>;
-  readonly workers: Platform['cluster']['workers'];
-  readonly stateLimits: Platform['cluster']['state'];
-  readonly cloudLimits: Platform['cluster']['cloud'];
-  readonly limits: Platform['cluster']['quota'];
+  readonly objectives: NonNullable<PlatformSettingsFile['cluster']['objectives']>;
+  readonly workers: PlatformSettingsFile['cluster']['workers'];
+  readonly stateLimits: PlatformSettingsFile['cluster']['state'];
+  readonly cloudLimits: PlatformSettingsFile['cluster']['cloud'];
+  readonly limits: PlatformSettingsFile['cluster']['quota'];
 }
 
 /** Reads the text of the platform's settings file. Throws `SettingsError`. */
-export function readSettings(textOfFile: string): Settings {
+export function readPlatformSettings(textOfFile: string): PlatformSettings {
   const raw = parseToml(textOfFile);
-  const wrong = check(PlatformSchema, raw);
+  const wrong = firstSchemaError(PlatformSettingsSchema, raw);
   if (wrong !== null) throw new SettingsError(wrong);
-  const p = raw as Platform;
+  const p = raw as PlatformSettingsFile;
   const c = p.cluster;
   return {
     node: nodeName(p.node),
--- a/src/controller/jobs.ts
+++ b/src/controller/api/job-service.ts
@@ -1,23 +1,17 @@
 /** Submitting, showing and cancelling jobs: what users are told, and only after it is committed. */
-import { NO_TASKS_DONE, checkFeasibility } from '../core/jobs.js';
-import { toStoredJob } from '../core/records.js';
-import {
-  NO_VERSION,
-  type FinalRecord,
-  type JobId,
-  type JobRecord,
-  type JobSpec,
-  type JobState,
-  type JobStatus,
-} from '../core/types.js';
-import { key } from '../core/keys.js';
-import { Unavailable } from '../io/state/client.js';
-import { GroupCommit } from '../io/state/group-commit.js';
-import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
-import type { Peer } from '../io/peers.js';
-import type { WriteOperation } from '../io/wire.js';
-import type { ControllerContext } from './context.js';
-import type { ShardController } from './owner/owner.js';
+import { NO_TASKS_DONE } from '../../core/jobs/done-tasks.js';
+import { checkFeasibility } from '../../core/jobs/feasibility.js';
+import { toStoredJob } from '../../core/records/stored-records.js';
+import { NO_VERSION, type JobId } from '../../core/model/ids.js';
+import type { FinalRecord, JobRecord, JobSpec, JobState, JobStatus } from '../../core/model/jobs.js';
+import { key } from '../../core/records/keys.js';
+import { Unavailable } from '../../io/state/state-client.js';
+import { GroupCommit } from '../../io/state/group-commit.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import type { Peer } from '../../io/peers/peer-link.js';
+import type { WriteOperation } from '../../io/state/state-messages.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { ShardController } from '../shard/shard-controller.js';
 
 /** What became of a submission. */
 export type SubmissionResult =
@@ -53,14 +47,14 @@
     private readonly peers: ReadonlyMap<string, Peer>,
   ) {
     this.submissions = new GroupCommit(context.state);
-    context.listeners.push(({ jobs }) => {
+    context.viewChanges.subscribe(({ jobs }) => {
       for (const id of jobs)
         if (!context.view.jobs.has(id)) for (const go of this.finishWaiters.get(id) ?? []) go();
     });
   }
 
   private statusOf(job: JobRecord): JobStatus {
-    const running = this.context.allocations().jobs.get(job.spec.id)?.tasks.size ?? 0;
+    const running = this.context.allocations.current().jobs.get(job.spec.id)?.tasks.size ?? 0;
     return { state: running > 0 ? 'running' : 'pending', done: job.done.count, running };
   }
 
@@ -211,16 +205,16 @@
       return { kind: 'final', state: status.state };
     const job = context.view.jobs.get(id);
     if (job === undefined) return { kind: 'later' };
-    if (context.ownsTeam(job.spec.team)) return this.cancelOwned(id);
+    if (context.ownership.ownsTeam(job.spec.team)) return this.cancelOwned(id);
     const start = this.context.clock.now();
     const wait = this.waitUntilFinished(id, CANCEL_WAIT_MS);
-    const owner = context.holderOf(context.view.teams.get(job.spec.team)) ?? undefined;
+    const owner = context.ownership.holderOf(context.view.teams.get(job.spec.team)) ?? undefined;
     const peer = owner === undefined ? undefined : this.peers.get(owner);
     const taken = peer === undefined ? null : await peer.cancel(id, 800);
     // Where the owner cannot be reached directly, the request is left in the state service for it.
     if (taken !== 'taken' && !context.view.cancellations.has(id)) {
       const op: WriteOperation = { key: key.cancellation(id), value: {}, reason: 'cancellation' };
-      const r = await context.state.transact([context.guard(op.key)], [op], REQUEST_PRIORITY.users);
+      const r = await context.state.transact([context.guards.forKey(op.key)], [op], REQUEST_PRIORITY.users);
       if (r.kind === 'ok') context.watcher.applyCommitted([op], r.revision);
     }
     await wait;
@@ -231,7 +225,7 @@
   /** A peer forwards a cancellation of a job whose team this controller owns. */
   acceptForwardedCancellation(id: JobId): string {
     const job = this.context.view.jobs.get(id);
-    if (job === undefined || !this.context.ownsTeam(job.spec.team)) return 'not_mine';
+    if (job === undefined || !this.context.ownership.ownsTeam(job.spec.team)) return 'not_mine';
     this.owner.requestCancellation(id);
     return 'taken';
   }
--- a/src/controller/status.ts
+++ b/src/controller/api/status.ts
@@ -1,10 +1,11 @@
 /** What an operator sees: who holds what, how the teams stand to one another, and why jobs wait. */
-import { CPU, GPU, NO_RESOURCES, MICRO_UNITS, type ResourceVector } from '../core/types.js';
-import type { DependencyStatus } from '../core/dependencies.js';
-import { key } from '../core/keys.js';
-import type { ControllerContext } from './context.js';
-import { leaderOf } from './leader/leader.js';
-import type { ShardController } from './owner/owner.js';
+import { nodeName, taskId } from '../../core/model/ids.js';
+import { CPU, GPU, NO_RESOURCES, MICRO_UNITS, type ResourceVector } from '../../core/model/resources.js';
+import type { DependencyStatus } from '../../core/jobs/dependencies.js';
+import { key } from '../../core/records/keys.js';
+import type { ControllerContext } from '../controller-context.js';
+import { leaderOf } from '../leader/leader.js';
+import type { ShardController } from '../shard/shard-controller.js';
 
 /** Lists are cut to this length, so that an answer stays readable and small. */
 const MOST = 200;
@@ -21,7 +22,7 @@
 /** The state of the fleet as this controller sees it, for operators. */
 export function status(context: ControllerContext, owner: ShardController, healthy: boolean) {
   const { view } = context;
-  const totals = context.allocations();
+  const totals = context.allocations.current();
   const wall = context.clock.wallClock();
   const waiting = [...view.jobs.values()].flatMap((j) => {
     const placed = totals.jobs.get(j.spec.id)?.tasks.size ?? 0;
@@ -32,9 +33,9 @@
     const why =
       need !== undefined && need.kind !== 'ready'
         ? waitsFor(need)
-        : context.ownsTeam(team)
+        : context.ownership.ownsTeam(team)
           ? (owner.waitReasons.get(id) ?? (j.phase === 'cancelling' ? 'cancelling' : 'about to be placed'))
-          : `ask ${context.holderOf(view.teams.get(team)) ?? 'again: its slice has no holder now'}`;
+          : `ask ${context.ownership.holderOf(view.teams.get(team)) ?? 'again: its slice has no holder now'}`;
     return [{ job: id, team, kind, priority, tasks, waitsS: Math.round((wall - j.submitted) / 1000), why }];
   });
   return {
@@ -44,7 +45,7 @@
     leader: leaderOf(context),
     slices: [...view.shards].map(([name, s]) => ({
       slice: name,
-      holder: context.holderOf({ owner: name }),
+      holder: context.ownership.holderOf({ owner: nodeName(name) }),
       token: view.versionOf(key.shard(name)),
       last: s.holder,
     })),
@@ -67,9 +68,9 @@
       spot: m.spot,
       phase: m.phase,
       drain: m.drain === true,
-      answeredBy: context.proxyOf(m) ?? context.holderOf(m),
+      answeredBy: context.ownership.proxyOf(m) ?? context.ownership.holderOf(m),
       free: amounts(totals.freeByMachine.get(m.name) ?? NO_RESOURCES),
-      tasks: m.placed.flatMap((p) => p.tasks.map((i) => context.taskId(p.job, i))),
+      tasks: m.placed.flatMap((p) => p.tasks.map((i) => taskId(p.job, i))),
     })),
     waiting: waiting.sort((a, b) => b.waitsS - a.waitsS).slice(0, MOST),
   };
--- a/src/packages/facts.ts
+++ b/src/controller/committed-facts.ts
@@ -1,12 +1,13 @@
 /** The committed facts of a controller's view, as packages read them. */
-import type { ViewChanges } from '../core/changes.js';
-import { key } from '../core/keys.js';
-import { nodeName, type JobId, type MachineName, type MachineRecord, type NodeName } from '../core/types.js';
-import type { ControllerContext } from '../controller/context.js';
-import type { CommittedFacts, SessionFact, ShardFact } from './api.js';
+import type { ViewChanges } from '../core/state/view-changes.js';
+import { key } from '../core/records/keys.js';
+import { nodeName, type JobId, type MachineName, type NodeName } from '../core/model/ids.js';
+import type { MachineRecord } from '../core/model/machines.js';
+import type { ControllerContext } from './controller-context.js';
+import type { CommittedFacts, SessionFact, ShardFact } from '../plugin-host/api.js';
 
 /** Reads the view of one controller. */
-export class ViewFacts implements CommittedFacts {
+export class ViewCommittedFacts implements CommittedFacts {
   constructor(private readonly context: ControllerContext) {}
 
   get isReady(): boolean {
@@ -59,6 +60,6 @@
   }
 
   subscribe(listener: (changes: ViewChanges) => void): void {
-    this.context.listeners.push(listener);
+    this.context.viewChanges.subscribe(listener);
   }
 }
--- /dev/null
+++ b/src/controller/controller-context.ts
@@ -0,0 +1,131 @@
+/** What the modules of one controller share: its settings, its view of the cluster and access to the state service. */
+import type { Logger } from 'pino';
+import type { OperatorSettings } from '../config/operator-settings.js';
+import type { PlatformSettings } from '../config/platform-settings.js';
+import { EventBus } from '../core/events.js';
+import type { Clock } from '../core/model/clock.js';
+import type { Team } from '../core/model/cluster.js';
+import { incarnation, type Incarnation, type TeamName } from '../core/model/ids.js';
+import { ClusterView } from '../core/state/cluster-view.js';
+import { viewChangesOf } from '../core/state/view-changes.js';
+import type { Transport } from '../io/http-client.js';
+import { StateClient, type StateServiceLimits } from '../io/state/state-client.js';
+import { StateWatcher } from '../io/state/state-watcher.js';
+import { AllocationTracker } from './allocation-tracker.js';
+import { DependencyTracker } from './dependency-tracker.js';
+import { FinalStateCache } from './final-state-cache.js';
+import { RecordBudget } from './record-budget.js';
+import { SchedulingPolicy } from './scheduling-policy.js';
+import { ShardOwnership } from './shard-ownership.js';
+import { TransactionGuards } from './transaction-guards.js';
+import { ViewChangeFeed } from './view-change-feed.js';
+
+/** What a context is made of. */
+export interface ControllerContextOptions {
+  readonly settings: PlatformSettings;
+  readonly operator: OperatorSettings;
+  readonly log: Logger;
+  readonly clock: Clock;
+  /** Differs between any two starts of any controller. */
+  readonly identity: string;
+  readonly stateTransport: Transport;
+  /** Apart from the other requests, since a watch holds its connection. */
+  readonly watchTransport: Transport;
+}
+
+/** The limits that the platform states, and what they may fall to without notice. */
+function stateLimitsOf({ stateLimits, nodes }: PlatformSettings): StateServiceLimits {
+  const { rps, write_rps, txn_ops, value_kb, next } = stateLimits;
+  return {
+    rps,
+    writeRps: write_rps,
+    lowRps: Math.min(rps, next?.rps ?? rps),
+    lowWriteRps: Math.min(write_rps, next?.write_rps ?? write_rps),
+    // Sizes are kept to the lower limits from the start: nothing larger is ever written.
+    operationsPerTransaction: Math.min(txn_ops, next?.txn_ops ?? txn_ops),
+    valueBytes: Math.min(value_kb, next?.value_kb ?? value_kb) * 1024,
+    nodes,
+  };
+}
+
+/** The parts of a controller that its loops share. */
+export class ControllerContext {
+  readonly settings: PlatformSettings;
+  readonly operator: OperatorSettings;
+  readonly log: Logger;
+  readonly clock: Clock;
+  readonly incarnation: Incarnation;
+  readonly teams: ReadonlyMap<TeamName, Team>;
+  readonly view = new ClusterView();
+  readonly viewChanges = new ViewChangeFeed();
+  /** What this controller does and observes, for packages. */
+  readonly events = new EventBus();
+  readonly state: StateClient;
+  readonly watcher: StateWatcher;
+  readonly allocations: AllocationTracker;
+  readonly ownership: ShardOwnership;
+  readonly guards: TransactionGuards;
+  readonly recordBudget: RecordBudget;
+  readonly finalStates: FinalStateCache;
+  readonly dependencies: DependencyTracker;
+  readonly policy: SchedulingPolicy;
+
+  constructor(options: ControllerContextOptions) {
+    const { settings, operator, log, clock } = options;
+    const { view, viewChanges } = this;
+    this.settings = settings;
+    this.operator = operator;
+    this.log = log;
+    this.clock = clock;
+    this.incarnation = incarnation(options.identity);
+    this.teams = new Map(settings.teams.map((team) => [team.name, team]));
+    this.state = this.createStateClient(options);
+    this.finalStates = new FinalStateCache(this.state);
+    this.watcher = new StateWatcher(
+      this.state,
+      view,
+      (keys) => {
+        viewChanges.publish(viewChangesOf(keys));
+      },
+      (operations) => {
+        this.finalStates.recordCommitted(operations);
+      },
+    );
+    this.allocations = new AllocationTracker(view, this.teams);
+    this.ownership = new ShardOwnership(view, this.incarnation);
+    this.guards = new TransactionGuards(view);
+    this.recordBudget = new RecordBudget(this.state.limits.valueBytes);
+    this.dependencies = new DependencyTracker({
+      view,
+      viewChanges,
+      allocations: this.allocations,
+      finalStates: this.finalStates,
+      clock,
+      heartbeatIntervalS: settings.workers.report_s,
+    });
+    this.policy = new SchedulingPolicy(clock, operator.placement, this.allocations, this.dependencies);
+  }
+
+  private createStateClient({
+    settings,
+    log,
+    clock,
+    stateTransport,
+    watchTransport,
+  }: ControllerContextOptions): StateClient {
+    const { events } = this;
+    return new StateClient(
+      stateLimitsOf(settings),
+      clock,
+      stateTransport,
+      watchTransport,
+      (operations, answer) => {
+        log.error({ keys: operations.map((o) => o.key), answer }, 'transaction rejected');
+      },
+      (operations, outcome, since) => {
+        if (events.isActive)
+          events.emit({ kind: 'transaction', keys: operations.map((o) => o.key), outcome, since });
+      },
+    );
+  }
+}
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,108 +1,126 @@
-/** Puts one controller together and runs its loops. */
-import { randomBytes } from 'node:crypto';
+/** One controller: constructs its modules in order of their dependencies and runs their loops. */
 import type { Logger } from 'pino';
-import type { Operator } from '../config/operator.js';
-import type { Settings } from '../config/settings.js';
-import { splitAddress } from '../core/address.js';
-import type { Clock } from '../core/clock.js';
-import { jobId } from '../core/types.js';
-import { realClock } from '../io/clock.js';
-import { CloudClient } from '../io/cloud.js';
-import { HttpClient, type Transport } from '../io/http.js';
-import { PeerLink, PeerServer, type Peer } from '../io/peers.js';
-import { buildServer } from '../io/users.js';
-import { AgentClient, type AgentGateway } from '../io/workers.js';
-import { ControllerContext } from './context.js';
-import { HealthTracker } from './health.js';
-import { JobService } from './jobs.js';
+import type { OperatorSettings } from '../config/operator-settings.js';
+import type { PlatformSettings } from '../config/platform-settings.js';
+import type { Clock } from '../core/model/clock.js';
+import type { AgentGateway } from '../io/agents/agent-client.js';
+import { CloudClient } from '../io/cloud/cloud-client.js';
+import type { Transport } from '../io/http-client.js';
+import type { Peer } from '../io/peers/peer-link.js';
+import type { LoadedPackage, Service } from '../plugin-host/api.js';
+import { PackageHost, TracerSwitch } from '../plugin-host/plugin-host.js';
+import { TopicChannel } from '../plugin-host/topic-channel.js';
+import { JobService } from './api/job-service.js';
+import { ViewCommittedFacts } from './committed-facts.js';
+import { ControllerContext } from './controller-context.js';
+import { HealthTracker } from './health-tracker.js';
+import { HeartbeatRouter } from './heartbeats/heartbeat-router.js';
 import { Leader } from './leader/leader.js';
-import { Membership } from './membership.js';
-import { ShardController } from './owner/owner.js';
-import { HeartbeatRouter } from './report-router.js';
-import { Availability } from './availability.js';
-import { status } from './status.js';
-import { ShardTransfer } from './slice-transfer.js';
-import type { LoadedPackage, Service } from '../packages/api.js';
-import { TopicChannel } from '../packages/channel.js';
-import { ViewFacts } from '../packages/facts.js';
-import { PackageHost, TracerSwitch } from '../packages/host.js';
+import { Availability } from './membership/availability.js';
+import { Membership } from './membership/membership.js';
+import { ShardTransfer } from './membership/shard-transfer.js';
+import { ShardController } from './shard/shard-controller.js';
 
-/** The world outside, as one controller reaches it. */
+/** Interval at which the usage of the state service is logged. */
+const USAGE_LOG_INTERVAL_MS = 30_000;
+
+/** What a controller needs from its environment; tests pass stand-ins. */
 export interface ControllerDependencies {
   readonly clock: Clock;
   /** Differs between any two starts of any controller. */
   readonly identity: string;
-  /** Uniform in [0, 1), to spread what would else happen at once. */
+  /** Uniform in [0, 1), to spread what would otherwise happen at once. */
   readonly random: () => number;
   readonly state: Transport;
   readonly watch: Transport;
   readonly cloud: Transport;
   readonly agents: AgentGateway;
   readonly peers: ReadonlyMap<string, Peer>;
-  /** Links for packages, apart from the others: what is slow there delays nothing else. */
+  /** Connections for packages, apart from the others, so that a slow package delays nothing else. */
   readonly packageLinks?: ReadonlyMap<string, Peer>;
 }
 
-/** One controller: all its loops, with the outside passed in. */
+/** What a controller is configured with. */
+export interface ControllerOptions {
+  readonly settings: PlatformSettings;
+  readonly operator: OperatorSettings;
+  readonly log: Logger;
+  readonly dependencies: ControllerDependencies;
+  readonly packages?: readonly LoadedPackage[];
+}
+
+/** The modules of one controller. */
 export class Controller {
   readonly context: ControllerContext;
   readonly membership: Membership;
+  readonly availability: Availability;
   readonly shardController: ShardController;
   readonly leader: Leader;
   readonly jobs: JobService;
   readonly heartbeats: HeartbeatRouter;
-
-  readonly availability: Availability;
+  /** Questions and answers between the packages of controllers. */
   readonly channel: TopicChannel;
   /** Null where no package is enabled. */
   readonly packages: PackageHost | null;
+  private readonly health: HealthTracker;
 
-  constructor(
-    settings: Settings,
-    operator: Operator,
-    log: Logger,
-    outside: ControllerDependencies,
-    packages: readonly LoadedPackage[] = [],
-  ) {
-    const context = new ControllerContext(
+  constructor({ settings, operator, log, dependencies, packages = [] }: ControllerOptions) {
+    const { clock, identity, state, watch, cloud, agents, peers } = dependencies;
+    this.context = new ControllerContext({
       settings,
       operator,
       log,
-      outside.clock,
-      outside.identity,
-      outside.state,
-      outside.watch,
-    );
-    const health = new HealthTracker(context, outside.random);
-    this.context = context;
-    this.membership = new Membership(context);
-    this.availability = new Availability(context, this.membership, outside.peers);
-    this.shardController = new ShardController(context, outside.agents, health);
-    this.leader = new Leader(
-      context,
-      this.membership,
-      new CloudClient(outside.cloud, settings.cloudLimits.rps, outside.clock),
-    );
-    this.jobs = new JobService(context, this.shardController, outside.peers);
+      clock,
+      identity,
+      stateTransport: state,
+      watchTransport: watch,
+    });
+    this.health = new HealthTracker(this.context, dependencies.random);
+    this.membership = new Membership(this.context);
+    this.availability = new Availability(this.context, this.membership, peers);
+    this.shardController = new ShardController(this.context, agents, this.health);
+    const cloudClient = new CloudClient(cloud, settings.cloudLimits.rps, clock);
+    this.leader = new Leader(this.context, this.membership, cloudClient);
+    this.jobs = new JobService(this.context, this.shardController, peers);
     this.heartbeats = new HeartbeatRouter(
-      context,
+      this.context,
       this.shardController,
       this.leader,
-      health,
+      this.health,
       this.membership,
       this.availability,
     );
-    this.channel = new TopicChannel(outside.packageLinks ?? new Map());
+    this.channel = new TopicChannel(dependencies.packageLinks ?? new Map());
+    this.packages = packages.length === 0 ? null : this.createPackageHost(packages, dependencies.random);
+  }
+
+  /** Runs all loops; returns only when one of them fails. */
+  async run(): Promise<void> {
+    await Promise.all([
+      this.context.watcher.run(),
+      this.membership.run(),
+      this.shardController.run(),
+      this.leader.run(),
+      this.heartbeats.run(),
+      this.availability.run(),
+      ...(this.packages === null ? [] : [this.packages.run()]),
+      this.logUsage(),
+    ]);
+  }
+
+  private createPackageHost(packages: readonly LoadedPackage[], random: () => number): PackageHost {
+    const { context, health } = this;
+    const { settings, clock, incarnation, log } = context;
     const tracer = new TracerSwitch();
-    const service = (packageLog: Logger): Service => ({
+    const serviceFor = (packageLog: Logger): Service => ({
       node: settings.node,
-      incarnation: context.incarnation,
+      incarnation,
       settings,
       peers: settings.peers,
-      clock: context.clock,
-      random: outside.random,
+      clock,
+      random,
       log: packageLog,
-      facts: new ViewFacts(context),
+      facts: new ViewCommittedFacts(context),
       shardControl: new ShardTransfer(context, this.membership),
       channel: this.channel,
       learn: (hint) => {
@@ -116,87 +134,14 @@
         tracer.provide(target);
       },
     });
-    this.packages = packages.length === 0 ? null : new PackageHost(packages, service, log);
+    return new PackageHost(packages, serviceFor, log);
   }
 
   private async logUsage(): Promise<never> {
     const { clock, log, state } = this.context;
     for (;;) {
-      await clock.sleep(USAGE_EVERY_MS);
+      await clock.sleep(USAGE_LOG_INTERVAL_MS);
       log.info(state.usage.snapshot(), 'state service usage');
     }
   }
-
-  async run(): Promise<void> {
-    await Promise.all([
-      this.context.watcher.run(),
-      this.membership.run(),
-      this.shardController.run(),
-      this.leader.run(),
-      this.heartbeats.run(),
-      this.availability.run(),
-      ...(this.packages === null ? [] : [this.packages.run()]),
-      this.logUsage(),
-    ]);
-  }
-}
-
-/** Usage of the state service is logged so often. */
-const USAGE_EVERY_MS = 30_000;
-
-/** Connections for packages come from the address at which the others know this controller, where it has one. */
-function packageLinks(settings: Settings): ReadonlyMap<string, Peer> {
-  const [host] = splitAddress(settings.peerBind);
-  const localAddress = host === '0.0.0.0' ? undefined : host;
-  return new Map(settings.peers.map((p) => [p.node as string, new PeerLink(p.address, localAddress)]));
-}
-
-/** Starts a controller on real sockets and clocks; returns only when it fails. */
-export async function serve(
-  settings: Settings,
-  operator: Operator,
-  log: Logger,
-  packages: readonly LoadedPackage[] = [],
-): Promise<void> {
-  const sockets = settings.limits.max_connections;
-  const outside: ControllerDependencies = {
-    clock: realClock,
-    identity: randomBytes(6).toString('hex'),
-    random: Math.random,
-    state: new HttpClient(settings.state, 8),
-    watch: new HttpClient(settings.state, 1),
-    cloud: new HttpClient(settings.cloud, 4),
-    agents: new AgentClient(Math.max(8, Math.floor(sockets / 20))),
-    peers: new Map(settings.peers.map((p) => [p.node as string, new PeerLink(p.address)])),
-    ...(packages.length === 0 ? {} : { packageLinks: packageLinks(settings) }),
-  };
-  const controller = new Controller(settings, operator, log, outside, packages);
-  const peerServer = new PeerServer(
-    (job) => Promise.resolve(controller.jobs.acceptForwardedCancellation(jobId(job))),
-    () => controller.context.state.isReachable(1500),
-    Math.max(8, settings.nodes * 4),
-    (topic, payload, from) => controller.channel.answer(topic, payload, from),
-  );
-  await peerServer.listen(...splitAddress(settings.peerBind));
-  const server = buildServer({
-    log,
-    jobs: controller.jobs,
-    heartbeats: controller.heartbeats,
-    healthy: () => controller.availability.isHealthy,
-    status: () => ({
-      ...status(controller.context, controller.shardController, controller.availability.isHealthy),
-      ...(controller.packages === null ? {} : { packages: controller.packages.status() }),
-    }),
-    maxConnections: Math.floor(sockets * 0.85),
-    leastInProgress: operator.users.least_in_progress,
-    mostInProgress: operator.users.most_in_progress,
-    ...(controller.packages === null ? {} : { packages: controller.packages }),
-  });
-  const [host, port] = splitAddress(settings.bind);
-  await server.listen({ host, port });
-  log.info(
-    { node: settings.node, incarnation: controller.context.incarnation, bind: settings.bind },
-    'serving',
-  );
-  await controller.run();
 }
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -1,119 +1,148 @@
-/** Reads the final states of jobs that others need, and keeps what follows from them at hand. */
+/** Resolves the dependencies of waiting jobs: reads the final states that decide them and caches what follows. */
 import {
-  transitiveDependencies,
+  dependenciesOf,
   resolveDependencies,
   resolveDependency,
-  dependenciesOf,
+  transitiveDependencies,
   unreadFinalStates,
   type DependencyGraph,
+  type DependencyInput,
   type DependencyStatus,
-} from '../core/dependencies.js';
-import type { JobId, JobRecord } from '../core/types.js';
-import { viewChangesOfJobs } from '../core/changes.js';
-import { Unavailable } from '../io/state/client.js';
-import type { ControllerContext } from './context.js';
-import type { FinalStateCache } from './final-states.js';
+} from '../core/jobs/dependencies.js';
+import type { Clock } from '../core/model/clock.js';
+import type { JobId } from '../core/model/ids.js';
+import type { JobRecord } from '../core/model/jobs.js';
+import type { ClusterView } from '../core/state/cluster-view.js';
+import { viewChangesOfJobs } from '../core/state/view-changes.js';
+import { Unavailable } from '../io/state/state-client.js';
+import type { AllocationTracker } from './allocation-tracker.js';
+import type { FinalStateCache } from './final-state-cache.js';
+import type { ViewChangeFeed } from './view-change-feed.js';
+
+/** Final states read at once: after a failover hundreds of jobs may wait for theirs. */
+const MAX_CONCURRENT_READS = 8;
+const RETRY_MS = 250;
 
-/** So many final states are read at once; a takeover may have hundreds of jobs that wait. */
-const READS_AT_ONCE = 8;
-const AGAIN_MS = 250;
+/** What the tracker reads from. */
+export interface DependencyTrackerOptions {
+  readonly view: ClusterView;
+  readonly viewChanges: ViewChangeFeed;
+  readonly allocations: AllocationTracker;
+  readonly finalStates: FinalStateCache;
+  readonly clock: Clock;
+  readonly heartbeatIntervalS: number;
+}
 
-/** Keeps at hand which jobs may start, wait or are withdrawn, and reads the final states that decide it. */
+/** Knows which jobs may start, are blocked, or are cancelled with a job that they depend on. */
 export class DependencyTracker {
-  private now: DependencyGraph | null = null;
-  /** The state of the view from which that follows. */
-  private at = -1;
-  /** Some final state is unread that decides about a waiting job. */
-  private incomplete = false;
-  private reading = false;
+  private graph: DependencyGraph | null = null;
+  /** The view's count of job changes that the graph was made from. */
+  private graphJobChangeCount = -1;
+  /** Some waiting job depends on a job whose final state has not been read. */
+  private hasUnreadFinalStates = false;
+  private isReading = false;
 
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly finalStates: FinalStateCache,
-  ) {
-    // Not waited for until somebody plans: what follows from an end is wanted at once.
-    context.listeners.push(({ jobs }) => {
-      if ([...jobs].some((id) => !context.view.jobs.has(id))) this.current();
+  constructor(private readonly options: DependencyTrackerOptions) {
+    const { view, viewChanges } = options;
+    // Resolved at once when a job ends, and not when the graph is next asked for: the reads take time.
+    viewChanges.subscribe(({ jobs }) => {
+      if ([...jobs].some((id) => !view.jobs.has(id))) this.current();
     });
   }
 
-  private get input() {
-    const { context } = this;
-    const totals = context.allocations();
+  private get input(): DependencyInput {
+    const { view, allocations, finalStates } = this.options;
+    const totals = allocations.current();
     return {
-      jobs: context.view.jobs,
-      finalState: (id: JobId) => this.finalStates.cached(id),
-      hasStarted: (j: JobRecord) => totals.jobs.has(j.spec.id),
-      runMs: (j: JobRecord) => {
-        let fetchS = 0;
-        for (const t of context.types.values()) fetchS = Math.max(fetchS, j.spec.imageGb / t.fetchGbPerS);
-        return (j.spec.estimateS + fetchS + context.settings.workers.report_s) * 1000;
-      },
+      jobs: view.jobs,
+      finalState: (id) => finalStates.cached(id),
+      hasStarted: (job) => totals.jobs.has(job.spec.id),
+      runMs: (job) => this.estimatedRunMs(job),
     };
   }
 
-  /** What the view and the final states read so far say. */
+  private estimatedRunMs({ spec }: JobRecord): number {
+    const { view, heartbeatIntervalS } = this.options;
+    let fetchS = 0;
+    for (const type of view.typesByName.values()) fetchS = Math.max(fetchS, spec.imageGb / type.fetchGbPerS);
+    return (spec.estimateS + fetchS + heartbeatIntervalS) * 1000;
+  }
+
+  /** The dependencies of all unfinished jobs, as far as the view and the final states read so far tell. */
   current(): DependencyGraph {
-    const { jobChangeCount } = this.context.view;
-    if (this.now === null || this.at !== jobChangeCount) {
-      this.at = jobChangeCount;
-      this.now = resolveDependencies(this.input);
-      this.incomplete = [...this.now.byJob.values()].some((d) => unreadFinalStates(d).length > 0);
+    const { jobChangeCount } = this.options.view;
+    if (this.graph === null || this.graphJobChangeCount !== jobChangeCount) {
+      this.graphJobChangeCount = jobChangeCount;
+      this.graph = resolveDependencies(this.input);
+      this.hasUnreadFinalStates = [...this.graph.byJob.values()].some(
+        (status) => unreadFinalStates(status).length > 0,
+      );
     }
-    if (this.incomplete) this.readSoon();
-    return this.now;
+    if (this.hasUnreadFinalStates) this.startReading();
+    return this.graph;
   }
 
-  /** As `all`, of one job, with all final states read that decide it. Throws `Unavailable` where that can't be now. */
+  /**
+   * The dependencies of one job, with all final states read that decide it; undefined where it has none. Throws
+   * `Unavailable` where they cannot be read now.
+   */
   async resolve(job: JobRecord): Promise<DependencyStatus | undefined> {
     if (dependenciesOf(job).length === 0) return undefined;
+    const { view, finalStates } = this.options;
     for (;;) {
-      const d = resolveDependency(job, this.input);
-      const open = d?.kind === 'blocked' || d?.kind === 'unknown' ? this.unread(job) : [];
-      if (open.length === 0) return d;
-      for (const id of open.slice(0, READS_AT_ONCE))
-        if ((await this.finalStates.read(id, this.context.view.revision)) === undefined)
-          throw new Unavailable(`${id} is neither open nor over`);
-      this.now = null;
+      const status = resolveDependency(job, this.input);
+      const isUndecided = status?.kind === 'blocked' || status?.kind === 'unknown';
+      const unread = isUndecided ? this.unreadBehind(job) : [];
+      if (unread.length === 0) return status;
+      for (const id of unread.slice(0, MAX_CONCURRENT_READS))
+        if ((await finalStates.read(id, view.revision)) === undefined)
+          throw new Unavailable(`${id} is neither unfinished nor finished`);
+      this.graph = null;
     }
   }
 
-  private unread(job: JobRecord): JobId[] {
-    const { jobs } = this.context.view;
-    const out = new Set<JobId>();
-    for (const j of transitiveDependencies(job, jobs))
-      for (const id of dependenciesOf(j))
-        if (!jobs.has(id) && this.finalStates.cached(id) === undefined) out.add(id);
-    return [...out];
+  private unreadBehind(job: JobRecord): JobId[] {
+    const { view, finalStates } = this.options;
+    const unread = new Set<JobId>();
+    for (const dependent of transitiveDependencies(job, view.jobs))
+      for (const id of dependenciesOf(dependent))
+        if (!view.jobs.has(id) && finalStates.cached(id) === undefined) unread.add(id);
+    return [...unread];
   }
 
-  private readSoon(): void {
-    if (this.reading) return;
-    this.reading = true;
+  private startReading(): void {
+    if (this.isReading) return;
+    this.isReading = true;
     void this.readAll().finally(() => {
-      this.reading = false;
+      this.isReading = false;
     });
   }
 
-  /** Level-triggered: as long as something is unread, it is read, in bounded numbers. */
+  /** Level-triggered: reads a bounded number at a time until nothing is unread. */
   private async readAll(): Promise<void> {
-    const { context } = this;
+    const { view, viewChanges, finalStates, clock } = this.options;
     for (;;) {
-      const unread = new Map<JobId, JobId>();
-      for (const [id, d] of this.current().byJob)
-        for (const need of unreadFinalStates(d)) unread.set(need, id);
-      if (unread.size === 0) return;
-      const some = [...unread].slice(0, READS_AT_ONCE);
-      const read = await Promise.all(
-        some.map(([need]) => this.finalStates.read(need, context.view.revision).catch(() => undefined)),
+      const dependentByUnread = this.dependentByUnread();
+      if (dependentByUnread.size === 0) return;
+      const batch = [...dependentByUnread].slice(0, MAX_CONCURRENT_READS);
+      const results = await Promise.all(
+        batch.map(([id]) => finalStates.read(id, view.revision).catch(() => undefined)),
       );
-      const changed = some.filter((_, i) => read[i] !== undefined);
-      if (changed.length > 0) {
-        this.now = null;
-        // As if the records of those that wait had changed: their owners and the leader look again.
-        context.publish(viewChangesOfJobs(new Set(changed.map(([, job]) => job))));
+      const resolved = batch.filter((_, i) => results[i] !== undefined);
+      if (resolved.length > 0) {
+        this.graph = null;
+        // Published as if the dependents' records had changed, so that their controllers and the leader look again.
+        viewChanges.publish(viewChangesOfJobs(new Set(resolved.map(([, dependent]) => dependent))));
       }
-      if (changed.length < some.length) await context.clock.sleep(AGAIN_MS);
+      if (resolved.length < batch.length) await clock.sleep(RETRY_MS);
     }
   }
+
+  /** Each unread final state, with one of the jobs that wait for it. */
+  private dependentByUnread(): Map<JobId, JobId> {
+    const dependents = new Map<JobId, JobId>();
+    for (const [dependent, status] of this.current().byJob)
+      for (const id of unreadFinalStates(status)) dependents.set(id, dependent);
+    return dependents;
+  }
 }
--- a/src/controller/final-states.ts
+++ b/src/controller/final-state-cache.ts
@@ -1,10 +1,11 @@
 /** Final states of jobs: kept by the state service for ever, remembered here within bounds. */
-import { evictOldest } from '../core/bounded.js';
-import type { FinalRecord, JobId, Revision } from '../core/types.js';
-import { key, parseKey } from '../core/keys.js';
+import { evictOldest } from '../core/bounded-map.js';
+import type { JobId, Revision } from '../core/model/ids.js';
+import type { FinalRecord } from '../core/model/jobs.js';
+import { key, parseKey } from '../core/records/keys.js';
 import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
-import { Unavailable, type StateClient } from '../io/state/client.js';
-import type { WriteOperation } from '../io/wire.js';
+import { Unavailable, type StateClient } from '../io/state/state-client.js';
+import type { WriteOperation } from '../io/state/state-messages.js';
 
 /** So many are remembered: a few MB. What is forgotten is read again when it is asked for. */
 const KEPT = 15_000;
--- a/src/controller/health.ts
+++ b/src/controller/health-tracker.ts
@@ -1,22 +1,16 @@
 /** What reports teach about machines and jobs, kept in memory only: losing it costs time, never a rule. */
-import {
-  monotonicMs,
-  type ExitReason,
-  type JobId,
-  type JobRecord,
-  type MachineName,
-  type MachineRecord,
-  type Allocation,
-  type Heartbeat,
-  type MonotonicMs,
-} from '../core/types.js';
-import { evictOldest } from '../core/bounded.js';
-import { FailureTracker, RUNS_WELL_MS } from '../core/failures.js';
-import type { Hint } from '../packages/api.js';
-import { jsonBytes } from '../core/records.js';
-import { SlowMachineDetector, type TaskRun } from '../core/slowness.js';
-import { isNewer, taskKey } from '../core/worker-reports.js';
-import type { ControllerContext } from './context.js';
+import type { ExitReason, Heartbeat } from '../core/model/heartbeats.js';
+import type { JobId, MachineName } from '../core/model/ids.js';
+import type { JobRecord } from '../core/model/jobs.js';
+import type { MachineRecord, Allocation } from '../core/model/machines.js';
+import { monotonicMs, type MonotonicMs } from '../core/model/time.js';
+import { evictOldest } from '../core/bounded-map.js';
+import { FailureTracker, RUNS_WELL_MS } from '../core/health/failure-tracker.js';
+import type { Hint } from '../plugin-host/api.js';
+import { jsonBytes } from '../core/records/stored-records.js';
+import { SlowMachineDetector, type TaskRun } from '../core/health/slow-machine-detector.js';
+import { isNewer, taskKey } from '../core/agents/agent-session.js';
+import type { ControllerContext } from './controller-context.js';
 
 /** So many reports, and pauses between a job and a machine, are remembered at least; for larger fleets more. */
 const MIN_HEARTBEATS_KEPT = 4000;
@@ -45,7 +39,7 @@
     const { slow_factor, slow_runs } = context.operator.fleet;
     this.slowness = new SlowMachineDetector({ factor: slow_factor, runs: slow_runs, samples: 12 });
     this.failures = new FailureTracker(random);
-    context.listeners.push(({ machines, jobs }) => {
+    context.viewChanges.subscribe(({ machines, jobs }) => {
       for (const id of jobs) if (!context.view.jobs.has(id)) this.failures.forgetJob(id);
       for (const name of machines) {
         if (context.view.machines.has(name)) continue;
@@ -90,11 +84,11 @@
 
   /** Takes in what another controller has learned; nothing that is known here is replaced by anything older. */
   applyHint(hint: Hint): void {
-    const { view, types, clock } = this.context;
+    const { view, clock } = this.context;
     switch (hint.kind) {
       case 'agent': {
         const machine = view.machines.get(hint.machine);
-        if (machine === undefined || !types.has(machine.type)) return;
+        if (machine === undefined || !view.typesByName.has(machine.type)) return;
         const { type, zone, spot } = machine;
         const { address, agentEpoch, sequence, token } = hint;
         this.keepIfNewest({
@@ -168,8 +162,8 @@
       set.add(image);
     }
     const out: string[] = [];
-    let gb = this.context.types.get(m.type)?.cacheGb ?? 0;
-    let room = this.context.imagesBytes - 12;
+    let gb = this.context.view.typesByName.get(m.type)?.cacheGb ?? 0;
+    let room = this.context.recordBudget.imagesBytes - 12;
     for (const image of [...set].reverse()) {
       gb -= this.imageGb.get(image) ?? 0;
       room -= jsonBytes(image) + 1;
--- a/src/controller/report-router.ts
+++ b/src/controller/heartbeats/heartbeat-router.ts
@@ -7,21 +7,17 @@
  * the worker a higher one, such an answer is dropped. Who is kept alive this way is written down, so that
  * nobody takes those machines for dead.
  */
-import type {
-  AgentCommand,
-  MachineName,
-  MachineRecord,
-  Heartbeat,
-  MonotonicMs,
-  FencingToken,
-} from '../core/types.js';
-import type { ControllerContext } from './context.js';
-import type { HealthTracker } from './health.js';
-import { leaderOf, type Leader } from './leader/leader.js';
-import type { Membership } from './membership.js';
-import type { ShardController, ReportAnswer } from './owner/owner.js';
-import type { Availability } from './availability.js';
-import { ProxiedMachineList } from './substitute-list.js';
+import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
+import type { MachineName, FencingToken } from '../../core/model/ids.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { HealthTracker } from '../health-tracker.js';
+import { leaderOf, type Leader } from '../leader/leader.js';
+import type { Membership } from '../membership/membership.js';
+import type { ShardController, ReportAnswer } from '../shard/shard-controller.js';
+import type { Availability } from '../membership/availability.js';
+import { ProxiedMachineList } from './proxied-machine-list.js';
 
 interface ProxiedAgent {
   /** The owner's token; under another one everything begins anew. */
@@ -60,7 +56,7 @@
     private readonly availability: Availability,
   ) {
     this.proxiedMachineList = new ProxiedMachineList(context);
-    context.listeners.push(({ machines, shards }) => {
+    context.viewChanges.subscribe(({ machines, shards }) => {
       for (const name of shards.size > 0 ? context.view.machines.keys() : machines) this.noteToken(name);
       // Those that have just gone are not in the view any more.
       if (shards.size > 0) for (const name of machines) this.noteToken(name);
@@ -91,17 +87,17 @@
       this.leader.recordUnregistered(r);
       return { kind: 'elsewhere', node: null };
     }
-    if (context.isOwned(m)) {
+    if (context.ownership.owns(m)) {
       if (!this.availability.mayAnswerAgents) return this.answerIsolated(m, r);
       this.redirectedAt.delete(m.name);
       this.returnedAt.delete(m.name);
       return this.owner.answerHeartbeat(m, r);
     }
     // Kept, and told nothing, for the moment until the view holds what its former owner has committed.
-    if (context.isBecomingOwned(m))
+    if (context.ownership.isAcquiring(m))
       return { kind: 'ok', token: context.view.fencingTokenOf(m), commands: [] };
     if (!this.isStateFresh()) return this.answerIsolated(m, r);
-    const holder = context.holderOf(m);
+    const holder = context.ownership.holderOf(m);
     if (!this.shouldProxy(m, r, holder !== null)) return { kind: 'elsewhere', node: holder };
     return { kind: 'ok', token: context.view.fencingTokenOf(m), commands: this.stopCommandsFor(r) };
   }
@@ -117,7 +113,7 @@
   private answerIsolated(m: MachineRecord, r: Heartbeat): ReportAnswer {
     const { context } = this;
     if (!this.availability.isIsolated)
-      return { kind: 'elsewhere', node: context.isOwned(m) ? null : context.holderOf(m) };
+      return { kind: 'elsewhere', node: context.ownership.owns(m) ? null : context.ownership.holderOf(m) };
     const t = context.clock.now();
     const token = context.view.fencingTokenOf(m);
     const kept = this.returnedAt.get(m.name);
@@ -125,7 +121,8 @@
     const away = sent?.token === token ? t - sent.at : Number.POSITIVE_INFINITY;
     // Each try costs it a second at least; one that another controller sent straight back is here sooner.
     const triedAll = away > context.settings.nodes * 1000 - 500 && away < BACK_LATEST_MS;
-    const came = triedAll || (!(away < BACK_LATEST_MS) && !context.isOwned(m) && this.leftOwner(r, token));
+    const came =
+      triedAll || (!(away < BACK_LATEST_MS) && !context.ownership.owns(m) && this.leftOwner(r, token));
     const keepMs = context.settings.workers.lease_s * 1000;
     const stays = kept?.token === token && t - kept.at < keepMs;
     if (r.token > token || !(came || stays)) {
@@ -226,7 +223,7 @@
       for (const [name, s] of [...this.proxied]) {
         const m = context.view.machines.get(name);
         const keepMs = s.receivesAnswers ? reportMs * 2 + 6000 : reportMs * 1.25 + 500;
-        if (m === undefined || context.isOwned(m) || context.clock.now() - s.lastHeartbeatAt > keepMs)
+        if (m === undefined || context.ownership.owns(m) || context.clock.now() - s.lastHeartbeatAt > keepMs)
           this.proxied.delete(name);
       }
       const lease = this.membership.currentLease;
--- a/src/controller/substitute-list.ts
+++ b/src/controller/heartbeats/proxied-machine-list.ts
@@ -2,12 +2,13 @@
  * Keeps the list of machines that this controller answers in their owners' place current in the state service, so that
  * nobody takes them for dead. It goes on in further records where it does not fit one value.
  */
-import { key } from '../core/keys.js';
-import { splitBySize } from '../core/records.js';
-import type { MachineName, ProxiedMachinesRecord } from '../core/types.js';
-import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
-import type { WriteOperation } from '../io/wire.js';
-import type { ControllerContext } from './context.js';
+import { key } from '../../core/records/keys.js';
+import { splitBySize } from '../../core/records/stored-records.js';
+import type { ProxiedMachinesRecord } from '../../core/model/cluster.js';
+import type { MachineName } from '../../core/model/ids.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import type { WriteOperation } from '../../io/state/state-messages.js';
+import type { ControllerContext } from '../controller-context.js';
 
 /** What a record takes beside the names in it. */
 const RECORD_OVERHEAD_BYTES = 100;
@@ -51,7 +52,7 @@
       reason: 'machine_state',
       ...(value === undefined ? {} : { lease }),
     };
-    const result = await context.state.transact([context.guard(k)], [op], REQUEST_PRIORITY.users);
+    const result = await context.state.transact([context.guards.forKey(k)], [op], REQUEST_PRIORITY.users);
     if (result.kind !== 'ok') return;
     context.watcher.applyCommitted([op], result.revision);
     this.written[part] = text;
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,16 +1,19 @@
 /** Keeps the records in step with the cloud: machine types, machines that failed, are unknown, or are to be returned. */
-import { key } from '../../core/keys.js';
-import { splitBySize } from '../../core/records.js';
-import type { MachineName, MachineRecord, MachineType, NodeName, MonotonicMs } from '../../core/types.js';
-import type { CloudClient } from '../../io/cloud.js';
+import { key } from '../../core/records/keys.js';
+import { splitBySize } from '../../core/records/stored-records.js';
+import type { MachineName, NodeName } from '../../core/model/ids.js';
+import type { MachineRecord, MachineType } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { CloudClient } from '../../io/cloud/cloud-client.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import type { ListedMachine, WriteOperation } from '../../io/wire.js';
-import type { ControllerContext } from '../context.js';
-import type { Membership } from '../membership.js';
+import type { ListedMachine } from '../../io/cloud/cloud-messages.js';
+import type { WriteOperation } from '../../io/state/state-messages.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { Membership } from '../membership/membership.js';
 import type { LeaderTransactions } from './leader-transactions.js';
 import { markForReturn, newMachine } from './rentals.js';
-import { longestListLagS } from './unknown-machines.js';
-import type { UnregisteredMachines } from './unknown-machines.js';
+import { longestListLagS } from './unregistered-machines.js';
+import type { UnregisteredMachines } from './unregistered-machines.js';
 
 const LIST_EVERY_MS = 4000;
 /** A machine must be missing for so much longer than any list lags. */
--- a/src/controller/leader/leader-transactions.ts
+++ b/src/controller/leader/leader-transactions.ts
@@ -1,10 +1,10 @@
 /** Commits that only the present leader can make: each transaction is guarded on the leadership. */
-import { key, parseKey } from '../../core/keys.js';
+import { key, parseKey } from '../../core/records/keys.js';
 import type { RequestPriority } from '../../io/rate-limiter.js';
-import { packTransactions, type ChangeSet } from '../../io/state/transactions.js';
-import type { Guard, WriteOperation } from '../../io/wire.js';
-import type { ControllerContext } from '../context.js';
-import type { Membership } from '../membership.js';
+import { commit, packTransactions, type ChangeSet } from '../../io/state/transactions.js';
+import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { Membership } from '../membership/membership.js';
 
 /** Commits changes that are guarded on the leadership. */
 export class LeaderTransactions {
@@ -16,8 +16,10 @@
   /** Commits one transaction as it is. */
   async commit({ operations, guards }: ChangeSet, priority: RequestPriority): Promise<boolean> {
     if (!this.membership.isLeader) return false;
-    const outcome = await this.context.commit(
-      [this.context.guard(key.leader), ...guards],
+    const outcome = await commit(
+      this.context.state,
+      this.context.watcher,
+      [this.context.guards.forKey(key.leader), ...guards],
       operations,
       priority,
     );
@@ -43,7 +45,7 @@
 
   private packed(groups: readonly ChangeSet[]): Generator<ChangeSet> {
     const { context } = this;
-    return packTransactions(groups, [context.guard(key.leader)], context.state.limits, context.view);
+    return packTransactions(groups, [context.guards.forKey(key.leader)], context.state.limits, context.view);
   }
 
   /**
@@ -54,6 +56,9 @@
     const { context } = this;
     const before = context.view.entries.get(op.key)?.value as { owner?: string } | undefined;
     const shard = parseKey(op.key).kind === 'machine' ? before?.owner : undefined;
-    return [context.guard(op.key), ...(shard === undefined ? [] : [context.guard(key.shard(shard))])];
+    return [
+      context.guards.forKey(op.key),
+      ...(shard === undefined ? [] : [context.guards.forKey(key.shard(shard))]),
+    ];
   }
 }
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -2,29 +2,29 @@
  * What only the leader does: who owns which team and machine, what is rented and returned. Every commit is guarded on the
  * leadership; what is asked of the cloud was committed before.
  */
-import { key } from '../../core/keys.js';
-import { assignShardHolders, assignTeamsToShards, type LiveController } from '../../core/slices.js';
+import { key } from '../../core/records/keys.js';
 import {
-  nodeName,
-  type MachineRecord,
-  type NodeName,
-  type Heartbeat,
-  type ShardRecord,
-  type MonotonicMs,
-  type TeamRecord,
-} from '../../core/types.js';
-import type { CloudClient } from '../../io/cloud.js';
+  assignShardHolders,
+  assignTeamsToShards,
+  type LiveController,
+} from '../../core/state/shard-assignment.js';
+import type { ShardRecord, TeamRecord } from '../../core/model/cluster.js';
+import type { Heartbeat } from '../../core/model/heartbeats.js';
+import { nodeName, type NodeName } from '../../core/model/ids.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { CloudClient } from '../../io/cloud/cloud-client.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import type { WriteOperation } from '../../io/wire.js';
-import type { ControllerContext } from '../context.js';
-import type { Membership } from '../membership.js';
+import type { WriteOperation } from '../../io/state/state-messages.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { Membership } from '../membership/membership.js';
 import { Notification } from '../notification.js';
 import { CloudInventory } from './cloud-inventory.js';
-import { ScalingPlanner } from './fleet-planner.js';
+import { ScalingPlanner } from './scaling-planner.js';
 import { LeaderTransactions } from './leader-transactions.js';
 import { Rentals, markForReturn } from './rentals.js';
-import { MisroutedAgents } from './strayed-machines.js';
-import { UnregisteredMachines } from './unknown-machines.js';
+import { MisroutedAgents } from './misrouted-agents.js';
+import { UnregisteredMachines } from './unregistered-machines.js';
 
 /** A step is made so often without being notified, and never more often than this. */
 const IDLE_MS = 500;
@@ -68,7 +68,7 @@
     this.rentals = new Rentals(context, cloud, this.transactions);
     this.misroutedAgents = new MisroutedAgents(context);
     this.planner = new ScalingPlanner(context, this.misroutedAgents, this.rentals);
-    context.listeners.push(({ sessions, leader, jobs }) => {
+    context.viewChanges.subscribe(({ sessions, leader, jobs }) => {
       if (sessions.size > 0 || leader || jobs.size > 0) this.notification.notify();
     });
   }
@@ -125,7 +125,7 @@
       live.push({
         node,
         incarnation,
-        sessionAgeS: (now - (context.sessionSince.get(node) ?? now)) / 1000,
+        sessionAgeS: (now - (this.membership.sessionsFirstSeen.get(node) ?? now)) / 1000,
         canReachAgents: this.misroutedAgents.canReachAgents(node) && draining !== true,
       });
     return live.sort((a, b) => (a.node < b.node ? -1 : 1));
--- a/src/controller/leader/strayed-machines.ts
+++ b/src/controller/leader/misrouted-agents.ts
@@ -2,9 +2,11 @@
  * Machines that another controller answers in their owner's place. Those that it has answered for a while follow it:
  * their owner does not reach them.
  */
-import type { LiveController } from '../../core/slices.js';
-import type { MachineName, MachineRecord, NodeName, MonotonicMs, FencingToken } from '../../core/types.js';
-import type { ControllerContext } from '../context.js';
+import type { LiveController } from '../../core/state/shard-assignment.js';
+import type { MachineName, NodeName, FencingToken } from '../../core/model/ids.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { ControllerContext } from '../controller-context.js';
 
 /** A worker that gets no answer is at the next controller so much later. */
 const HOP_MS = 6000;
@@ -56,8 +58,8 @@
     const lost = new Map<string, number>();
     for (const machine of context.view.machines.values()) {
       if (machine.phase === 'booting') continue;
-      const node = context.proxyOf(machine);
-      const holder = context.holderOf(machine);
+      const node = context.ownership.proxyOf(machine);
+      const holder = context.ownership.holderOf(machine);
       const count = node === null ? reached : lost;
       if (holder !== null) count.set(holder, (count.get(holder) ?? 0) + 1);
       if (node === null || holder === null) this.proxiedSince.delete(machine.name);
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -1,24 +1,23 @@
 /** Rents machines: each request is committed before the cloud is asked, so that nothing is ever rented twice. */
-import { key } from '../../core/keys.js';
-import type { RentalRequest } from '../../core/fleet.js';
-import { jsonBytes } from '../../core/records.js';
+import { key } from '../../core/records/keys.js';
+import type { RentalRequest } from '../../core/scaling/scaling-types.js';
+import { jsonBytes } from '../../core/records/stored-records.js';
 import {
   NO_VERSION,
   type MachineName,
-  type MachineRecord,
   type NodeName,
-  type RentalRecord,
-  type MonotonicMs,
   type TypeName,
   type Zone,
-} from '../../core/types.js';
-import type { CloudClient } from '../../io/cloud.js';
+} from '../../core/model/ids.js';
+import type { MachineRecord, RentalRecord } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { CloudClient } from '../../io/cloud/cloud-client.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { WriteOperation } from '../../io/wire.js';
-import type { ControllerContext } from '../context.js';
+import type { WriteOperation } from '../../io/state/state-messages.js';
+import type { ControllerContext } from '../controller-context.js';
 import type { LeaderTransactions } from './leader-transactions.js';
-import type { UnregisteredMachine } from './unknown-machines.js';
+import type { UnregisteredMachine } from './unregistered-machines.js';
 
 /** The cloud rents at most so many machines by one request. */
 const MOST_RENTED = 50;
@@ -135,7 +134,7 @@
     shards: readonly NodeName[],
   ): ChangeSet[] {
     const { context } = this;
-    const guard = context.guard(key.rental(rental.name));
+    const guard = context.guards.forKey(key.rental(rental.name));
     const groups: ChangeSet[] = [];
     got.forEach((name, i) => {
       if (context.view.machines.has(name)) return;
--- a/src/controller/leader/fleet-planner.ts
+++ b/src/controller/leader/scaling-planner.ts
@@ -1,19 +1,16 @@
 /** Plans the fleet: which machines change slice, which are rented and which are returned. */
-import { planScaling, type ScalingPlan, type Headroom } from '../../core/fleet.js';
-import { DemandForecast } from '../../core/forecast.js';
-import { allowsMachineType } from '../../core/jobs.js';
-import {
-  fitsWithin,
-  type JobRecord,
-  type JobSpec,
-  type MachineName,
-  type MachineRecord,
-  type MachineType,
-  type MonotonicMs,
-} from '../../core/types.js';
-import type { ControllerContext } from '../context.js';
+import { planScaling } from '../../core/scaling/scaling-plan.js';
+import type { ScalingPlan, Headroom } from '../../core/scaling/scaling-types.js';
+import { DemandForecast } from '../../core/scaling/demand-forecast.js';
+import { allowsMachineType } from '../../core/jobs/feasibility.js';
+import type { MachineName } from '../../core/model/ids.js';
+import type { JobRecord, JobSpec } from '../../core/model/jobs.js';
+import type { MachineRecord, MachineType } from '../../core/model/machines.js';
+import { fitsWithin } from '../../core/model/resources.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { ControllerContext } from '../controller-context.js';
 import type { Rentals } from './rentals.js';
-import type { MisroutedAgents } from './strayed-machines.js';
+import type { MisroutedAgents } from './misrouted-agents.js';
 
 /** Less room than this in a record is too little for another job's tasks. */
 const MIN_RECORD_BYTES_LEFT = 300;
@@ -52,14 +49,14 @@
       jobs: context.dependencies.current().startable.filter((j) => this.deservesRoom(j)),
       machines,
       rentals: view.rentals.values(),
-      ledger: context.allocations(),
+      ledger: context.allocations.current(),
       types: view.types ?? [],
       shardByTeam: new Map([...view.teams].map(([team, r]) => [team, r.owner])),
-      order: context.order(),
+      order: context.policy.jobOrder(),
       isUsable: (m) => this.isUsable(m),
       isMovable: (m) => (m.heard ?? 0) >= view.fencingTokenOf(m) && !this.misroutedAgents.isMisrouted(m.name),
-      leavesWholeMachinesToGangs: context.gangWholeMachinePolicy(),
-      mayReserve: (j) => context.mayReserve(j),
+      leavesWholeMachinesToGangs: context.policy.gangWholeMachinePolicy(),
+      mayReserve: (j) => context.policy.mayReserve(j),
       headroom: this.headroom(),
       isAvailable: (type, zone, spot) => this.rentals.isAvailable(type, zone, spot),
       isIdle: (m) => this.isIdle(m),
@@ -72,7 +69,7 @@
   }
 
   private bootS(m: MachineRecord): number {
-    return this.context.types.get(m.type)?.bootS ?? DEFAULT_BOOT_S;
+    return this.context.view.typesByName.get(m.type)?.bootS ?? DEFAULT_BOOT_S;
   }
 
   private noteEmpty(machines: readonly MachineRecord[]): void {
@@ -103,9 +100,9 @@
     const { context } = this;
     if (m.drain === true) return false;
     // A machine whose record is full takes nothing more, however much of it is free.
-    if (m.placed.length > 0 && context.recordBytesLeft(m) <= MIN_RECORD_BYTES_LEFT) return false;
+    if (m.placed.length > 0 && context.recordBudget.bytesLeft(m) <= MIN_RECORD_BYTES_LEFT) return false;
     // Its owner does not reach it, so what is free on it is of no use now.
-    if (context.proxyOf(m) !== null) return false;
+    if (context.ownership.proxyOf(m) !== null) return false;
     if (m.phase === 'booting') return this.ageS(m) < this.bootS(m) * context.operator.fleet.late_boot_factor;
     return m.phase === 'up';
   }
@@ -131,7 +128,7 @@
       underWay.set(j.spec.class, (underWay.get(j.spec.class) ?? 0) + left);
     }
     const typeOf = (spec: JobSpec): MachineType | undefined =>
-      [...context.types.values()].find(
+      [...context.view.typesByName.values()].find(
         (t) => allowsMachineType(spec, t.name) && fitsWithin(spec.demand, t.capacity),
       );
     return [
--- a/src/controller/leader/unknown-machines.ts
+++ b/src/controller/leader/unregistered-machines.ts
@@ -2,11 +2,13 @@
  * Machines that no record knows: workers that report, and machines that the cloud lists. One report may be a late copy
  * from a machine that was returned long ago, and the list lags, so that either is believed only after a while.
  */
-import type { Settings } from '../../config/settings.js';
-import { isNewer } from '../../core/worker-reports.js';
-import type { MachineName, Heartbeat, HeartbeatId, MonotonicMs, TypeName, Zone } from '../../core/types.js';
-import type { ListedMachine } from '../../io/wire.js';
-import type { ControllerContext } from '../context.js';
+import type { PlatformSettings } from '../../config/platform-settings.js';
+import { isNewer } from '../../core/agents/agent-session.js';
+import type { Heartbeat, HeartbeatId } from '../../core/model/heartbeats.js';
+import type { MachineName, TypeName, Zone } from '../../core/model/ids.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { ListedMachine } from '../../io/cloud/cloud-messages.js';
+import type { ControllerContext } from '../controller-context.js';
 
 /** What is known of a machine without a record. */
 export interface UnregisteredMachine {
@@ -30,7 +32,7 @@
 const RECORD_S = 3;
 
 /** How old the cloud's list may be. */
-export const longestListLagS = ({ cloudLimits }: Pick<Settings, 'cloudLimits'>): number =>
+export const longestListLagS = ({ cloudLimits }: Pick<PlatformSettings, 'cloudLimits'>): number =>
   LAG_TIMES * cloudLimits.list_lag_s;
 
 /** Collects machines without a record until they are surely there. */
--- a/src/controller/availability.ts
+++ b/src/controller/membership/availability.ts
@@ -2,8 +2,8 @@
  * What a controller may still do while the state service does not answer it. It cannot tell by itself whether the
  * service is out for all or only for this controller; the other controllers can.
  */
-import type { Peer } from '../io/peers.js';
-import type { ControllerContext } from './context.js';
+import type { Peer } from '../../io/peers/peer-link.js';
+import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from './membership.js';
 
 const ASK_MS = 700;
--- a/src/controller/membership.ts
+++ b/src/controller/membership/membership.ts
@@ -1,11 +1,12 @@
 /** This process's session and, if it gets it, the leadership; both hang on one lease of the state service. */
-import type { SessionRecord, LeaderRecord, ShardRecord } from '../core/types.js';
-import { key } from '../core/keys.js';
-import type { WriteOperation } from '../io/wire.js';
-import { Unavailable } from '../io/state/client.js';
-import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
-import type { ControllerContext } from './context.js';
-import { Notification } from './notification.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { SessionRecord, LeaderRecord, ShardRecord } from '../../core/model/cluster.js';
+import { key } from '../../core/records/keys.js';
+import type { WriteOperation } from '../../io/state/state-messages.js';
+import { Unavailable } from '../../io/state/state-client.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import type { ControllerContext } from '../controller-context.js';
+import { Notification } from '../notification.js';
 
 /** The steady clocks drift apart by at most 0.05%; twice that is allowed for. */
 const DRIFT = 0.999;
@@ -15,18 +16,20 @@
   private lease: number | null = null;
   /** Until then the lease has surely not run out: counted from when the renewal was sent. */
   private validUntil = Number.NEGATIVE_INFINITY;
+  /** When this process first saw each session. */
+  readonly sessionsFirstSeen = new Map<string, MonotonicMs>();
   private readonly notification: Notification;
   /** Until then this process takes on nothing: it has handed over what it held. */
   private drainingUntil = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly context: ControllerContext) {
     this.notification = new Notification(context.clock);
-    context.listeners.push(({ leader, sessions }) => {
+    context.viewChanges.subscribe(({ leader, sessions }) => {
       if (leader || sessions.has(context.settings.node)) this.notification.notify();
       for (const node of context.view.sessions.keys())
-        if (!context.sessionSince.has(node)) context.sessionSince.set(node, this.context.clock.now());
-      for (const node of [...context.sessionSince.keys()])
-        if (!context.view.sessions.has(node)) context.sessionSince.delete(node);
+        if (!this.sessionsFirstSeen.has(node)) this.sessionsFirstSeen.set(node, this.context.clock.now());
+      for (const node of [...this.sessionsFirstSeen.keys()])
+        if (!context.view.sessions.has(node)) this.sessionsFirstSeen.delete(node);
     });
   }
 
@@ -139,7 +142,7 @@
     const k = key.shard(context.settings.node);
     const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
     const op: WriteOperation = { key: k, value, reason: 'membership' };
-    const r = await context.state.transact([context.guard(k)], [op], REQUEST_PRIORITY.session);
+    const r = await context.state.transact([context.guards.forKey(k)], [op], REQUEST_PRIORITY.session);
     if (r.kind === 'ok') {
       context.watcher.applyCommitted([op], r.revision);
       context.log.info({ slice: context.settings.node, token: r.revision }, 'slice taken');
@@ -149,7 +152,7 @@
   private async putWithLease(k: string, value: { lease: number }): Promise<boolean> {
     const { context } = this;
     const op: WriteOperation = { key: k, value, lease: value.lease, reason: 'membership' };
-    const r = await context.state.transact([context.guard(k)], [op], REQUEST_PRIORITY.session);
+    const r = await context.state.transact([context.guards.forKey(k)], [op], REQUEST_PRIORITY.session);
     if (r.kind === 'ok') {
       context.watcher.applyCommitted([op], r.revision);
       return true;
--- a/src/controller/slice-transfer.ts
+++ b/src/controller/membership/shard-transfer.ts
@@ -3,13 +3,14 @@
  * decides: each change is guarded on the slice record as it was seen and on the sessions of both sides, and every commit of
  * a holder is guarded on the slice record, so that nothing of the former holder can follow.
  */
-import { key } from '../core/keys.js';
-import type { NodeName, SessionRecord, ShardRecord } from '../core/types.js';
-import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
-import { Unavailable } from '../io/state/client.js';
-import type { Guard, WriteOperation } from '../io/wire.js';
-import type { ShardControl, ShardFact, ShardTransferOutcome } from '../packages/api.js';
-import type { ControllerContext } from './context.js';
+import { key } from '../../core/records/keys.js';
+import type { SessionRecord, ShardRecord } from '../../core/model/cluster.js';
+import type { NodeName } from '../../core/model/ids.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import { Unavailable } from '../../io/state/state-client.js';
+import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
+import type { ShardControl, ShardFact, ShardTransferOutcome } from '../../plugin-host/api.js';
+import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from './membership.js';
 
 const OVERTAKEN: ShardTransferOutcome = { kind: 'overtaken' };
@@ -34,8 +35,8 @@
     const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
     const guards = [
       { key: key.shard(shard.shard), version: shard.epoch },
-      context.guard(sessionKey),
-      context.guard(key.session(context.settings.node)),
+      context.guards.forKey(sessionKey),
+      context.guards.forKey(key.session(context.settings.node)),
     ];
     const operations: WriteOperation[] = [{ key: key.shard(shard.shard), value, reason: 'membership' }];
     // With the slice, in one transaction: were the session ended first, the leader might give the slice to another one.
@@ -46,7 +47,7 @@
       context.view.leader?.incarnation === shard.incarnation &&
       operations.length < operationsPerTransaction
     ) {
-      guards.push(context.guard(key.leader));
+      guards.push(context.guards.forKey(key.leader));
       operations.push({ key: key.leader, value: undefined, reason: 'membership' });
     }
     const outcome = await this.commit(guards, operations);
@@ -87,7 +88,7 @@
       const guards: Guard[] = part.map(({ shard, epoch }) => ({ key: key.shard(shard), version: epoch }));
       const leaving = this.leaving(mine);
       outcome = await this.commit(
-        [...guards, context.guard(key.session(to)), ...leaving.guards],
+        [...guards, context.guards.forKey(key.session(to)), ...leaving.guards],
         [...operations, ...leaving.ops],
       );
       if (outcome.kind !== 'committed') break;
@@ -101,12 +102,12 @@
     const { context, membership } = this;
     const sessionKey = key.session(context.settings.node);
     const session: SessionRecord = { ...mine, draining: true };
-    const guards = [context.guard(sessionKey)];
+    const guards = [context.guards.forKey(sessionKey)];
     const operations: WriteOperation[] = [
       { key: sessionKey, value: session, lease: mine.lease, reason: 'membership' },
     ];
     if (membership.isLeader) {
-      guards.push(context.guard(key.leader));
+      guards.push(context.guards.forKey(key.leader));
       operations.push({ key: key.leader, value: undefined, reason: 'membership' });
     }
     return { guards, ops: operations };
--- a/src/controller/notification.ts
+++ b/src/controller/notification.ts
@@ -1,5 +1,5 @@
 /** A notification that wakes a loop early; several while the loop works count as one. */
-import type { Clock } from '../core/clock.js';
+import type { Clock } from '../core/model/clock.js';
 
 /** Wakes one loop. */
 export class Notification {
--- /dev/null
+++ b/src/controller/serve.ts
@@ -0,0 +1,103 @@
+/** Runs a controller on real sockets and clocks. */
+import { randomBytes } from 'node:crypto';
+import type { Logger } from 'pino';
+import type { OperatorSettings } from '../config/operator-settings.js';
+import type { PlatformSettings } from '../config/platform-settings.js';
+import { splitAddress } from '../core/model/address.js';
+import { jobId } from '../core/model/ids.js';
+import { AgentClient } from '../io/agents/agent-client.js';
+import { HttpClient } from '../io/http-client.js';
+import { PeerLink, PeerServer, type Peer } from '../io/peers/peer-link.js';
+import { realClock } from '../io/system-clock.js';
+import { buildServer } from '../io/users/http-server.js';
+import type { LoadedPackage } from '../plugin-host/api.js';
+import { status } from './api/status.js';
+import { Controller, type ControllerDependencies } from './controller.js';
+
+/** Connections to each outside system. */
+const STATE_CONNECTIONS = 8;
+const WATCH_CONNECTIONS = 1;
+const CLOUD_CONNECTIONS = 4;
+/** The parts of the connection limit for direct commands to agents and for incoming HTTP. */
+const AGENT_CONNECTIONS_DIVISOR = 20;
+const MIN_AGENT_CONNECTIONS = 8;
+const HTTP_CONNECTIONS_FRACTION = 0.85;
+/** Connections from other controllers. */
+const PEER_CONNECTIONS_PER_NODE = 4;
+const MIN_PEER_CONNECTIONS = 8;
+/** A controller counts as in contact with the state service within this time of an answer. */
+const STATE_CONTACT_MS = 1500;
+
+/** Packages connect from the address by which the other controllers know this one, where it has one. */
+function packageLinks(settings: PlatformSettings): ReadonlyMap<string, Peer> {
+  const [host] = splitAddress(settings.peerBind);
+  const localAddress = host === '0.0.0.0' ? undefined : host;
+  return new Map(settings.peers.map((peer) => [peer.node, new PeerLink(peer.address, localAddress)]));
+}
+
+function connect(settings: PlatformSettings, hasPackages: boolean): ControllerDependencies {
+  const maxConnections = settings.limits.max_connections;
+  const agentConnections = Math.floor(maxConnections / AGENT_CONNECTIONS_DIVISOR);
+  return {
+    clock: realClock,
+    identity: randomBytes(6).toString('hex'),
+    random: Math.random,
+    state: new HttpClient(settings.state, STATE_CONNECTIONS),
+    watch: new HttpClient(settings.state, WATCH_CONNECTIONS),
+    cloud: new HttpClient(settings.cloud, CLOUD_CONNECTIONS),
+    agents: new AgentClient(Math.max(MIN_AGENT_CONNECTIONS, agentConnections)),
+    peers: new Map(settings.peers.map((peer) => [peer.node, new PeerLink(peer.address)])),
+    ...(hasPackages ? { packageLinks: packageLinks(settings) } : {}),
+  };
+}
+
+async function listenForPeers(controller: Controller, settings: PlatformSettings): Promise<void> {
+  const peerServer = new PeerServer(
+    (job) => Promise.resolve(controller.jobs.acceptForwardedCancellation(jobId(job))),
+    () => controller.context.state.isReachable(STATE_CONTACT_MS),
+    Math.max(MIN_PEER_CONNECTIONS, settings.nodes * PEER_CONNECTIONS_PER_NODE),
+    (topic, payload, from) => controller.channel.answer(topic, payload, from),
+  );
+  await peerServer.listen(...splitAddress(settings.peerBind));
+}
+
+async function listenForHttp(
+  controller: Controller,
+  settings: PlatformSettings,
+  operator: OperatorSettings,
+  log: Logger,
+): Promise<void> {
+  const { availability, context, packages, shardController } = controller;
+  const server = buildServer({
+    log,
+    jobs: controller.jobs,
+    heartbeats: controller.heartbeats,
+    healthy: () => availability.isHealthy,
+    status: () => ({
+      ...status(context, shardController, availability.isHealthy),
+      ...(packages === null ? {} : { packages: packages.status() }),
+    }),
+    maxConnections: Math.floor(settings.limits.max_connections * HTTP_CONNECTIONS_FRACTION),
+    leastInProgress: operator.users.least_in_progress,
+    mostInProgress: operator.users.most_in_progress,
+    ...(packages === null ? {} : { packages }),
+  });
+  const [host, port] = splitAddress(settings.bind);
+  await server.listen({ host, port });
+}
+
+/** Starts a controller; returns only when it fails. */
+export async function serve(
+  settings: PlatformSettings,
+  operator: OperatorSettings,
+  log: Logger,
+  packages: readonly LoadedPackage[] = [],
+): Promise<void> {
+  const dependencies = connect(settings, packages.length > 0);
+  const controller = new Controller({ settings, operator, log, dependencies, packages });
+  await listenForPeers(controller, settings);
+  await listenForHttp(controller, settings, operator, log);
+  const { incarnation } = controller.context;
+  log.info({ node: settings.node, incarnation, bind: settings.bind }, 'controller serving');
+  await controller.run();
+}
--- a/src/controller/owner/machine-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -3,6 +3,7 @@
  * to reports, and direct messages that carry fencing tokens and stops. All of it may be lost at any time; losing it costs
  * time, never a rule.
  */
+import { taskId } from '../../core/model/ids.js';
 import {
   agentCommands,
   confirmedExits,
@@ -10,19 +11,14 @@
   recordHeartbeat,
   type AgentSession,
   type DesiredState,
-} from '../../core/worker-reports.js';
-import type {
-  AgentCommand,
-  MachineName,
-  MachineRecord,
-  NodeName,
-  Heartbeat,
-  MonotonicMs,
-  FencingToken,
-} from '../../core/types.js';
-import type { AgentGateway } from '../../io/workers.js';
-import type { ControllerContext } from '../context.js';
-import type { HealthTracker } from '../health.js';
+} from '../../core/agents/agent-session.js';
+import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
+import type { MachineName, NodeName, FencingToken } from '../../core/model/ids.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { AgentGateway } from '../../io/agents/agent-client.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { HealthTracker } from '../health-tracker.js';
 
 /** What a worker that has reported is answered. */
 export type HeartbeatReply =
@@ -107,7 +103,7 @@
     const { context } = this;
     for (const command of sent) {
       const { op, job, index, attempt } = command;
-      context.log.debug({ op, task: context.taskId(job, index), attempt, machine, token }, 'command');
+      context.log.debug({ op, task: taskId(job, index), attempt, machine, token }, 'command');
       if (context.events.isActive) context.events.emit({ kind: 'command_sent', machine, command });
     }
   }
@@ -117,7 +113,7 @@
     const wanted = this.desiredState();
     for (const name of names) {
       const machine = this.context.view.machines.get(name);
-      if (machine !== undefined && this.context.isOwned(machine)) this.sendTo(machine, wanted);
+      if (machine !== undefined && this.context.ownership.owns(machine)) this.sendTo(machine, wanted);
     }
   }
 
@@ -151,7 +147,7 @@
     const { context } = this;
     this.health.observeHeartbeat(answer);
     const machine = context.view.machines.get(answer.machine);
-    if (machine === undefined || !context.isOwned(machine)) return;
+    if (machine === undefined || !context.ownership.owns(machine)) return;
     if (answer.token > context.view.fencingTokenOf(machine)) return;
     const memory = this.of(machine);
     if (!recordHeartbeat(memory, answer, context.clock.now(), false, this.heartbeatIntervalMs)) return;
@@ -174,6 +170,6 @@
   }
 
   private desiredState(): DesiredState {
-    return { jobs: this.context.view.jobs, ledger: this.context.allocations() };
+    return { jobs: this.context.view.jobs, ledger: this.context.allocations.current() };
   }
 }
--- a/src/controller/owner/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -1,19 +1,13 @@
 /** Works out which changes the records of jobs need: ends, cancellations and the withdrawal of dependent jobs. */
-import { key } from '../../core/keys.js';
-import {
-  NO_VERSION,
-  type DoneSet,
-  type JobFailureRecord,
-  type FinalRecord,
-  type JobId,
-  type JobRecord,
-  type WallClockMs,
-} from '../../core/types.js';
+import { key } from '../../core/records/keys.js';
+import { NO_VERSION, type JobId } from '../../core/model/ids.js';
+import type { DoneSet, JobFailureRecord, FinalRecord, JobRecord } from '../../core/model/jobs.js';
+import type { WallClockMs } from '../../core/model/time.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { Guard, WriteOperation } from '../../io/wire.js';
-import type { ControllerContext } from '../context.js';
-import type { HealthTracker } from '../health.js';
-import type { PreparedResults } from './results.js';
+import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { HealthTracker } from '../health-tracker.js';
+import type { PreparedResults } from './task-exits.js';
 
 type ResultsByJob = ReadonlyMap<JobId, DoneSet>;
 
@@ -75,10 +69,10 @@
         until: (clock.wallClock() + Math.max(0, failures.until - clock.now())) as WallClockMs,
       };
       context.log.info({ job: id, ...failing }, 'job fails wherever it runs');
-      const value = context.storedJob({ ...job, failing });
+      const value = context.recordBudget.storedJob({ ...job, failing });
       groups.push({
         operations: [{ key: key.job(id), value, reason: 'failing' }],
-        guards: [context.guard(key.job(id))],
+        guards: [context.guards.forKey(key.job(id))],
       });
     }
     return groups;
@@ -92,13 +86,13 @@
     for (const id of view.cancellations) {
       const job = view.jobs.get(id);
       if (job !== undefined) {
-        if (context.ownsTeam(job.spec.team) && job.phase === 'active' && !ended.has(id))
+        if (context.ownership.ownsTeam(job.spec.team) && job.phase === 'active' && !ended.has(id))
           groups.push(this.beginCancellation(job, open.get(id)));
       } else if (view.leader?.incarnation === context.incarnation) {
         const k = key.cancellation(id);
         groups.push({
           operations: [{ key: k, value: undefined, reason: 'cancellation' }],
-          guards: [context.guard(k)],
+          guards: [context.guards.forKey(k)],
         });
       }
     }
@@ -111,7 +105,7 @@
     for (const id of this.requested) {
       if (ended.has(id)) continue;
       const job = context.view.jobs.get(id);
-      const mine = job?.phase === 'active' && context.ownsTeam(job.spec.team);
+      const mine = job?.phase === 'active' && context.ownership.ownsTeam(job.spec.team);
       if (mine && !context.view.cancellations.has(id)) groups.push(this.beginCancellation(job, open.get(id)));
       else this.requested.delete(id);
     }
@@ -120,14 +114,14 @@
 
   private cancelDependents(): ChangeSet[] {
     const { context } = this;
-    const totals = context.allocations();
+    const totals = context.allocations.current();
     const groups: ChangeSet[] = [];
     for (const [id, dependency] of context.dependencies.current().byJob) {
       if (groups.length >= MAX_DEPENDENTS_PER_PASS) break;
       if (dependency.kind !== 'withdrawn') continue;
       const job = context.view.jobs.get(id);
       // It never started, so that there is nothing but its record. Its users are told already (`Jobs.find`).
-      if (job === undefined || !context.ownsTeam(job.spec.team) || totals.jobs.has(id)) continue;
+      if (job === undefined || !context.ownership.ownsTeam(job.spec.team) || totals.jobs.has(id)) continue;
       groups.push(this.finish(job, { state: 'cancelled', done: 0, because: dependency.because }));
     }
     return groups;
@@ -135,12 +129,12 @@
 
   private finishCancelled(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
     const { context } = this;
-    const totals = context.allocations();
+    const totals = context.allocations.current();
     const dependencies = context.dependencies.current().byJob;
     const groups: ChangeSet[] = [];
     for (const job of context.view.jobs.values()) {
       const { id, team } = job.spec;
-      if (job.phase !== 'cancelling' || ended.has(id) || !context.ownsTeam(team)) continue;
+      if (job.phase !== 'cancelling' || ended.has(id) || !context.ownership.ownsTeam(team)) continue;
       if (dependencies.get(id)?.kind === 'withdrawn') continue;
       // Said only once nothing of the job is on any machine: then there is nothing left that could run on.
       if (totals.jobs.has(id)) continue;
@@ -158,11 +152,11 @@
       operations: [
         {
           key: key.job(id),
-          value: context.storedJob({ ...job, done, phase: 'cancelling' }),
+          value: context.recordBudget.storedJob({ ...job, done, phase: 'cancelling' }),
           reason: 'cancellation',
         },
       ],
-      guards: [context.guard(key.job(id)), ...context.teamGuards(team)],
+      guards: [context.guards.forKey(key.job(id)), ...context.guards.forTeam(team)],
     };
   }
 
@@ -178,15 +172,15 @@
         reason: 'end',
       },
     ];
-    const guards: Guard[] = [context.guard(key.job(id)), { key: key.final(id), version: NO_VERSION }];
-    if (final.state === 'cancelled') guards.push(...context.teamGuards(team));
+    const guards: Guard[] = [context.guards.forKey(key.job(id)), { key: key.final(id), version: NO_VERSION }];
+    if (final.state === 'cancelled') guards.push(...context.guards.forTeam(team));
     // Where a transaction takes fewer changes, the leader removes what is left of the request.
     if (
       context.view.cancellations.has(id) &&
       operations.length < context.state.limits.operationsPerTransaction
     ) {
       operations.push({ key: key.cancellation(id), value: undefined, reason: 'cancellation' });
-      guards.push(context.guard(key.cancellation(id)));
+      guards.push(context.guards.forKey(key.cancellation(id)));
     }
     return { operations, guards };
   }
--- a/src/controller/owner/unreachable.ts
+++ b/src/controller/shard/machine-reachability.ts
@@ -1,9 +1,10 @@
 /** Tells machines that have failed from machines that the network keeps from their owner. */
-import { AGENT_ANSWER_TIMEOUT_MS } from '../../core/worker-reports.js';
-import type { AgentSession } from '../../core/worker-reports.js';
-import type { MachineRecord, Zone } from '../../core/types.js';
-import type { ControllerContext } from '../context.js';
-import type { AgentSessions } from './machine-sessions.js';
+import { AGENT_ANSWER_TIMEOUT_MS } from '../../core/agents/agent-session.js';
+import type { AgentSession } from '../../core/agents/agent-session.js';
+import type { Zone } from '../../core/model/ids.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { AgentSessions } from './agent-sessions.js';
 
 /** A worker turns to the next controller so long after it got no answer. */
 const NEXT_CONTROLLER_MS = 1000;
@@ -35,7 +36,7 @@
   const zones = new Map<Zone, { machines: number; isResponding: boolean }>();
   const { report_s } = context.settings.workers;
   const now = context.clock.now();
-  for (const machine of context.ownedMachines()) {
+  for (const machine of context.ownership.ownedMachines()) {
     if (machine.phase === 'booting') continue;
     const zone = zones.get(machine.zone) ?? { machines: 0, isResponding: false };
     zones.set(machine.zone, zone);
@@ -62,7 +63,7 @@
   memory: AgentSession,
   zones: () => ReadonlyMap<Zone, ZoneReachability>,
 ): boolean {
-  if (machine.phase === 'releasing' || context.proxyOf(machine) !== null) return false;
+  if (machine.phase === 'releasing' || context.ownership.proxyOf(machine) !== null) return false;
   if (machine.phase === 'booting' && memory.heartbeat === null) return false;
   if (!context.state.isReachable(STATE_FRESH_MS)) return false;
   const { report_s, lease_s } = context.settings.workers;
@@ -81,7 +82,7 @@
   // And another lease: until then its machines may be back at once, while new ones must boot and fetch. Where several
   // are silent together it is hardly they that failed, and what would replace them needs a boot: so much longer they
   // are waited for. Those that did fail are listed as failed by the cloud, and returned for that.
-  const bootS = others >= MIN_CORRELATED_PEERS ? (context.types.get(machine.type)?.bootS ?? 0) : 0;
+  const bootS = others >= MIN_CORRELATED_PEERS ? (context.view.typesByName.get(machine.type)?.bootS ?? 0) : 0;
   const triesAllMs = MAX_HEARTBEAT_JITTER * reportMs + context.settings.nodes * HOP_MS + FULL_CYCLE_SLACK_MS;
   return quietMs > triesAllMs + (lease_s + bootS) * 1000;
 }
--- a/src/controller/owner/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -2,7 +2,8 @@
  * Works out which changes a machine's record needs: tasks proved to be gone, machines that came up, drain or are out of
  * reach, tasks that leave on a spot notice.
  */
-import { key } from '../../core/keys.js';
+import { taskId } from '../../core/model/ids.js';
+import { key } from '../../core/records/keys.js';
 import {
   confirmedExits,
   taskKey,
@@ -10,20 +11,21 @@
   type TaskExit,
   type AgentSession,
   type DesiredState,
-} from '../../core/worker-reports.js';
-import type { MachineName, MachineRecord, Allocation, Zone } from '../../core/types.js';
+} from '../../core/agents/agent-session.js';
+import type { MachineName, Zone } from '../../core/model/ids.js';
+import type { MachineRecord, Allocation } from '../../core/model/machines.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { ControllerContext } from '../context.js';
-import type { HealthTracker } from '../health.js';
-import type { AgentSessions } from './machine-sessions.js';
-import type { UncommittedResults, TaskExits } from './results.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { HealthTracker } from '../health-tracker.js';
+import type { AgentSessions } from './agent-sessions.js';
+import type { UncommittedResults, TaskExits } from './task-exits.js';
 import {
   CLEANUP_DELAY_EMPTY_MS,
   MAX_CLEANUP_DELAY_MS,
   CLEANUP_DELAY_SPARE_MS,
   FULL_RECONCILE_INTERVAL_MS,
 } from './timing.js';
-import { isUnreachable, zoneReachability, type ZoneReachability } from './unreachable.js';
+import { isUnreachable, zoneReachability, type ZoneReachability } from './machine-reachability.js';
 
 /** A change to a machine's record; what only tidies up can wait for starts. */
 export interface MachineChange {
@@ -58,7 +60,7 @@
   reconcile(name: MachineName, wanted: DesiredState, found: UncommittedResults): MachineChange | null {
     const { context } = this;
     const machine = context.view.machines.get(name);
-    if (machine === undefined || !context.isOwned(machine)) {
+    if (machine === undefined || !context.ownership.owns(machine)) {
       this.sessions.forget(name);
       this.results.forget(name);
       return null;
@@ -89,7 +91,7 @@
       });
     context.log.info(
       {
-        task: context.taskId(placed.job, index),
+        task: taskId(placed.job, index),
         attempt: placed.attempt,
         machine: machine.name,
         token: memory.token,
@@ -129,7 +131,10 @@
     const changeSet: ChangeSet = {
       operations: [{ key: key.machine(machine.name), value, reason: isUrgent ? 'machine_state' : 'tidying' }],
       // The slice is guarded too: whoever has lost it must not write its machines any more.
-      guards: [context.guard(key.machine(machine.name)), context.guard(key.shard(machine.owner))],
+      guards: [
+        context.guards.forKey(key.machine(machine.name)),
+        context.guards.forKey(key.shard(machine.owner)),
+      ],
     };
     return { changeSet, isUrgent };
   }
--- a/src/controller/owner/starts.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -1,18 +1,17 @@
 /** Plans which waiting tasks start on which of this controller's machines, and commits the starts. */
-import { allocationFor, addAllocation } from '../../core/placed.js';
-import { FETCH_RANK_BUSY, placeTasks, type WaitReason, type Placement } from '../../core/placement.js';
-import { key } from '../../core/keys.js';
-import { removeExits } from '../../core/worker-reports.js';
+import { taskId } from '../../core/model/ids.js';
+import { allocationFor, addAllocation } from '../../core/state/allocations.js';
 import {
-  attempt,
-  type JobId,
-  type JobRecord,
-  type JobSpec,
-  type MachineName,
-  type MachineRecord,
-  type Allocation,
-  type TeamName,
-} from '../../core/types.js';
+  FETCH_RANK_BUSY,
+  placeTasks,
+  type WaitReason,
+  type Placement,
+} from '../../core/placement/placement.js';
+import { key } from '../../core/records/keys.js';
+import { removeExits } from '../../core/agents/agent-session.js';
+import { attempt, type JobId, type MachineName, type TeamName } from '../../core/model/ids.js';
+import type { JobRecord, JobSpec } from '../../core/model/jobs.js';
+import type { MachineRecord, Allocation } from '../../core/model/machines.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import {
   GUARDS_PER_OPERATION,
@@ -20,13 +19,13 @@
   commitChangeSets,
   type ChangeSet,
 } from '../../io/state/transactions.js';
-import type { ControllerContext } from '../context.js';
-import type { HealthTracker } from '../health.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { HealthTracker } from '../health-tracker.js';
 import type { MachineReconciler } from './machine-reconciler.js';
-import type { AgentSessions } from './machine-sessions.js';
+import type { AgentSessions } from './agent-sessions.js';
 import { Preemptor } from './preemptor.js';
-import type { TaskExits } from './results.js';
-import { FRESH_HEARTBEAT_INTERVALS } from './unreachable.js';
+import type { TaskExits } from './task-exits.js';
+import { FRESH_HEARTBEAT_INTERVALS } from './machine-reachability.js';
 
 /** Gangs seen so long ago still have empty machines kept for them. */
 const GANG_MEMORY_MS = 600_000;
@@ -84,7 +83,7 @@
   private availableMachines(): MachineRecord[] {
     const { context } = this;
     const heardMs = context.settings.workers.report_s * 1000 * FRESH_HEARTBEAT_INTERVALS;
-    return context.ownedMachines().filter((m) => {
+    return context.ownership.ownedMachines().filter((m) => {
       const memory = this.sessions.get(m.name);
       if (m.phase === 'releasing' || m.drain === true || memory?.heartbeat == null) return false;
       return context.clock.now() - memory.lastContactAt < heardMs && !this.health.isQuarantined(m);
@@ -94,9 +93,11 @@
   private place(): readonly Placement[] {
     const { context } = this;
     const { placement } = context.operator;
-    const mine = context.dependencies.current().startable.filter((j) => context.ownsTeam(j.spec.team));
+    const mine = context.dependencies
+      .current()
+      .startable.filter((j) => context.ownership.ownsTeam(j.spec.team));
     const ended = this.endedTasks();
-    const totals = context.allocations();
+    const totals = context.allocations.current();
     for (const { machine, allocation, isDurable } of ended)
       totals.vacate(machine, allocation, false, isDurable);
     const { placements, waitReasons } = placeTasks({
@@ -108,13 +109,13 @@
       newAttempt: () => attempt(++this.counter),
       fetchRank: (m, image) => this.fetchRank(m, image),
       isAvoided: (job, m) => this.health.avoidsMachine(job, m) || this.preemptor.isClaimedByOther(job, m),
-      recordBytesLeft: (name) => context.recordBytesLeft(context.view.machines.get(name)!),
+      recordBytesLeft: (name) => context.recordBudget.bytesLeft(context.view.machines.get(name)!),
       maxPlacements: MOST_PLANNED,
       maxMachines: this.maxMachines(),
-      order: context.order(),
+      order: context.policy.jobOrder(),
       preferPartlyUsedMachines: this.hasRecentGangs(),
-      leavesWholeMachinesToGangs: context.gangWholeMachinePolicy(),
-      mayReserve: (j) => context.mayReserve(j),
+      leavesWholeMachinesToGangs: context.policy.gangWholeMachinePolicy(),
+      mayReserve: (j) => context.policy.mayReserve(j),
       isStarving: (j) => context.clock.wallClock() - j.submitted > placement.behind_s * 1000,
       isFailingEverywhere: (j) => this.health.isFailingEverywhere(j),
       fitnessTolerance: placement.h_slack,
@@ -205,7 +206,7 @@
     const { context } = this;
     const k = key.machine(machine.name);
     const guards = new GuardSet(context.state.limits.operationsPerTransaction * GUARDS_PER_OPERATION);
-    guards.add([context.guard(k), context.guard(key.shard(machine.owner))]);
+    guards.add([context.guards.forKey(k), context.guards.forKey(key.shard(machine.owner))]);
     const gone = this.results.confirmedExitsOn(machine).filter((e) => this.results.isDurable(e));
     let placed: readonly Allocation[] = removeExits(machine.placed, gone);
     // Gangs first: of a gang no task may be left out.
@@ -213,7 +214,8 @@
     for (const p of gangsFirst) {
       // Tasks of dozens of small jobs on one machine need more guards than a transaction takes: it would be rejected for
       // ever, and the machine get nothing more. What does not fit is left to the next pass.
-      if (!guards.add([...context.teamGuards(p.job.team), context.guard(key.job(p.job.id))])) continue;
+      if (!guards.add([...context.guards.forTeam(p.job.team), context.guards.forKey(key.job(p.job.id))]))
+        continue;
       const full = attempt(this.epochOf(p.job.team) * ATTEMPT_COUNTER + (p.attempt % ATTEMPT_COUNTER));
       placed = addAllocation(placed, allocationFor(p.job, full, [p.index]));
       this.logPlacement(p, full);
@@ -240,7 +242,7 @@
     if (context.events.isActive) context.events.emit({ kind: 'task_placed', task, team });
     context.log.info(
       {
-        task: context.taskId(id, p.index),
+        task: taskId(id, p.index),
         team,
         attempt: full,
         machine: p.machine.name,
--- a/src/controller/owner/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -2,25 +2,21 @@
  * Makes room for jobs that have found none for a while: services that are wanted all the time, and jobs within their
  * team's guarantee, and gangs that low-priority work keeps from whole machines. At most one job a pass, so that the next pass sees what came of it.
  */
-import { key } from '../../core/keys.js';
-import type { WaitReason } from '../../core/placement.js';
+import { key } from '../../core/records/keys.js';
+import type { WaitReason } from '../../core/placement/placement.js';
 import {
   selectGangVictims,
   selectVictims,
   markStopping,
   isWithinGuarantee,
   type PreemptionInput,
-} from '../../core/preemption.js';
-import type {
-  JobId,
-  JobRecord,
-  MachineName,
-  MachineRecord,
-  Allocation,
-  MonotonicMs,
-} from '../../core/types.js';
+} from '../../core/placement/preemption.js';
+import type { JobId, MachineName } from '../../core/model/ids.js';
+import type { JobRecord } from '../../core/model/jobs.js';
+import type { MachineRecord, Allocation } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { ControllerContext } from '../context.js';
+import type { ControllerContext } from '../controller-context.js';
 
 /** Room that was made by stopping something, kept for the job that it was made for. */
 interface Claim {
@@ -78,7 +74,7 @@
   }
 
   private isEntitled({ spec }: JobRecord): boolean {
-    return isWithinGuarantee(this.context.teams.get(spec.team), this.context.allocations(), spec, 1);
+    return isWithinGuarantee(this.context.teams.get(spec.team), this.context.allocations.current(), spec, 1);
   }
 
   private mayPreempt(job: JobRecord): boolean {
@@ -86,7 +82,7 @@
     // Nothing is stopped for what fails wherever it runs.
     if (job.failing !== undefined) return false;
     if (isSeveral(job)) return [...this.claims.values()].every((claim) => claim.job !== spec.id);
-    const placed = this.context.allocations().jobs.get(spec.id)?.tasks.size ?? 0;
+    const placed = this.context.allocations.current().jobs.get(spec.id)?.tasks.size ?? 0;
     let claimed = 0;
     for (const claim of this.claims.values()) if (claim.job === spec.id) claimed++;
     if (claimed >= spec.tasks - job.done.count - placed) return false;
@@ -117,7 +113,7 @@
       job: spec,
       jobs: context.view.jobs,
       machines: shard,
-      ledger: context.allocations(),
+      ledger: context.allocations.current(),
       teams: context.teams,
       isClaimed,
     };
@@ -158,7 +154,7 @@
     const k = key.machine(machine.name);
     return {
       operations: [{ key: k, value, reason: 'preemption' }],
-      guards: [context.guard(k), context.guard(key.shard(machine.owner))],
+      guards: [context.guards.forKey(k), context.guards.forKey(key.shard(machine.owner))],
     };
   }
 }
--- a/src/controller/owner/owner.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -2,23 +2,25 @@
  * The loop of a controller over its own machines and teams: it turns what reports prove into changes and places waiting
  * tasks. All changes to machine records leave through this one loop, one transaction at a time.
  */
-import type { ViewChanges } from '../../core/changes.js';
-import type { WaitReason } from '../../core/placement.js';
-import type { JobId, MachineName, MachineRecord, Heartbeat } from '../../core/types.js';
+import type { ViewChanges } from '../../core/state/view-changes.js';
+import type { WaitReason } from '../../core/placement/placement.js';
+import type { Heartbeat } from '../../core/model/heartbeats.js';
+import type { JobId, MachineName } from '../../core/model/ids.js';
+import type { MachineRecord } from '../../core/model/machines.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import { commitChangeSets, type ChangeSet } from '../../io/state/transactions.js';
-import type { AgentGateway } from '../../io/workers.js';
-import type { ControllerContext } from '../context.js';
-import type { HealthTracker } from '../health.js';
+import type { AgentGateway } from '../../io/agents/agent-client.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { HealthTracker } from '../health-tracker.js';
 import { Notification } from '../notification.js';
 import { JobReconciler } from './job-reconciler.js';
 import { MachineReconciler } from './machine-reconciler.js';
-import { AgentSessions, type HeartbeatReply } from './machine-sessions.js';
-import { TaskExits, type UncommittedResults } from './results.js';
-import { PlacementPass } from './starts.js';
+import { AgentSessions, type HeartbeatReply } from './agent-sessions.js';
+import { TaskExits, type UncommittedResults } from './task-exits.js';
+import { PlacementPass } from './placement-pass.js';
 import { FULL_RECONCILE_INTERVAL_MS } from './timing.js';
 
-export type { HeartbeatReply as ReportAnswer } from './machine-sessions.js';
+export type { HeartbeatReply as ReportAnswer } from './agent-sessions.js';
 
 /** The loop looks at its work so often without being notified. */
 const IDLE_MS = 200;
@@ -62,7 +64,7 @@
     });
     this.jobs = new JobReconciler(context, health);
     this.placementPass = new PlacementPass(context, this.sessions, health, this.taskExits, this.machines);
-    context.listeners.push((changes) => {
+    context.viewChanges.subscribe((changes) => {
       this.onViewChanges(changes);
     });
   }
@@ -114,7 +116,7 @@
   /** Results, proofs of absence, cancellations and machines that came up; what can wait for starts stands apart. */
   private reconcile(work: readonly MachineName[]): { now: ChangeSet[]; later: ChangeSet[] } {
     const { context } = this;
-    const wanted = { jobs: context.view.jobs, ledger: context.allocations() };
+    const wanted = { jobs: context.view.jobs, ledger: context.allocations.current() };
     const found: UncommittedResults = new Map();
     this.machines.beginPass();
     const urgent: ChangeSet[] = [];
@@ -153,7 +155,7 @@
     if (now >= this.nextFullReconcileAt) {
       this.nextFullReconcileAt = now + FULL_RECONCILE_INTERVAL_MS;
       this.isPlacementDue = true;
-      for (const m of context.ownedMachines()) this.dirty.add(m.name);
+      for (const m of context.ownership.ownedMachines()) this.dirty.add(m.name);
       for (const name of this.sessions.names()) this.dirty.add(name);
     }
     const work = [...this.dirty];
@@ -182,7 +184,7 @@
   /** Whether the change concerns this controller. */
   private markMachineDirty(name: MachineName): boolean {
     const machine = this.context.view.machines.get(name);
-    if (machine !== undefined && !this.context.isOwned(machine)) return false;
+    if (machine !== undefined && !this.context.ownership.owns(machine)) return false;
     this.dirty.add(name);
     this.isPlacementDue = true;
     return true;
@@ -192,11 +194,12 @@
     const { context } = this;
     const job = context.view.jobs.get(id);
     if (job?.phase === 'active') {
-      if (!context.ownsTeam(job.spec.team)) return false;
+      if (!context.ownership.ownsTeam(job.spec.team)) return false;
       this.isPlacementDue = true;
       return true;
     }
-    for (const at of context.allocations().jobs.get(id)?.tasks.values() ?? []) this.dirty.add(at.machine);
+    for (const at of context.allocations.current().jobs.get(id)?.tasks.values() ?? [])
+      this.dirty.add(at.machine);
     return true;
   }
 }
--- a/src/controller/owner/results.ts
+++ b/src/controller/shard/task-exits.ts
@@ -2,21 +2,15 @@
  * Tasks that have ended: which results are in the state service already, which entries of machine records may stay for a
  * while, and how often the results of unfinished jobs are written. Changes are what the state service has least of.
  */
-import { isDone, markDone } from '../../core/jobs.js';
-import { key } from '../../core/keys.js';
-import type { TaskExit } from '../../core/worker-reports.js';
-import type {
-  DoneSet,
-  JobId,
-  JobRecord,
-  MachineName,
-  MachineRecord,
-  MonotonicMs,
-  TaskIndex,
-  FencingToken,
-} from '../../core/types.js';
+import { isDone, markDone } from '../../core/jobs/done-tasks.js';
+import { key } from '../../core/records/keys.js';
+import type { TaskExit } from '../../core/agents/agent-session.js';
+import type { JobId, MachineName, TaskIndex, FencingToken } from '../../core/model/ids.js';
+import type { DoneSet, JobRecord } from '../../core/model/jobs.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { MonotonicMs } from '../../core/model/time.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { ControllerContext } from '../context.js';
+import type { ControllerContext } from '../controller-context.js';
 import { MAX_CLEANUP_DELAY_MS, FULL_RECONCILE_INTERVAL_MS } from './timing.js';
 
 /** Results of one job are gathered for so long at least where the budget is short. */
@@ -136,8 +130,10 @@
       if (now - this.startPending(id) < waitMs) continue;
       this.pendingSince.set(id, now);
       dueCommits.push({
-        operations: [{ key: key.job(id), value: context.storedJob({ ...sound, done }), reason: 'results' }],
-        guards: [context.guard(key.job(id))],
+        operations: [
+          { key: key.job(id), value: context.recordBudget.storedJob({ ...sound, done }), reason: 'results' },
+        ],
+        guards: [context.guards.forKey(key.job(id))],
       });
     }
     for (const id of this.pendingSince.keys()) if (!context.view.jobs.has(id)) this.pendingSince.delete(id);
@@ -151,14 +147,14 @@
    */
   private maxDelayMs(job: JobRecord, done: DoneSet): number {
     const { context } = this;
-    if (!context.ownsTeam(job.spec.team)) return 0;
+    if (!context.ownership.ownsTeam(job.spec.team)) return 0;
     // The team waits for its limit: a task counts against it until its result is written.
-    if (!context.allocations().isWithinQuota(job.spec.team, job.spec.demand, 1)) return 0;
+    if (!context.allocations.current().isWithinQuota(job.spec.team, job.spec.demand, 1)) return 0;
     const runsHere = ([index, at]: [TaskIndex, { machine: MachineName }]) => {
       const machine = context.view.machines.get(at.machine);
-      return machine !== undefined && context.isOwned(machine) && !isDone(done, index);
+      return machine !== undefined && context.ownership.owns(machine) && !isDone(done, index);
     };
-    const tasks = context.allocations().jobs.get(job.spec.id)?.tasks ?? [];
+    const tasks = context.allocations.current().jobs.get(job.spec.id)?.tasks ?? [];
     return [...tasks].some(runsHere) ? Math.min(job.spec.estimateS * 1000, MAX_BATCH_MS) : 0;
   }
 
--- a/src/core/worker-reports.ts
+++ b/src/core/agents/agent-session.ts
@@ -6,26 +6,14 @@
  * for certain whether that start was carried out. Stops may also be sent directly: they name one attempt,
  * and attempts are never used twice, so a late stop harms nobody. A start is never sent directly.
  */
-import { isDone } from './jobs.js';
-import type { AllocationTotals } from './ledger.js';
-import {
-  NO_RESOURCES,
-  fitsWithin,
-  addResources,
-  type Attempt,
-  type AgentCommand,
-  type ExitReason,
-  type JobId,
-  type JobRecord,
-  type MachineRecord,
-  type Allocation,
-  type Heartbeat,
-  type HeartbeatId,
-  type ReportedTask,
-  type MonotonicMs,
-  type TaskIndex,
-  type FencingToken,
-} from './types.js';
+import { isDone } from '../jobs/done-tasks.js';
+import type { AllocationTotals } from '../state/allocation-totals.js';
+import type { AgentCommand, ExitReason, Heartbeat, HeartbeatId, ReportedTask } from '../model/heartbeats.js';
+import type { Attempt, JobId, TaskIndex, FencingToken } from '../model/ids.js';
+import type { JobRecord } from '../model/jobs.js';
+import type { MachineRecord, Allocation } from '../model/machines.js';
+import { NO_RESOURCES, fitsWithin, addResources } from '../model/resources.js';
+import type { MonotonicMs } from '../model/time.js';
 
 /** What the present owner remembers of a machine under one token. All of it may be lost at any time. */
 export interface AgentSession {
--- a/src/core/admission.ts
+++ b/src/core/concurrency-limit.ts
@@ -2,7 +2,7 @@
  * How many requests may be in progress at once. The limit follows measured times: while answers take about
  * as long as the best of late it grows by one per window, and when they take longer it shrinks by a part.
  */
-import type { MonotonicMs } from './types.js';
+import type { MonotonicMs } from './model/time.js';
 
 /** Bounds of the limit, and when answers count as slow. */
 export interface ConcurrencyLimitOptions {
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -2,19 +2,11 @@
  * What a controller tells of its work while it does it, for packages that follow, trace or count it. Nobody has to listen:
  * without a listener an event is not even made.
  */
-import type { JobFailures } from './failures.js';
-import type { TaskRun } from './slowness.js';
-import type {
-  Attempt,
-  AgentCommand,
-  ExitReason,
-  JobId,
-  MachineName,
-  Heartbeat,
-  MonotonicMs,
-  TaskIndex,
-  TeamName,
-} from './types.js';
+import type { JobFailures } from './health/failure-tracker.js';
+import type { TaskRun } from './health/slow-machine-detector.js';
+import type { AgentCommand, ExitReason, Heartbeat } from './model/heartbeats.js';
+import type { Attempt, JobId, MachineName, TaskIndex, TeamName } from './model/ids.js';
+import type { MonotonicMs } from './model/time.js';
 
 /** One start of a task on a machine. */
 export interface TaskOnMachine {
--- a/src/core/failures.ts
+++ b/src/core/health/failure-tracker.ts
@@ -3,7 +3,9 @@
  * on every machine until its user cancels it: it must neither cost the fleet its machines nor keep taking room, so it is
  * tried again with exponential backoff. A faulty machine shows by failing what runs elsewhere.
  */
-import type { ExitReason, JobId, MachineName, MonotonicMs } from './types.js';
+import type { ExitReason } from '../model/heartbeats.js';
+import type { JobId, MachineName } from '../model/ids.js';
+import type { MonotonicMs } from '../model/time.js';
 
 /** Reasons of an exit that count as a failure of the job or of its machine. */
 export type FailureCause = Extract<ExitReason, 'error' | 'unknown'>;
--- a/src/core/slowness.ts
+++ b/src/core/health/slow-machine-detector.ts
@@ -3,8 +3,8 @@
  * compared with the other runs of its job; where those are too few, with what is usual for its class: the ratio of
  * run time to estimate, against the class's median.
  */
-import { evictOldest } from './bounded.js';
-import type { JobId, MachineName } from './types.js';
+import { evictOldest } from '../bounded-map.js';
+import type { JobId, MachineName } from '../model/ids.js';
 
 /** When a machine counts as slow. */
 export interface SlowMachineOptions {
--- a/src/core/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -3,14 +3,9 @@
  * those that are over. Nothing is remembered between two calls, so any controller that takes over comes to the same
  * result. A job that has left the view proves nothing by that: only its final state, once read, does.
  */
-import {
-  PRIORITY_RANK,
-  type FinalRecord,
-  type JobId,
-  type JobRecord,
-  type Priority,
-  type WallClockMs,
-} from './types.js';
+import type { JobId } from '../model/ids.js';
+import { PRIORITY_RANK, type FinalRecord, type JobRecord, type Priority } from '../model/jobs.js';
+import type { WallClockMs } from '../model/time.js';
 
 /** Whether a job that names others may start. */
 export type DependencyStatus =
--- a/src/core/jobs.ts
+++ b/src/core/jobs/done-tasks.ts
@@ -1,17 +1,6 @@
-/** What a job is allowed, what it has left to do, and how its state is shown. */
-import {
-  CPU,
-  GPU,
-  fitsWithin,
-  type DoneSet,
-  type JobRecord,
-  type JobSpec,
-  type MachineType,
-  type TaskIndex,
-  type Team,
-  type TeamName,
-  type TypeName,
-} from './types.js';
+/** The compact set of a job's finished tasks: a base index and a bitmap over a bounded window. */
+import type { TaskIndex } from '../model/ids.js';
+import type { DoneSet, JobRecord } from '../model/jobs.js';
 
 /**
  * Only this many tasks beyond the first unfinished one may be under way. It bounds the bitmap of a job with
@@ -62,37 +51,3 @@
     if (((bytes[at >> 3] ?? 0) & (1 << (at & 7))) === 0) yield i;
   }
 }
-
-/** Whether the job may run on machines of the type. */
-export function allowsMachineType(spec: JobSpec, type: TypeName): boolean {
-  return spec.types === null || spec.types.includes(type);
-}
-
-/** Whether a job could ever run, or why not. */
-export type Feasibility = 'ok' | 'unknown_team' | 'fits_no_type' | 'over_limit';
-
-/** Whether the job could ever run. The caller must know the machine types before it asks. */
-export function checkFeasibility(
-  spec: JobSpec,
-  teams: ReadonlyMap<TeamName, Team>,
-  types: Iterable<MachineType>,
-): Feasibility {
-  const team = teams.get(spec.team);
-  if (team === undefined) return 'unknown_team';
-  let fitting = false;
-  for (const t of types) {
-    if (!allowsMachineType(spec, t.name)) continue;
-    if (spec.zone !== null && !t.zones.includes(spec.zone)) continue;
-    if (fitsWithin(spec.demand, t.capacity)) fitting = true;
-  }
-  if (!fitting) return 'fits_no_type';
-  const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
-  if (team.limitCpu !== null && spec.demand[CPU] * atOnce > team.limitCpu) return 'over_limit';
-  if (team.limitGpu !== null && spec.demand[GPU] * atOnce > team.limitGpu) return 'over_limit';
-  return 'ok';
-}
-
-/** At most this many tasks of a spread job may be in one zone. */
-export function maxTasksPerZone(spec: JobSpec): number {
-  return spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
-}
--- a/src/core/job-order.ts
+++ b/src/core/jobs/job-order.ts
@@ -1,5 +1,7 @@
 /** The order in which the jobs of a team are served. */
-import { PRIORITY_RANK, type JobId, type JobRecord, type WallClockMs } from './types.js';
+import type { JobId } from '../model/ids.js';
+import { PRIORITY_RANK, type JobRecord } from '../model/jobs.js';
+import type { WallClockMs } from '../model/time.js';
 
 /** What the order depends on beside the jobs themselves. */
 export interface JobOrderContext {
--- a/src/core/clock.ts
+++ b/src/core/model/clock.ts
@@ -1,5 +1,5 @@
 /** Clocks and timers as the program uses them, so that tests can stand in for them. */
-import type { MonotonicMs, WallClockMs } from './types.js';
+import type { MonotonicMs, WallClockMs } from './time.js';
 
 /** Time as it is passed in: the steady clock, the time of day, and timers. */
 export interface Clock {
--- a/src/core/drfh.ts
+++ b/src/core/model/dominant-share.ts
@@ -2,7 +2,8 @@
  * Dominant shares and the fitness H of "Multi-Resource Fair Allocation in Heterogeneous Cloud Computing
  * Systems", Sec. 4 and 5.2, with the GPU as a third resource.
  */
-import { CPU, GPU, type ResourceVector, type Team } from './types.js';
+import type { Team } from './cluster.js';
+import { CPU, GPU, type ResourceVector } from './resources.js';
 
 /** Each resource of `a` as a share of the fleet's total; a resource the fleet lacks counts as none. */
 export function resourceShares(a: ResourceVector, total: ResourceVector): [number, number, number] {
--- a/src/core/placement.ts
+++ b/src/core/placement/placement.ts
@@ -2,28 +2,17 @@
  * Best-Fit DRFH over one controller's slice: the waiting team with the lowest weighted share is served next,
  * its task goes to the fitting machine with the least H, and a gang goes whole or not at all.
  */
-import { fitness } from './drfh.js';
-import { unfinishedTasks, allowsMachineType, maxTasksPerZone } from './jobs.js';
-import { compareJobs, type JobOrderContext } from './job-order.js';
-import type { AllocationTotals } from './ledger.js';
-import { allocationFor } from './placed.js';
-import { TASK_INDEX_BYTES, allocationBytes } from './records.js';
-import {
-  PRIORITY_RANK,
-  fitsWithin,
-  addResources,
-  tasksThatFit,
-  type ResourceVector,
-  type Attempt,
-  type JobId,
-  type JobRecord,
-  type JobSpec,
-  type MachineRecord,
-  type MachineName,
-  type TaskIndex,
-  type TeamName,
-  type Zone,
-} from './types.js';
+import { fitness } from '../model/dominant-share.js';
+import { unfinishedTasks } from '../jobs/done-tasks.js';
+import { allowsMachineType, maxTasksPerZone } from '../jobs/feasibility.js';
+import { compareJobs, type JobOrderContext } from '../jobs/job-order.js';
+import type { AllocationTotals } from '../state/allocation-totals.js';
+import { allocationFor } from '../state/allocations.js';
+import { TASK_INDEX_BYTES, allocationBytes } from '../records/stored-records.js';
+import type { Attempt, JobId, MachineName, TaskIndex, TeamName, Zone } from '../model/ids.js';
+import { PRIORITY_RANK, type JobRecord, type JobSpec } from '../model/jobs.js';
+import type { MachineRecord } from '../model/machines.js';
+import { fitsWithin, addResources, tasksThatFit, type ResourceVector } from '../model/resources.js';
 
 /** A task that is to start on a machine, with what decided it. */
 export interface Placement {
--- a/src/core/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -2,23 +2,13 @@
  * Whom to stop for a job that finds no room. Allowed are: work of lower priority, and, for a job within its
  * team's guarantee, work that another team runs beyond its own. What loses least goes first.
  */
-import { allowsMachineType, maxTasksPerZone } from './jobs.js';
-import type { AllocationTotals } from './ledger.js';
-import {
-  CPU,
-  GPU,
-  PRIORITY_RANK,
-  fitsWithin,
-  addResources,
-  tasksThatFit,
-  type JobId,
-  type JobRecord,
-  type JobSpec,
-  type MachineRecord,
-  type Allocation,
-  type Team,
-  type TeamName,
-} from './types.js';
+import { allowsMachineType, maxTasksPerZone } from '../jobs/feasibility.js';
+import type { AllocationTotals } from '../state/allocation-totals.js';
+import type { Team } from '../model/cluster.js';
+import type { JobId, TeamName } from '../model/ids.js';
+import { PRIORITY_RANK, type JobRecord, type JobSpec } from '../model/jobs.js';
+import type { MachineRecord, Allocation } from '../model/machines.js';
+import { CPU, GPU, fitsWithin, addResources, tasksThatFit } from '../model/resources.js';
 
 /** Whether the team, with so much more, stays within what it is guaranteed. */
 export function isWithinGuarantee(
--- a/src/core/keys.ts
+++ b/src/core/records/keys.ts
@@ -13,7 +13,7 @@
   type MachineName,
   type NodeName,
   type TeamName,
-} from './types.js';
+} from '../model/ids.js';
 
 /** The prefix of all watched keys. */
 export const WATCHED_PREFIX = 'p/';
--- a/src/core/records.ts
+++ b/src/core/records/stored-records.ts
@@ -1,7 +1,9 @@
 /** How records are stored: the state service takes values up to a limit, which may fall while we run. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import { TASK_WINDOW } from './jobs.js';
-import type { JobId, JobRecord, JobSpec, MachineRecord, Allocation } from './types.js';
+import { TASK_WINDOW } from '../jobs/done-tasks.js';
+import type { JobId } from '../model/ids.js';
+import type { JobRecord, JobSpec } from '../model/jobs.js';
+import type { MachineRecord, Allocation } from '../model/machines.js';
 
 /** How many bytes a value has in the state service. */
 export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
--- a/src/core/forecast.ts
+++ b/src/core/scaling/demand-forecast.ts
@@ -3,8 +3,10 @@
  * there before it comes. Per class of jobs: arrivals are counted over a window, and the tasks under way at once
  * are taken for a compound Poisson sum, whose mean and spread follow from Little's law.
  */
-import type { Headroom } from './fleet.js';
-import type { JobId, JobSpec, MachineType } from './types.js';
+import type { Headroom } from './scaling-types.js';
+import type { JobId } from '../model/ids.js';
+import type { JobSpec } from '../model/jobs.js';
+import type { MachineType } from '../model/machines.js';
 
 interface Arrival {
   readonly atS: number;
--- a/src/core/fleet-reclaim.ts
+++ b/src/core/scaling/machine-reclaim.ts
@@ -1,17 +1,14 @@
 /** Which machines change slice with low-priority work on them, for work of higher priority that the cloud has no room for. */
-import type { PackingBin, ScalingInput, PendingDemand } from './fleet.js';
-import { allowsMachineType } from './jobs.js';
-import { PRIORITY_RANK, tasksThatFit, type NodeName, type Allocation, type Zone } from './types.js';
+import type { PackingBin, ScalingInput, UnmetDemand } from './scaling-types.js';
+import { allowsMachineType } from '../jobs/feasibility.js';
+import type { NodeName, Zone } from '../model/ids.js';
+import { PRIORITY_RANK } from '../model/jobs.js';
+import type { Allocation } from '../model/machines.js';
+import { tasksThatFit } from '../model/resources.js';
 
 /** Moves cost changes of the state service, and a plan is made every second or so. */
 const MAX_RECLAIMED_PER_PLAN = 6;
 
-/** Tasks for which neither a slice nor the cloud has room. */
-export interface UnmetDemand {
-  readonly demand: PendingDemand;
-  readonly tasks: number;
-}
-
 /** Whether the machine runs nothing but low-priority tasks that end by themselves: whoever owns it may stop them. */
 const isReclaimable = (placed: readonly Allocation[]): boolean =>
   placed.length > 0 && placed.every((p) => p.kind === 'array' && p.priority === 'low');
--- a/src/core/fleet.ts
+++ b/src/core/scaling/scaling-plan.ts
@@ -1,99 +1,28 @@
-/**
- * The leader's plan for the fleet: how many machines each slice needs for what waits, which empty machines
- * change slice, what to rent and what to return. It packs on paper what the controllers will place, so the
- * result errs by a machine now and then; the next plan, a second later, sees what really happened.
- */
-import { TASK_WINDOW, allowsMachineType, maxTasksPerZone } from './jobs.js';
-import type { JobAllocations, AllocationTotals } from './ledger.js';
-import { rebalanceShards } from './fleet-levelling.js';
-import { reclaimMachines, type UnmetDemand } from './fleet-reclaim.js';
-import { compareJobs, type JobOrderContext } from './job-order.js';
+/** The leader's plan for the fleet: which machines change shard, which are rented and which are returned. Packs what waits as the shard controllers will, so it errs by a machine now and then; the next plan, a second later, starts from what really happened. */
+import { TASK_WINDOW } from '../jobs/done-tasks.js';
+import { allowsMachineType, maxTasksPerZone } from '../jobs/feasibility.js';
+import { compareJobs } from '../jobs/job-order.js';
+import type { Zone, NodeName, TeamName } from '../model/ids.js';
+import { type JobSpec, PRIORITY_RANK, type JobRecord } from '../model/jobs.js';
+import type { MachineType, MachineRecord } from '../model/machines.js';
 import {
-  NO_RESOURCES,
-  PRIORITY_RANK,
   fitsWithin,
-  addResources,
   tasksThatFit,
+  addResources,
   type ResourceVector,
-  type JobRecord,
-  type JobSpec,
-  type MachineRecord,
-  type MachineType,
-  type NodeName,
-  type RentalRecord,
-  type TeamName,
-  type TypeName,
-  type Zone,
-} from './types.js';
-
-/** A machine to rent, and the slice that it is for. */
-export interface RentalRequest {
-  readonly type: TypeName;
-  readonly zone: Zone;
-  readonly spot: boolean;
-  readonly shard: NodeName;
-}
-
-/** What the plan is made from. */
-export interface ScalingInput {
-  readonly jobs: Iterable<JobRecord>;
-  readonly machines: readonly MachineRecord[];
-  readonly rentals: Iterable<RentalRecord>;
-  readonly ledger: AllocationTotals;
-  readonly types: readonly MachineType[];
-  readonly shardByTeam: ReadonlyMap<TeamName, NodeName>;
-  readonly order: Omit<JobOrderContext, 'hasTasks'>;
-  /** Up, reporting and not draining; or booting and not overdue. */
-  readonly isUsable: (m: MachineRecord) => boolean;
-  /** Its owner has shown it its token: one that hears nobody must not go from slice to slice, each time anew. */
-  readonly isMovable: (m: MachineRecord) => boolean;
-  readonly leavesWholeMachinesToGangs: (job: JobRecord) => boolean;
-  /** A gang that has waited so long that its owner keeps room for it. */
-  readonly mayReserve: (job: JobRecord) => boolean;
-  /** Room to keep beside what waits, as tasks of a class's usual shape. */
-  readonly headroom: readonly Headroom[];
-  /** False while the cloud refuses this type, zone and kind. */
-  readonly isAvailable: (type: TypeName, zone: Zone, spot: boolean) => boolean;
-  /** Empty machines idle long enough to be returned. */
-  readonly isIdle: (m: MachineRecord) => boolean;
-}
-
-/** Room to keep for so many tasks of this shape. */
-export interface Headroom {
-  readonly spec: JobSpec;
-  readonly tasks: number;
-}
-
-/** What the leader is to do now. */
-export interface ScalingPlan {
-  readonly moves: readonly { readonly machine: MachineRecord; readonly to: NodeName }[];
-  readonly rentals: readonly RentalRequest[];
-  readonly releases: readonly MachineRecord[];
-}
-
-/** Tasks of one job that want room. */
-export interface PendingDemand {
-  readonly spec: JobSpec;
-  readonly shard: NodeName;
-  tasks: number;
-  /** The only zone that they may go to. */
-  zone: Zone | null;
-  readonly tasksPerZone: Map<Zone, number>;
-  /** It leaves empty ordinary machines to gangs. */
-  readonly leavesWholeMachinesToGangs: boolean;
-}
-
-/** A machine that is there, boots, is being rented or is to be rented, with the room that the plan leaves on it. */
-export interface PackingBin {
-  readonly machine: MachineRecord | null;
-  readonly type: TypeName;
-  readonly zone: Zone;
-  readonly spot: boolean;
-  readonly isEmpty: boolean;
-  shard: NodeName;
-  free: ResourceVector;
-  plannedTasks: number;
-}
+  NO_RESOURCES,
+} from '../model/resources.js';
+import type { JobAllocations } from '../state/allocation-totals.js';
+import { reclaimMachines } from './machine-reclaim.js';
+import type {
+  ScalingInput,
+  PackingBin,
+  ScalingPlan,
+  RentalRequest,
+  PendingDemand,
+  UnmetDemand,
+} from './scaling-types.js';
+import { rebalanceShards } from './shard-rebalancing.js';
 
 /** Cheapest type for the task by price per task that fits; the price of the kind it would be rented as. */
 function rentalOptions(
--- a/src/core/fleet-levelling.ts
+++ b/src/core/scaling/shard-rebalancing.ts
@@ -1,8 +1,9 @@
 /** Which machines change slice so that weighted shares stay level while there is not room for all. */
-import { dominantShare } from './drfh.js';
-import type { PackingBin, ScalingInput, PendingDemand } from './fleet.js';
-import { allowsMachineType } from './jobs.js';
-import type { ResourceVector, NodeName, TeamName } from './types.js';
+import { dominantShare } from '../model/dominant-share.js';
+import type { PackingBin, ScalingInput, PendingDemand } from './scaling-types.js';
+import { allowsMachineType } from '../jobs/feasibility.js';
+import type { NodeName, TeamName } from '../model/ids.js';
+import type { ResourceVector } from '../model/resources.js';
 
 /** Moves cost changes of the state service, and a plan is made every second or so. */
 const MAX_REBALANCED_PER_PLAN = 2;
--- a/src/core/ledger.ts
+++ b/src/core/state/allocation-totals.ts
@@ -3,25 +3,11 @@
  * it counts each placed task that is not yet proved gone. The sums follow the records one by one, so that the
  * work goes with what changed and not with the size of the fleet.
  */
-import { dominantShare, teamWeight } from './drfh.js';
-import {
-  CPU,
-  GPU,
-  NO_RESOURCES,
-  addResources,
-  type ResourceVector,
-  type Attempt,
-  type JobId,
-  type MachineName,
-  type MachineRecord,
-  type MachineType,
-  type Allocation,
-  type TaskIndex,
-  type Team,
-  type TeamName,
-  type TypeName,
-  type Zone,
-} from './types.js';
+import { dominantShare, teamWeight } from '../model/dominant-share.js';
+import type { Team } from '../model/cluster.js';
+import type { Attempt, JobId, MachineName, TaskIndex, TeamName, TypeName, Zone } from '../model/ids.js';
+import type { MachineRecord, MachineType, Allocation } from '../model/machines.js';
+import { CPU, GPU, NO_RESOURCES, addResources, type ResourceVector } from '../model/resources.js';
 
 /** Where a job's tasks are placed. */
 export interface JobAllocations {
--- a/src/core/placed.ts
+++ b/src/core/state/allocations.ts
@@ -1,5 +1,7 @@
 /** Entries of machine records: tasks of one job and one attempt. */
-import type { Attempt, JobSpec, Allocation, TaskIndex } from './types.js';
+import type { Attempt, TaskIndex } from '../model/ids.js';
+import type { JobSpec } from '../model/jobs.js';
+import type { Allocation } from '../model/machines.js';
 
 /** The entry of a machine's record for tasks of a job. */
 export function allocationFor(spec: JobSpec, attempt: Attempt, tasks: readonly TaskIndex[]): Allocation {
--- a/src/core/view.ts
+++ b/src/core/state/cluster-view.ts
@@ -3,30 +3,32 @@
  * the schedulers read stands under one prefix and so arrives in one order: a view at revision R holds
  * exactly what was committed up to R, plus this process's own newer writes.
  */
-import { parseKey } from './keys.js';
-import { fromStoredJob, type StoredJob } from './records.js';
+import { parseKey } from '../records/keys.js';
+import { fromStoredJob, type StoredJob } from '../records/stored-records.js';
+import type {
+  ProxiedMachinesRecord,
+  LeaderRecord,
+  SessionRecord,
+  ShardRecord,
+  TeamRecord,
+} from '../model/cluster.js';
 import {
   fencingToken,
   version,
   revision,
   type Incarnation,
   type JobId,
-  type JobRecord,
-  type ProxiedMachinesRecord,
-  type LeaderRecord,
   type MachineName,
-  type MachineRecord,
-  type MachineType,
-  type RentalRecord,
   type Revision,
-  type SessionRecord,
-  type ShardRecord,
+  type NodeName,
   type TeamName,
-  type TeamRecord,
+  type TypeName,
   type FencingToken,
   type Version,
   NO_VERSION,
-} from './types.js';
+} from '../model/ids.js';
+import type { JobRecord } from '../model/jobs.js';
+import type { MachineRecord, MachineType, RentalRecord } from '../model/machines.js';
 
 /** A key's value and version. */
 export interface VersionedValue {
@@ -56,10 +58,12 @@
   /** By key: a controller, and machines that reach it and not their owner. */
   readonly proxiedMachines = new Map<
     string,
-    { readonly node: string; readonly machines: ReadonlySet<MachineName> }
+    { readonly node: NodeName; readonly machines: ReadonlySet<MachineName> }
   >();
   leader: LeaderRecord | null = null;
   types: readonly MachineType[] | null = null;
+  /** The same types by name; another map whenever they change. */
+  typesByName: ReadonlyMap<TypeName, MachineType> = new Map();
   /** Machines whose records changed since somebody last took the set in; see `Context.ledger`. */
   readonly dirtyMachines = new Set<MachineName>();
   /** How often a job's record came, changed or went. */
@@ -184,5 +188,6 @@
     else this.typeParts.set(k, value as readonly MachineType[]);
     const parts = [...this.typeParts].sort(([a], [b]) => (a < b ? -1 : 1)).map(([, part]) => part);
     this.types = parts.length === 0 ? null : parts.flat();
+    this.typesByName = new Map((this.types ?? []).map((type) => [type.name, type]));
   }
 }
--- a/src/core/slices.ts
+++ b/src/core/state/shard-assignment.ts
@@ -3,7 +3,8 @@
  * path each controller holds its own. When one is gone, its slice is held by another until it is back, with a
  * single write: teams and machines stay in their slices.
  */
-import type { Incarnation, NodeName, ShardRecord, Team, TeamName } from './types.js';
+import type { ShardRecord, Team } from '../model/cluster.js';
+import type { Incarnation, NodeName, TeamName } from '../model/ids.js';
 
 /** A controller with a session. */
 export interface LiveController {
--- a/src/core/changes.ts
+++ b/src/core/state/view-changes.ts
@@ -1,6 +1,6 @@
 /** Which records of the shared state have changed, by kind: what loops and caches are told of. */
-import { parseKey } from './keys.js';
-import type { JobId, MachineName, NodeName, TeamName } from './types.js';
+import { parseKey } from '../records/keys.js';
+import type { JobId, MachineName, NodeName, TeamName } from '../model/ids.js';
 
 /** The records that one batch of changes concerned; the view holds their present state already. */
 export interface ViewChanges {
--- a/src/io/workers.ts
+++ b/src/io/agents/agent-client.ts
@@ -3,8 +3,10 @@
  * carried out minutes late.
  */
 import { Agent, request } from 'undici';
-import type { AgentCommand, Heartbeat, FencingToken } from '../core/types.js';
-import * as wire from './wire.js';
+import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
+import type { FencingToken } from '../../core/model/ids.js';
+import { directCommandsToWire, heartbeatFromWire } from './agent-messages.js';
+import { paths } from '../paths.js';
 
 /** Sends direct commands to workers. */
 export interface AgentGateway {
@@ -44,14 +46,14 @@
       abort.abort();
     }, 1500);
     try {
-      const r = await request(`http://${address}${wire.paths.directCommands}`, {
+      const r = await request(`http://${address}${paths.directCommands}`, {
         dispatcher: this.agent,
         method: 'POST',
         signal: abort.signal,
         headers: { 'content-type': 'application/json' },
-        body: JSON.stringify(wire.directCommandsToWire(token, session, commands)),
+        body: JSON.stringify(directCommandsToWire(token, session, commands)),
       });
-      return wire.heartbeatFromWire(await r.body.json());
+      return heartbeatFromWire(await r.body.json());
     } catch {
       return null;
     } finally {
--- a/src/io/cloud.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -1,9 +1,19 @@
 /** The cloud: machine types, rentals, returns and the (lagging) list. */
-import type { MachineName, MachineType, RentalRecord } from '../core/types.js';
-import type { Clock } from '../core/clock.js';
-import type { Reply, Transport } from './http.js';
-import { RateLimiter, type RequestPriority } from './rate-limiter.js';
-import * as wire from './wire.js';
+import type { MachineName } from '../../core/model/ids.js';
+import type { MachineType, RentalRecord } from '../../core/model/machines.js';
+import type { Clock } from '../../core/model/clock.js';
+import type { Reply, Transport } from '../http-client.js';
+import { RateLimiter, type RequestPriority } from '../rate-limiter.js';
+import {
+  typesFromWire,
+  rentalToWire,
+  rentedFromWire,
+  releaseToWire,
+  type ListedMachine,
+  listQuery,
+  listFromWire,
+} from './cloud-messages.js';
+import { paths } from '../paths.js';
 
 /** What the cloud answered to a rental. */
 export type Rented =
@@ -42,18 +52,13 @@
   }
 
   async types(): Promise<MachineType[] | null> {
-    const r = await this.call('GET', wire.paths.types, undefined, 1);
-    return r?.status === 200 ? wire.typesFromWire(r.body) : null;
+    const r = await this.call('GET', paths.types, undefined, 1);
+    return r?.status === 200 ? typesFromWire(r.body) : null;
   }
 
   async rent(r: RentalRecord): Promise<Rented> {
-    const reply = await this.call(
-      'POST',
-      wire.paths.machines,
-      wire.rentalToWire({ ...r, count: r.owners.length }),
-      1,
-    );
-    if (reply?.status === 200) return { kind: 'rented', machines: wire.rentedFromWire(reply.body) };
+    const reply = await this.call('POST', paths.machines, rentalToWire({ ...r, count: r.owners.length }), 1);
+    if (reply?.status === 200) return { kind: 'rented', machines: rentedFromWire(reply.body) };
     const refused =
       reply?.status === 400 ||
       (reply?.status === 503 && JSON.stringify(reply.body ?? '').includes('no capacity'));
@@ -62,22 +67,17 @@
 
   /** True: the machines and everything on them are gone. */
   async release(names: readonly MachineName[]): Promise<boolean> {
-    const r = await this.call('POST', wire.paths.release, wire.releaseToWire(names), 1);
+    const r = await this.call('POST', paths.release, releaseToWire(names), 1);
     return r?.status === 200;
   }
 
-  async list(): Promise<wire.ListedMachine[] | null> {
-    const out: wire.ListedMachine[] = [];
+  async list(): Promise<ListedMachine[] | null> {
+    const out: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
-      const r: Reply | null = await this.call(
-        'GET',
-        wire.paths.machines + wire.listQuery(after),
-        undefined,
-        2,
-      );
+      const r: Reply | null = await this.call('GET', paths.machines + listQuery(after), undefined, 2);
       if (r?.status !== 200) return null;
-      const page = wire.listFromWire(r.body);
+      const page = listFromWire(r.body);
       out.push(...page.machines);
       if (!page.more || page.machines.length === 0) return out;
       after = page.machines[page.machines.length - 1]!.name;
--- a/src/io/peers.ts
+++ b/src/io/peers/peer-link.ts
@@ -4,7 +4,7 @@
  */
 import net from 'node:net';
 import protobuf from 'protobufjs/light.js';
-import { splitAddress } from '../core/address.js';
+import { splitAddress } from '../../core/model/address.js';
 
 const root = protobuf.Root.fromJSON({
   nested: {
--- a/src/io/rate-limiter.ts
+++ b/src/io/rate-limiter.ts
@@ -3,7 +3,7 @@
  * queue is bounded, and what does not fit is refused at once.
  */
 
-import type { Clock } from '../core/clock.js';
+import type { Clock } from '../core/model/clock.js';
 
 /** The lower, the sooner a request goes. */
 export type RequestPriority = 0 | 1 | 2 | 3;
--- a/src/io/state/group-commit.ts
+++ b/src/io/state/group-commit.ts
@@ -2,9 +2,9 @@
  * Commits independent changes together where they come together, such as the submissions of thousands of small jobs: one
  * request instead of one each. A change that comes alone is sent at once.
  */
-import type { Guard, WriteOperation } from '../wire.js';
+import type { Guard, WriteOperation } from './state-messages.js';
 import { REQUEST_PRIORITY } from '../rate-limiter.js';
-import type { StateClient, TransactionResult } from './client.js';
+import type { StateClient, TransactionResult } from './state-client.js';
 import { GUARDS_PER_OPERATION, type ChangeSet } from './transactions.js';
 
 /** So many transactions are under way at once; what comes meanwhile is gathered for the next one. */
--- a/src/io/state/client.ts
+++ b/src/io/state/state-client.ts
@@ -1,14 +1,27 @@
 /** The client of the state service: paced requests, leases, transactions, listings and the watch. */
-import type { Clock } from '../../core/clock.js';
+import type { Clock } from '../../core/model/clock.js';
 import type { TransactionOutcome } from '../../core/events.js';
-import { WATCHED_PREFIX } from '../../core/keys.js';
-import { NO_VERSION, revision, type Revision, type MonotonicMs, type Version } from '../../core/types.js';
-import type { KeyChange } from '../../core/view.js';
-import type { Method, Reply, Transport } from '../http.js';
+import { WATCHED_PREFIX } from '../../core/records/keys.js';
+import { NO_VERSION, revision, type Revision, type Version } from '../../core/model/ids.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import type { KeyChange } from '../../core/state/cluster-view.js';
+import type { Method, Reply, Transport } from '../http-client.js';
 import { RateLimiter, REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
-import * as wire from '../wire.js';
-import type { Guard, WriteOperation } from '../wire.js';
-import { StateUsage, type RequestKind } from './usage.js';
+import { paths } from '../paths.js';
+import {
+  revisionFromWire,
+  entryFromWire,
+  transactionToWire,
+  failedFromWire,
+  leaseToWire,
+  leaseFromWire,
+  listKeysQuery,
+  rowsFromWire,
+  watchQuery,
+  eventsFromWire,
+} from './state-messages.js';
+import type { Guard, WriteOperation } from './state-messages.js';
+import { StateUsage, type RequestKind } from './state-usage.js';
 
 /** The limits of the state service, and how many controllers share them. */
 export interface StateServiceLimits {
@@ -147,13 +160,12 @@
     k: string,
     priority: RequestPriority,
   ): Promise<{ value: unknown; version: Version; rev: Revision }> {
-    const path = `${wire.paths.kv}/${k}`;
+    const path = `${paths.kv}/${k}`;
     const r = await this.call({ kind: 'read', method: 'GET', path, urgency: priority });
     if (typeof r === 'string') throw new Unavailable(k);
-    if (r.status === 404)
-      return { value: undefined, version: NO_VERSION, rev: wire.revisionFromWire(r.body) };
+    if (r.status === 404) return { value: undefined, version: NO_VERSION, rev: revisionFromWire(r.body) };
     if (r.status !== 200) throw new Unavailable(`${k}: ${r.status}`);
-    const entry = wire.entryFromWire(r.body);
+    const entry = entryFromWire(r.body);
     return { ...entry, rev: revision(entry.version) };
   }
 
@@ -175,22 +187,22 @@
     priority: RequestPriority,
     stale?: () => boolean,
   ): Promise<TransactionResult> {
-    const body = wire.transactionToWire(guards, operations);
+    const body = transactionToWire(guards, operations);
     const kind = operations.length === 0 ? 'barrier' : 'transaction';
-    const path = wire.paths.txn;
+    const path = paths.txn;
     const writes = operations.length;
     const r = await this.call({ kind, method: 'POST', path, body, urgency: priority, writes }, stale);
     if (typeof r === 'string') return { kind: r };
     if (r.status === 200) {
       for (const o of operations) this.usage.wrote(o.reason ?? 'other');
-      return { kind: 'ok', revision: wire.revisionFromWire(r.body) };
+      return { kind: 'ok', revision: revisionFromWire(r.body) };
     }
     if (r.status === 409) this.usage.conflicted += operations.length;
     if (r.status === 409)
       return {
         kind: 'conflict',
-        revision: wire.revisionFromWire(r.body),
-        failed: wire.failedFromWire(r.body),
+        revision: revisionFromWire(r.body),
+        failed: failedFromWire(r.body),
       };
     if (r.status === 400 && operations.some((o) => o.lease !== undefined)) return { kind: 'no_lease' };
     if (r.status === 400) {
@@ -231,14 +243,14 @@
   }
 
   async grantLease(ttlMs: number): Promise<number> {
-    const r = await this.sendLeaseRequest('POST', wire.paths.leases, wire.leaseToWire(ttlMs));
+    const r = await this.sendLeaseRequest('POST', paths.leases, leaseToWire(ttlMs));
     if (typeof r === 'string' || r.status !== 200) throw new Unavailable('grant');
-    return wire.leaseFromWire(r.body);
+    return leaseFromWire(r.body);
   }
 
   /** True: renewed; false: the lease is over. */
   async renewLease(lease: number): Promise<boolean> {
-    const r = await this.sendLeaseRequest('POST', `${wire.paths.leases}/${lease}/touch`);
+    const r = await this.sendLeaseRequest('POST', `${paths.leases}/${lease}/touch`);
     if (typeof r === 'string') throw new Unavailable('renew');
     if (r.status === 404) return false;
     if (r.status !== 200) throw new Unavailable(`renew: ${r.status}`);
@@ -246,7 +258,7 @@
   }
 
   async revokeLease(lease: number): Promise<void> {
-    const r = await this.sendLeaseRequest('DELETE', `${wire.paths.leases}/${lease}`);
+    const r = await this.sendLeaseRequest('DELETE', `${paths.leases}/${lease}`);
     if (typeof r === 'string') throw new Unavailable('revoke');
   }
 
@@ -256,10 +268,10 @@
     let from: Revision | null = null;
     let after: string | null = null;
     for (;;) {
-      const path: string = wire.paths.kv + wire.listKeysQuery(WATCHED_PREFIX, after);
+      const path: string = paths.kv + listKeysQuery(WATCHED_PREFIX, after);
       const r = await this.call({ kind: 'list', method: 'GET', path, urgency: REQUEST_PRIORITY.session });
       if (typeof r === 'string' || r.status !== 200) throw new Unavailable('list');
-      const page = wire.rowsFromWire(r.body);
+      const page = rowsFromWire(r.body);
       from ??= page.rev;
       rows.push(...page.rows);
       if (!page.more || page.rows.length === 0) return { rows, from, upTo: page.rev };
@@ -276,13 +288,13 @@
   async watch(from: Revision, waitMs: number): Promise<{ events: KeyChange[]; rev: Revision } | null> {
     if (!(await this.limiter.acquire(REQUEST_PRIORITY.session, 0))) throw new Unavailable('watch');
     this.usage.sent('watch');
-    const path = wire.paths.watch + wire.watchQuery(WATCHED_PREFIX, from, waitMs);
+    const path = paths.watch + watchQuery(WATCHED_PREFIX, from, waitMs);
     const r = await this.watchHttp.request('GET', path, undefined, waitMs + TIMEOUT_MS);
     if (r.status === 410) return null;
     if (r.status !== 200) {
       if (r.status === 429) this.limiter.noteExhausted(0);
       throw new Unavailable(`watch: ${r.status}`);
     }
-    return wire.eventsFromWire(r.body);
+    return eventsFromWire(r.body);
   }
 }
--- a/src/io/state/follower.ts
+++ b/src/io/state/state-watcher.ts
@@ -1,10 +1,10 @@
 /** Keeps a view of the shared state current by listing it once and watching it from then on. */
-import { WATCHED_PREFIX, parseKey } from '../../core/keys.js';
-import { revision, version, type Revision, type Version } from '../../core/types.js';
-import type { KeyChange, ClusterView } from '../../core/view.js';
+import { WATCHED_PREFIX, parseKey } from '../../core/records/keys.js';
+import { revision, version, type Revision, type Version } from '../../core/model/ids.js';
+import type { KeyChange, ClusterView } from '../../core/state/cluster-view.js';
 import { REQUEST_PRIORITY } from '../rate-limiter.js';
-import type { WriteOperation } from '../wire.js';
-import { Unavailable, type StateClient } from './client.js';
+import type { WriteOperation } from './state-messages.js';
+import { Unavailable, type StateClient } from './state-client.js';
 
 /** Polls that come within so long share a barrier: each is a request of the state service's budget. */
 const BARRIER_EVERY_MS = 80;
--- a/src/io/state/transactions.ts
+++ b/src/io/state/transactions.ts
@@ -1,12 +1,12 @@
 /** Transactions: filled up to the limits of the state service, and committed until their outcome is known. */
-import { key, parseKey } from '../../core/keys.js';
-import { jsonBytes, shrinkMachineRecord } from '../../core/records.js';
-import type { MachineRecord } from '../../core/types.js';
-import type { ClusterView } from '../../core/view.js';
+import { key, parseKey } from '../../core/records/keys.js';
+import { jsonBytes, shrinkMachineRecord } from '../../core/records/stored-records.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { ClusterView } from '../../core/state/cluster-view.js';
 import { REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
-import type { Guard, WriteOperation } from '../wire.js';
-import { Unavailable, type StateClient, type StateServiceLimits } from './client.js';
-import type { StateWatcher } from './follower.js';
+import type { Guard, WriteOperation } from './state-messages.js';
+import { Unavailable, type StateClient, type StateServiceLimits } from './state-client.js';
+import type { StateWatcher } from './state-watcher.js';
 
 /** Changes that must be committed together, with the versions that they were made from. */
 export interface ChangeSet {
--- a/src/io/clock.ts
+++ b/src/io/system-clock.ts
@@ -1,6 +1,6 @@
 /** The real clocks and timers. */
-import type { Clock } from '../core/clock.js';
-import { monotonicMs, wallClockMs } from '../core/types.js';
+import type { Clock } from '../core/model/clock.js';
+import { monotonicMs, wallClockMs } from '../core/model/time.js';
 
 /** The clocks and timers of this process. */
 export const realClock: Clock = {
--- a/src/io/users.ts
+++ b/src/io/users/http-server.ts
@@ -1,13 +1,16 @@
 /** The HTTP side towards users, workers and the load balancer. */
 import fastify, { type FastifyInstance } from 'fastify';
 import type { Logger } from 'pino';
-import { ConcurrencyLimit } from '../core/admission.js';
-import { jobId, monotonicMs } from '../core/types.js';
-import type { CancellationResult, JobService } from '../controller/jobs.js';
-import type { HeartbeatRouter } from '../controller/report-router.js';
-import type { PackageHost } from '../packages/host.js';
-import { Unavailable } from './state/client.js';
-import * as wire from './wire.js';
+import { ConcurrencyLimit } from '../../core/concurrency-limit.js';
+import { jobId } from '../../core/model/ids.js';
+import { monotonicMs } from '../../core/model/time.js';
+import type { CancellationResult, JobService } from '../../controller/api/job-service.js';
+import type { HeartbeatRouter } from '../../controller/heartbeats/heartbeat-router.js';
+import type { PackageHost } from '../../plugin-host/plugin-host.js';
+import { Unavailable } from '../state/state-client.js';
+import { heartbeatFromWire, commandsToWire, redirectToWire } from '../agents/agent-messages.js';
+import { BODY_LIMIT, paths } from '../paths.js';
+import { Submission, jobFromWire, acceptedToWire, isJobId, statusToWire } from './job-messages.js';
 
 /** What the HTTP server serves, and its limits. */
 export interface ServerOptions {
@@ -28,7 +31,7 @@
 /** Builds the HTTP server; it does not listen yet. */
 export function buildServer(o: ServerOptions): FastifyInstance {
   const app = fastify({
-    bodyLimit: wire.BODY_LIMIT,
+    bodyLimit: BODY_LIMIT,
     keepAliveTimeout: 75_000,
     exposeHeadRoutes: false,
     // A number in quotes is malformed, not a number.
@@ -78,48 +81,48 @@
   };
   const later = { error: 'try again later' };
 
-  app.post(wire.paths.jobs, { schema: { body: wire.Submission } }, async (req, reply) => {
-    const r = await admitted(submissions, () => o.jobs.submit(wire.jobFromWire(req.body as never)));
+  app.post(paths.jobs, { schema: { body: Submission } }, async (req, reply) => {
+    const r = await admitted(submissions, () => o.jobs.submit(jobFromWire(req.body as never)));
     if (r === null) return reply.code(429).header('retry-after', '1').send(later);
     if (r.kind === 'later') return reply.code(503).header('retry-after', '1').send(later);
     if (r.kind === 'impossible') return reply.code(422).send({ error: r.why });
     const id = jobId((req.body as { nameId: string }).nameId);
-    return reply.code(r.kind === 'accepted' ? 201 : 200).send(wire.acceptedToWire(id, r.state));
+    return reply.code(r.kind === 'accepted' ? 201 : 200).send(acceptedToWire(id, r.state));
   });
 
-  app.get<{ Params: { id: string } }>(wire.paths.job, async (req, reply) => {
-    if (!wire.isJobId(req.params.id)) return reply.code(404).send({ error: 'no such job' });
+  app.get<{ Params: { id: string } }>(paths.job, async (req, reply) => {
+    if (!isJobId(req.params.id)) return reply.code(404).send({ error: 'no such job' });
     const id = jobId(req.params.id);
     const r = await admitted(questions, async () => ({ found: await o.jobs.find(id) }));
     if (r === null) return reply.code(429).header('retry-after', '1').send(later);
     if (r.found === undefined) return reply.code(404).send({ error: 'no such job' });
-    return reply.send(wire.statusToWire(id, r.found));
+    return reply.send(statusToWire(id, r.found));
   });
 
-  app.post<{ Params: { id: string } }>(wire.paths.cancel, async (req, reply) => {
-    if (!wire.isJobId(req.params.id)) return reply.code(404).send({ error: 'no such job' });
+  app.post<{ Params: { id: string } }>(paths.cancel, async (req, reply) => {
+    if (!isJobId(req.params.id)) return reply.code(404).send({ error: 'no such job' });
     const id = jobId(req.params.id);
     // Not timed: most of its time is the workers' and says nothing about load here.
     const r: CancellationResult = await o.jobs.cancel(id);
     if (r.kind === 'not_found') return reply.code(404).send({ error: 'no such job' });
     if (r.kind === 'later') return reply.code(503).header('retry-after', '1').send(later);
-    return reply.send(wire.acceptedToWire(id, r.state));
+    return reply.send(acceptedToWire(id, r.state));
   });
 
-  app.get(wire.paths.health, async (_req, reply) => {
+  app.get(paths.health, async (_req, reply) => {
     const ok = o.healthy();
     return reply.code(ok ? 200 : 503).send({ ok });
   });
 
-  app.get(wire.paths.status, async (_req, reply) => reply.send(o.status()));
+  app.get(paths.status, async (_req, reply) => reply.send(o.status()));
 
-  app.post(wire.paths.heartbeat, async (req, reply) => {
-    const heartbeat = wire.heartbeatFromWire(req.body);
+  app.post(paths.heartbeat, async (req, reply) => {
+    const heartbeat = heartbeatFromWire(req.body);
     if (heartbeat === null) return reply.code(400).send({ error: 'not a report' });
     const a = o.heartbeats.answer(heartbeat);
-    if (a.kind === 'ok') return reply.send(wire.commandsToWire(a.token, a.commands));
+    if (a.kind === 'ok') return reply.send(commandsToWire(a.token, a.commands));
     if (a.kind === 'busy') return reply.code(503).send(later);
-    return reply.code(421).send(wire.redirectToWire(a.node));
+    return reply.code(421).send(redirectToWire(a.node));
   });
   if (o.packages !== undefined) servePackages(app, o.packages);
   return app;
@@ -127,13 +130,13 @@
 
 /** Operators' commands to packages, and their metrics. */
 function servePackages(app: FastifyInstance, packages: Pick<PackageHost, 'command' | 'metrics'>): void {
-  app.post<{ Params: { name: string; command: string } }>(wire.paths.packageCommand, async (req, reply) => {
+  app.post<{ Params: { name: string; command: string } }>(paths.packageCommand, async (req, reply) => {
     const { name, command } = req.params;
     const r = await packages.command(name, command, req.body);
     if (r === null) return reply.code(404).send({ error: 'no such package or command' });
     return reply.code(r.status).send(r.body);
   });
-  app.get(wire.paths.metrics, async (_req, reply) =>
+  app.get(paths.metrics, async (_req, reply) =>
     reply.type('text/plain; version=0.0.4').send(await packages.metrics()),
   );
 }
--- a/src/packages/api.ts
+++ b/src/plugin-host/api.ts
@@ -4,22 +4,22 @@
  */
 import type { TSchema } from '@sinclair/typebox';
 import type { Logger } from 'pino';
-import type { Settings } from '../config/settings.js';
-import type { ViewChanges } from '../core/changes.js';
-import type { Clock } from '../core/clock.js';
+import type { PlatformSettings } from '../config/platform-settings.js';
+import type { ViewChanges } from '../core/state/view-changes.js';
+import type { Clock } from '../core/model/clock.js';
 import type { EventListener } from '../core/events.js';
-import type { TaskRun } from '../core/slowness.js';
+import type { TaskRun } from '../core/health/slow-machine-detector.js';
+import type { ExitReason } from '../core/model/heartbeats.js';
 import type {
-  ExitReason,
   Incarnation,
   JobId,
   MachineName,
-  MachineRecord,
   NodeName,
   Revision,
   FencingToken,
   Version,
-} from '../core/types.js';
+} from '../core/model/ids.js';
+import type { MachineRecord } from '../core/model/machines.js';
 
 /** A slice as it is committed. */
 export interface ShardFact {
@@ -118,7 +118,7 @@
 export interface Service {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
-  readonly settings: Settings;
+  readonly settings: PlatformSettings;
   readonly peers: readonly PeerInfo[];
   readonly clock: Clock;
   /** Uniform in [0, 1). */
@@ -181,7 +181,7 @@
   /** What its section of the operators' file may hold, with defaults. */
   readonly schema: TSchema;
   /** The first thing wrong with options that fit the schema, with its path, or null. */
-  validate(options: Options, settings: Settings): string | null;
+  validate(options: Options, settings: PlatformSettings): string | null;
   start(service: Service, options: Options): RunningPackage;
 }
 
--- a/src/packages/loader.ts
+++ b/src/plugin-host/plugin-loader.ts
@@ -5,7 +5,7 @@
 import { existsSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import path from 'node:path';
-import { SettingsError, check, type Settings } from '../config/settings.js';
+import { SettingsError, firstSchemaError, type PlatformSettings } from '../config/platform-settings.js';
 import type { LoadedPackage, ServicePackage } from './api.js';
 
 const NAME = /^[a-z][a-z0-9_]*$/;
@@ -30,10 +30,10 @@
   name: string,
   definition: ServicePackage,
   section: unknown,
-  settings: Settings,
+  settings: PlatformSettings,
 ): LoadedPackage {
   const options = structuredClone(section);
-  const wrong = check(definition.schema, options) ?? definition.validate(options, settings);
+  const wrong = firstSchemaError(definition.schema, options) ?? definition.validate(options, settings);
   if (wrong !== null) throw new SettingsError(`packages.${name}.${wrong}`);
   return { name, definition, options };
 }
@@ -41,7 +41,7 @@
 /** Loads and checks all packages that have a section. Throws `SettingsError`. */
 export function loadPackages(
   sections: Readonly<Record<string, unknown>>,
-  settings: Settings,
+  settings: PlatformSettings,
   directory = PACKAGES_DIRECTORY,
 ): LoadedPackage[] {
   return Object.entries(sections).map(([name, section]) =>
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -7,9 +7,9 @@
 import path from 'node:path';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import type { JobService } from '../src/controller/jobs.js';
-import type { HeartbeatRouter } from '../src/controller/report-router.js';
-import { buildServer } from '../src/io/users.js';
+import type { JobService } from '../src/controller/api/job-service.js';
+import type { HeartbeatRouter } from '../src/controller/heartbeats/heartbeat-router.js';
+import { buildServer } from '../src/io/users/http-server.js';
 import { submission } from './samples.js';
 
 const cli = (...args: string[]) =>
