--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -1,10 +1,10 @@
 /** Transactions whose outcome is unknown: carried out, late, or never. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ClusterView } from '../src/core/view.js';
-import type { Reply, Transport } from '../src/io/http.js';
-import { StateClient } from '../src/io/state/client.js';
-import { StateWatcher } from '../src/io/state/follower.js';
+import { ClusterView } from '../src/core/state/cluster-view.js';
+import type { Reply, Transport } from '../src/io/http-client.js';
+import { StateClient, type StateServiceLimits } from '../src/io/state/state-client.js';
+import { StateWatcher } from '../src/io/state/state-watcher.js';
 import {
   GUARDS_PER_OPERATION,
   GuardSet,
@@ -13,11 +13,20 @@
   packTransactions,
 } from '../src/io/state/transactions.js';
 import { REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
-import { version } from '../src/core/types.js';
-import { StateService } from './sim/state.js';
-import { ProcessClock, World } from './sim/world.js';
+import { version } from '../src/core/model/ids.js';
+import { StateService } from './sim/state-service.js';
+import { ProcessClock, World } from './sim/virtual-time.js';
 
 const BUDGET = { rps: 500, writeRps: 500, txnOps: 4 };
+const LIMITS: StateServiceLimits = {
+  rps: BUDGET.rps,
+  writeRps: BUDGET.writeRps,
+  lowRps: BUDGET.rps,
+  lowWriteRps: BUDGET.writeRps,
+  operationsPerTransaction: BUDGET.txnOps,
+  valueBytes: 8192,
+  nodes: 1,
+};
 
 /** A client of the stand-in whose first transaction with changes gets no answer, and whose watch is held up. */
 function setUp(fate: 'applied' | 'late' | 'lost' | 'refused') {
@@ -61,20 +70,7 @@
         });
       }),
   };
-  const client = new StateClient(
-    {
-      rps: BUDGET.rps,
-      writeRps: BUDGET.writeRps,
-      lowRps: BUDGET.rps,
-      lowWriteRps: BUDGET.writeRps,
-      operationsPerTransaction: BUDGET.txnOps,
-      valueBytes: 8192,
-      nodes: 1,
-    },
-    clock,
-    http,
-    watch,
-  );
+  const client = new StateClient(LIMITS, clock, http, watch);
   const view = new ClusterView();
   const follower = new StateWatcher(client, view, () => undefined);
   state.handle('POST', '/txn', { then: [{ write: 'p/m/n-1', value: { n: 0 } }] });
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -2,35 +2,33 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { ConcurrencyLimit } from '../src/core/admission.js';
+import { ConcurrencyLimit } from '../src/core/concurrency-limit.js';
 import {
   TASK_WINDOW,
   isDone,
-  checkFeasibility,
   markDone,
   unfinishedTasks,
   NO_TASKS_DONE,
-  maxTasksPerZone,
-} from '../src/core/jobs.js';
-import { compareJobs } from '../src/core/job-order.js';
-import { key } from '../src/core/keys.js';
-import { SlowMachineDetector } from '../src/core/slowness.js';
+} from '../src/core/jobs/done-tasks.js';
+import { checkFeasibility, maxTasksPerZone } from '../src/core/jobs/feasibility.js';
+import { compareJobs } from '../src/core/jobs/job-order.js';
+import { key } from '../src/core/records/keys.js';
+import { SlowMachineDetector } from '../src/core/health/slow-machine-detector.js';
 import {
   machineName,
-  demandVector,
   incarnation,
   jobId,
   revision,
-  monotonicMs,
   teamName,
   typeName,
   version,
-  wallClockMs,
   zoneName,
-  type JobSpec,
-} from '../src/core/types.js';
-import { ClusterView } from '../src/core/view.js';
-import { jobFromWire } from '../src/io/wire.js';
+} from '../src/core/model/ids.js';
+import type { JobSpec } from '../src/core/model/jobs.js';
+import { demandVector } from '../src/core/model/resources.js';
+import { monotonicMs, wallClockMs } from '../src/core/model/time.js';
+import { ClusterView } from '../src/core/state/cluster-view.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission } from './samples.js';
 
 const spec = (over: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(over) as never);
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -4,9 +4,9 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jsonBytes } from '../src/core/records.js';
-import { jobId } from '../src/core/types.js';
-import { key } from '../src/core/keys.js';
+import { jsonBytes } from '../src/core/records/stored-records.js';
+import { jobId } from '../src/core/model/ids.js';
+import { key } from '../src/core/records/keys.js';
 import {
   accepted,
   answered,
@@ -19,8 +19,8 @@
   until,
   wait,
   withdrawn,
-} from './sim/pipelines.js';
-import { GROWN, SMALL, Sim } from './sim/run.js';
+} from './sim/pipeline-helpers.js';
+import { GROWN, SMALL, Sim } from './sim/simulation.js';
 
 const LOW_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 150 };
 
--- a/test/dependency-rules.test.ts
+++ b/test/dependency-rules.test.ts
@@ -2,10 +2,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { NO_TASKS_DONE } from '../src/core/jobs.js';
-import { resolveDependencies, resolveDependency, type DependencyInput } from '../src/core/dependencies.js';
-import { jobId, wallClockMs, type FinalRecord, type JobRecord } from '../src/core/types.js';
-import { jobFromWire } from '../src/io/wire.js';
+import { NO_TASKS_DONE } from '../src/core/jobs/done-tasks.js';
+import {
+  resolveDependencies,
+  resolveDependency,
+  type DependencyInput,
+} from '../src/core/jobs/dependencies.js';
+import { jobId } from '../src/core/model/ids.js';
+import type { FinalRecord, JobRecord } from '../src/core/model/jobs.js';
+import { wallClockMs } from '../src/core/model/time.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission } from './samples.js';
 
 const record = (
--- a/test/drfh.test.ts
+++ b/test/drfh.test.ts
@@ -1,8 +1,9 @@
 /** The paper's worked examples, as numbers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { dominantShare, fitness, resourceShares, teamWeight } from '../src/core/drfh.js';
-import { capacityVector, demandVector, teamName, type ResourceVector } from '../src/core/types.js';
+import { dominantShare, fitness, resourceShares, teamWeight } from '../src/core/model/dominant-share.js';
+import { teamName } from '../src/core/model/ids.js';
+import { capacityVector, demandVector, type ResourceVector } from '../src/core/model/resources.js';
 
 const near = (a: number, b: number) => {
   assert.ok(Math.abs(a - b) < 1e-9, `${a} is not ${b}`);
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -1,11 +1,12 @@
 /** Jobs that fail wherever they run are told from machines that fail whatever they run, and cost little until cancelled. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FailureTracker } from '../src/core/failures.js';
-import { parseKey } from '../src/core/keys.js';
-import { jobId, machineName, monotonicMs } from '../src/core/types.js';
-import { all, begun, calledOff, leads, meeting, wait } from './sim/meeting.js';
-import type { Sim } from './sim/run.js';
+import { FailureTracker } from '../src/core/health/failure-tracker.js';
+import { parseKey } from '../src/core/records/keys.js';
+import { jobId, machineName } from '../src/core/model/ids.js';
+import { monotonicMs } from '../src/core/model/time.js';
+import { all, begun, calledOff, leads, meeting, wait } from './sim/fault-scenario.js';
+import type { Sim } from './sim/simulation.js';
 
 const JOB = jobId('wk-1');
 const machine = (i: number) => machineName(`n-${i}`);
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -1,13 +1,17 @@
 /** What is known of a machine's images, and how that outlives the controller that saw them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readOperator } from '../src/config/operator.js';
-import type { ControllerContext } from '../src/controller/context.js';
-import { HealthTracker } from '../src/controller/health.js';
-import { jobId, version, type Allocation, type Heartbeat } from '../src/core/types.js';
-import { key } from '../src/core/keys.js';
-import { ClusterView } from '../src/core/view.js';
-import { jobFromWire, heartbeatFromWire } from '../src/io/wire.js';
+import { readOperatorSettings } from '../src/config/operator-settings.js';
+import type { ControllerContext } from '../src/controller/controller-context.js';
+import { HealthTracker } from '../src/controller/health-tracker.js';
+import { ViewChangeFeed } from '../src/controller/view-change-feed.js';
+import type { Heartbeat } from '../src/core/model/heartbeats.js';
+import { jobId, version } from '../src/core/model/ids.js';
+import type { Allocation } from '../src/core/model/machines.js';
+import { key } from '../src/core/records/keys.js';
+import { ClusterView } from '../src/core/state/cluster-view.js';
+import { heartbeatFromWire } from '../src/io/agents/agent-messages.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { machine, submission, type } from './samples.js';
 
 const record = machine('n-1', []);
@@ -19,15 +23,15 @@
     const value = { spec, phase: 'active', done: { base: 0, bits: '', count: 0 }, submitted: 0 };
     view.apply({ key: key.job(jobId(id)), value, version: version(5) });
   }
-  const ctx = {
+  view.apply({ key: key.types, value: [{ ...type, cacheGb }], version: version(5) });
+  const context = {
     view,
-    operator: readOperator(''),
-    listeners: [],
-    imagesBytes: 300,
-    types: new Map([[type.name, { ...type, cacheGb }]]),
+    operator: readOperatorSettings(''),
+    viewChanges: new ViewChangeFeed(),
+    recordBudget: { imagesBytes: 300 },
     clock: { now: () => 0 },
   };
-  return new HealthTracker(ctx as unknown as ControllerContext, () => 0.5);
+  return new HealthTracker(context as unknown as ControllerContext, () => 0.5);
 }
 const report = (seq: number, tasks: [id: string, state: string][]): Heartbeat =>
   heartbeatFromWire({
--- a/test/worker-reports.test.ts
+++ b/test/heartbeats.test.ts
@@ -1,30 +1,20 @@
 /** What an owner may conclude from reports that are late, copied, or from a worker that does not hear it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { AllocationTotals } from '../src/core/ledger.js';
-import { allocationFor } from '../src/core/placed.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { allocationFor } from '../src/core/state/allocations.js';
 import {
   agentCommands,
   confirmedExits,
   newAgentSession,
   recordHeartbeat,
-} from '../src/core/worker-reports.js';
-import {
-  attempt,
-  jobId,
-  machineName,
-  monotonicMs,
-  teamName,
-  fencingToken,
-  wallClockMs,
-  zoneName,
-  type JobRecord,
-  type MachineRecord,
-  type Allocation,
-  type Heartbeat,
-  type ReportedTask,
-} from '../src/core/types.js';
-import { jobFromWire } from '../src/io/wire.js';
+} from '../src/core/agents/agent-session.js';
+import type { Heartbeat, ReportedTask } from '../src/core/model/heartbeats.js';
+import { attempt, jobId, machineName, teamName, fencingToken, zoneName } from '../src/core/model/ids.js';
+import type { JobRecord } from '../src/core/model/jobs.js';
+import type { MachineRecord, Allocation } from '../src/core/model/machines.js';
+import { monotonicMs, wallClockMs } from '../src/core/model/time.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { machine as record, submission, type, types } from './samples.js';
 
 const TOKEN = fencingToken(50);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -3,27 +3,24 @@
 import { test } from 'node:test';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
-import type { ControllerContext } from '../src/controller/context.js';
-import { UnregisteredMachines } from '../src/controller/leader/unknown-machines.js';
-import { ProxiedMachineList } from '../src/controller/substitute-list.js';
-import { AllocationTotals } from '../src/core/ledger.js';
-import { key, parseKey } from '../src/core/keys.js';
-import { allocationFor } from '../src/core/placed.js';
-import { jsonBytes } from '../src/core/records.js';
-import {
-  attempt,
-  machineName,
-  nodeName,
-  revision,
-  monotonicMs,
-  version,
-  type MachineRecord,
-} from '../src/core/types.js';
-import { ClusterView } from '../src/core/view.js';
-import { newAgentSession, recordHeartbeat } from '../src/core/worker-reports.js';
-import { jobFromWire, heartbeatFromWire, type Guard, type WriteOperation } from '../src/io/wire.js';
-import { HUGE, Sim } from './sim/run.js';
-import { all, leads, wait } from './sim/meeting.js';
+import { TransactionGuards } from '../src/controller/transaction-guards.js';
+import type { ControllerContext } from '../src/controller/controller-context.js';
+import { UnregisteredMachines } from '../src/controller/leader/unregistered-machines.js';
+import { ProxiedMachineList } from '../src/controller/heartbeats/proxied-machine-list.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { key, parseKey } from '../src/core/records/keys.js';
+import { allocationFor } from '../src/core/state/allocations.js';
+import { jsonBytes } from '../src/core/records/stored-records.js';
+import { attempt, machineName, nodeName, revision, version } from '../src/core/model/ids.js';
+import type { MachineRecord } from '../src/core/model/machines.js';
+import { monotonicMs } from '../src/core/model/time.js';
+import { ClusterView } from '../src/core/state/cluster-view.js';
+import { newAgentSession, recordHeartbeat } from '../src/core/agents/agent-session.js';
+import { heartbeatFromWire } from '../src/io/agents/agent-messages.js';
+import type { Guard, WriteOperation } from '../src/io/state/state-messages.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
+import { HUGE, Sim } from './sim/simulation.js';
+import { all, leads, wait } from './sim/fault-scenario.js';
 import { machine, submission, types } from './samples.js';
 
 const MACHINES = 4000;
@@ -156,25 +153,25 @@
   const view = new ClusterView();
   let rev = 10;
   let refuses = false;
-  const ctx = {
+  const context = {
     view,
     settings: { node: nodeName('c-1') },
-    guard: (k: string): Guard => ({ key: k, version: view.versionOf(k) }),
-    follower: { applied: () => undefined },
+    guards: new TransactionGuards(view),
+    watcher: { applyCommitted: () => undefined },
     state: {
-      settings: { valueBytes: 2048 },
-      txn: (_guards: readonly Guard[], ops: readonly WriteOperation[]) => {
+      limits: { valueBytes: 2048 },
+      transact: (_guards: readonly Guard[], ops: readonly WriteOperation[]) => {
         if (refuses) return Promise.resolve({ kind: 'refused' });
         rev++;
         for (const { key: k, value } of ops) {
           assert.ok(value === undefined || jsonBytes(value) <= 2048);
           view.apply({ key: k, value, version: version(rev) });
         }
-        return Promise.resolve({ kind: 'ok', rev: revision(rev) });
+        return Promise.resolve({ kind: 'ok', revision: revision(rev) });
       },
     },
   };
-  const list = new ProxiedMachineList(ctx as unknown as ControllerContext);
+  const list = new ProxiedMachineList(context as unknown as ControllerContext);
   const names = [...Array(Math.floor(MACHINES / 3)).keys()].map((i) =>
     machineName(`n-${String(i).padStart(6, '0')}`),
   );
@@ -202,8 +199,8 @@
 
 test('4,000 machines that no record knows are believed as soon as each has reported twice', () => {
   let now = 0;
-  const ctx = { clock: { now: () => monotonicMs(now) }, settings: { cloudLimits: { list_lag_s: 5 } } };
-  const unknown = new UnregisteredMachines(ctx as unknown as ControllerContext);
+  const context = { clock: { now: () => monotonicMs(now) }, settings: { cloudLimits: { list_lag_s: 5 } } };
+  const unknown = new UnregisteredMachines(context as unknown as ControllerContext);
   for (const tally of [1, 2])
     for (let i = 0; i < MACHINES; i++) {
       now += 0.6;
--- a/test/meetings.test.ts
+++ b/test/overlapping-faults.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobId } from '../src/core/types.js';
-import { LEASE_MS, all, begun, busy, calledOff, leads, meeting, wait } from './sim/meeting.js';
+import { jobId } from '../src/core/model/ids.js';
+import { LEASE_MS, all, begun, busy, calledOff, leads, meeting, wait } from './sim/fault-scenario.js';
 
 // The gap: whoever says `withdrawn` must know that no machine has a task of the job, whatever its owner can still do.
 for (const [refusedMs, outMs] of [
--- a/test/packages.test.ts
+++ b/test/packages.test.ts
@@ -6,9 +6,9 @@
 import path from 'node:path';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import { readOperators } from '../src/config/operator.js';
-import type { LoadedPackage, RunningPackage, Service } from '../src/packages/api.js';
-import { PackageHost } from '../src/packages/host.js';
+import { readOperatorSettingsFiles } from '../src/config/operator-settings.js';
+import type { LoadedPackage, RunningPackage, Service } from '../src/plugin-host/api.js';
+import { PackageHost } from '../src/plugin-host/plugin-host.js';
 import { platformSettings } from './samples.js';
 
 const directory = mkdtempSync(path.join(os.tmpdir(), 'pepperbank-'));
@@ -75,18 +75,18 @@
 
 test("several operators' files are one, a setting stands in one of them, and errors name the file", () => {
   const files = (...texts: string[]) => texts.map((text, i) => ({ path: `${i}.toml`, text }));
-  const all = readOperators(
+  const all = readOperatorSettingsFiles(
     files('[sessions]\nttl_s = 9', '[sessions]\nrenew_every_s = 2\n[packages.a]\nx = 1', '[packages.b]'),
   );
   assert.deepEqual([all.sessions.ttl_s, all.sessions.renew_every_s], [9, 2]);
   // The TOML library makes tables without a prototype; only what stands in them matters.
   assert.deepEqual(JSON.parse(JSON.stringify(all.packages)), { a: { x: 1 }, b: {} });
   assert.throws(
-    () => readOperators(files('[sessions]\nttl_s = 9', '[sessions]\nttl_s = 9')),
+    () => readOperatorSettingsFiles(files('[sessions]\nttl_s = 9', '[sessions]\nttl_s = 9')),
     /1\.toml: sessions\.ttl_s: another file sets it/,
   );
-  assert.throws(() => readOperators(files('', '[sessions]\nttl = 9')), /1\.toml: sessions\.ttl/);
-  assert.throws(() => readOperators(files('', 'x')), /1\.toml: not TOML/);
+  assert.throws(() => readOperatorSettingsFiles(files('', '[sessions]\nttl = 9')), /1\.toml: sessions\.ttl/);
+  assert.throws(() => readOperatorSettingsFiles(files('', 'x')), /1\.toml: not TOML/);
 });
 
 test('a package that fails at its start or later is named, and the others go on', async () => {
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { PeerLink, PeerServer } from '../src/io/peers.js';
+import { PeerLink, PeerServer } from '../src/io/peers/peer-link.js';
 
 const freePort = async (): Promise<number> => {
   const s = net.createServer();
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,13 +1,13 @@
 /** Dependent jobs and the upgrade to the version that knows them, among stand-ins; the rules are checked after each step. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobId } from '../src/core/types.js';
-import { jsonBytes } from '../src/core/records.js';
-import { key } from '../src/core/keys.js';
-import { jobFromWire } from '../src/io/wire.js';
+import { jobId } from '../src/core/model/ids.js';
+import { jsonBytes } from '../src/core/records/stored-records.js';
+import { key } from '../src/core/records/keys.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission } from './samples.js';
-import { accepted, begun, job, one, running, until, wait, withdrawn } from './sim/pipelines.js';
-import { GROWN, LIMITS, SMALL, Sim } from './sim/run.js';
+import { accepted, begun, job, one, running, until, wait, withdrawn } from './sim/pipeline-helpers.js';
+import { GROWN, LIMITS, SMALL, Sim } from './sim/simulation.js';
 
 for (const [name, trouble] of [
   ['with nothing else', () => undefined],
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -1,16 +1,13 @@
 /** Jobs, teams and plans as several tests of scheduling use them. */
-import { planScaling, type ScalingInput } from '../src/core/fleet.js';
-import { AllocationTotals } from '../src/core/ledger.js';
-import { allocationFor } from '../src/core/placed.js';
-import {
-  attempt,
-  nodeName,
-  teamName,
-  wallClockMs,
-  type JobRecord,
-  type MachineRecord,
-} from '../src/core/types.js';
-import { jobFromWire } from '../src/io/wire.js';
+import { planScaling } from '../src/core/scaling/scaling-plan.js';
+import type { ScalingInput } from '../src/core/scaling/scaling-types.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { allocationFor } from '../src/core/state/allocations.js';
+import { attempt, nodeName, teamName } from '../src/core/model/ids.js';
+import type { JobRecord } from '../src/core/model/jobs.js';
+import type { MachineRecord } from '../src/core/model/machines.js';
+import { wallClockMs } from '../src/core/model/time.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission, type, types } from './samples.js';
 
 export const team = (name: string, gpus: number) => ({
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,20 +1,15 @@
 /** Which tasks are placed, kept room for, and stopped for others. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { ScalingInput } from '../src/core/fleet.js';
-import { AllocationTotals } from '../src/core/ledger.js';
-import { placeTasks, type PlacementInput } from '../src/core/placement.js';
-import { selectVictims } from '../src/core/preemption.js';
-import {
-  attempt,
-  nodeName,
-  teamName,
-  wallClockMs,
-  type JobRecord,
-  type MachineRecord,
-  type Team,
-  type TeamName,
-} from '../src/core/types.js';
+import type { ScalingInput } from '../src/core/scaling/scaling-types.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { placeTasks, type PlacementInput } from '../src/core/placement/placement.js';
+import { selectVictims } from '../src/core/placement/preemption.js';
+import type { Team } from '../src/core/model/cluster.js';
+import { attempt, nodeName, teamName, type TeamName } from '../src/core/model/ids.js';
+import type { JobRecord } from '../src/core/model/jobs.js';
+import type { MachineRecord } from '../src/core/model/machines.js';
+import { wallClockMs } from '../src/core/model/time.js';
 import { job, on, planned, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
 
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimiter, REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
-import { ProcessClock, World } from './sim/world.js';
+import { ProcessClock, World } from './sim/virtual-time.js';
 
 /** A process whose part of both budgets does not fall, and which may borrow so many times that part. */
 const fixed = (world: World, spare: number) =>
--- a/test/reclaim.test.ts
+++ b/test/reclaim.test.ts
@@ -1,9 +1,11 @@
 /** Background work and teams without a guarantee give way to what has priority or a guarantee. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { AllocationTotals } from '../src/core/ledger.js';
-import { selectGangVictims, selectVictims } from '../src/core/preemption.js';
-import { nodeName, teamName, type JobRecord, type MachineRecord } from '../src/core/types.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { selectGangVictims, selectVictims } from '../src/core/placement/preemption.js';
+import { nodeName, teamName } from '../src/core/model/ids.js';
+import type { JobRecord } from '../src/core/model/jobs.js';
+import type { MachineRecord } from '../src/core/model/machines.js';
 import { job, on, planned, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
 
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,36 +1,31 @@
 /** Records at the limits of the state service, and those of the version before pipelines, in its shape. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { markDone } from '../src/core/jobs.js';
-import { AllocationTotals } from '../src/core/ledger.js';
-import { resolveDependencies } from '../src/core/dependencies.js';
-import { allocationFor, addAllocation } from '../src/core/placed.js';
-import { markStopping } from '../src/core/preemption.js';
+import { markDone } from '../src/core/jobs/done-tasks.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { resolveDependencies } from '../src/core/jobs/dependencies.js';
+import { allocationFor, addAllocation } from '../src/core/state/allocations.js';
+import { markStopping } from '../src/core/placement/preemption.js';
 import {
   TASK_INDEX_BYTES,
   jsonBytes,
   allocationBytes,
   splitBySize,
   shrinkMachineRecord,
-} from '../src/core/records.js';
+} from '../src/core/records/stored-records.js';
 import {
   agentCommands,
   confirmedExits,
   newAgentSession,
   recordHeartbeat,
-} from '../src/core/worker-reports.js';
-import {
-  attempt,
-  jobId,
-  machineName,
-  monotonicMs,
-  teamName,
-  version,
-  type MachineRecord,
-} from '../src/core/types.js';
-import { key } from '../src/core/keys.js';
-import { ClusterView } from '../src/core/view.js';
-import { jobFromWire, heartbeatFromWire } from '../src/io/wire.js';
+} from '../src/core/agents/agent-session.js';
+import { attempt, jobId, machineName, teamName, version } from '../src/core/model/ids.js';
+import type { MachineRecord } from '../src/core/model/machines.js';
+import { monotonicMs } from '../src/core/model/time.js';
+import { key } from '../src/core/records/keys.js';
+import { ClusterView } from '../src/core/state/cluster-view.js';
+import { heartbeatFromWire } from '../src/io/agents/agent-messages.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { machine, submission, type, types } from './samples.js';
 
 /** As the version before wrote them, text and all. */
--- a/test/storm.test.ts
+++ b/test/request-burst.test.ts
@@ -1,13 +1,13 @@
 /** Storms of questions: what is asked together shares requests, and waiting for changes leaves requests to others. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FinalStateCache } from '../src/controller/final-states.js';
-import { jobId, revision, version, type Revision } from '../src/core/types.js';
-import { ClusterView } from '../src/core/view.js';
-import { StateClient } from '../src/io/state/client.js';
-import { StateWatcher } from '../src/io/state/follower.js';
-import type { Reply, Transport } from '../src/io/http.js';
-import { ProcessClock, World } from './sim/world.js';
+import { FinalStateCache } from '../src/controller/final-state-cache.js';
+import { jobId, revision, version, type Revision } from '../src/core/model/ids.js';
+import { ClusterView } from '../src/core/state/cluster-view.js';
+import { StateClient } from '../src/io/state/state-client.js';
+import { StateWatcher } from '../src/io/state/state-watcher.js';
+import type { Reply, Transport } from '../src/io/http-client.js';
+import { ProcessClock, World } from './sim/virtual-time.js';
 
 const JOB = jobId('wk-1');
 
--- a/test/samples.ts
+++ b/test/samples.ts
@@ -1,15 +1,8 @@
 /** Samples that several tests use. */
-import {
-  demandVector,
-  machineName,
-  nodeName,
-  typeName,
-  wallClockMs,
-  zoneName,
-  type MachineRecord,
-  type MachineType,
-  type Allocation,
-} from '../src/core/types.js';
+import { machineName, nodeName, typeName, zoneName } from '../src/core/model/ids.js';
+import type { MachineRecord, MachineType, Allocation } from '../src/core/model/machines.js';
+import { demandVector } from '../src/core/model/resources.js';
+import { wallClockMs } from '../src/core/model/time.js';
 
 /** A valid submission as a user would send it. */
 export const submission = (over: Record<string, unknown> = {}): Record<string, unknown> => ({
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,8 +1,8 @@
 /** Settings files: what is read, and what is refused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readOperator } from '../src/config/operator.js';
-import { SettingsError, readSettings } from '../src/config/settings.js';
+import { readOperatorSettings } from '../src/config/operator-settings.js';
+import { SettingsError, readPlatformSettings } from '../src/config/platform-settings.js';
 
 const GOOD = `
 node = "c-0"
@@ -48,7 +48,7 @@
 `;
 
 test("the platform's file is read, unknown fields are ignored, 0 is no limit", () => {
-  const s = readSettings(GOOD);
+  const s = readPlatformSettings(GOOD);
   assert.equal(s.node, 'c-0');
   assert.equal(s.peers[0]?.address, '10.0.0.2:8081');
   assert.equal(s.teams[0]?.limitCpu, null);
@@ -58,7 +58,7 @@
 test('a missing or invalid field is named in one line', () => {
   const wrong = (text: string, field: RegExp) => {
     assert.throws(
-      () => readSettings(text),
+      () => readPlatformSettings(text),
       (e: unknown) => e instanceof SettingsError && field.test(e.message) && !e.message.includes('\n'),
     );
   };
@@ -70,8 +70,8 @@
 });
 
 test("the operators' file has defaults, and a misspelled name is an error", () => {
-  assert.equal(readOperator('').sessions.ttl_s, 8);
-  assert.equal(readOperator('[sessions]\nttl_s = 9').sessions.ttl_s, 9);
-  assert.throws(() => readOperator('[sessions]\nttl = 9'), /sessions\.ttl/);
-  assert.throws(() => readOperator('[fleets]\nx = 1'), /fleets/);
+  assert.equal(readOperatorSettings('').sessions.ttl_s, 8);
+  assert.equal(readOperatorSettings('[sessions]\nttl_s = 9').sessions.ttl_s, 9);
+  assert.throws(() => readOperatorSettings('[sessions]\nttl = 9'), /sessions\.ttl/);
+  assert.throws(() => readOperatorSettings('[fleets]\nx = 1'), /fleets/);
 });
--- a/test/sim.test.ts
+++ b/test/sim.test.ts
@@ -1,9 +1,9 @@
 /** Seeded random runs of whole controllers among stand-ins. SIM_SEED repeats one run, SIM_RUNS sets how many. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobId } from '../src/core/types.js';
-import { Unavailable } from '../src/io/state/client.js';
-import { FLEET, GROWN, SMALL, Sim, quiet, type Size } from './sim/run.js';
+import { jobId } from '../src/core/model/ids.js';
+import { Unavailable } from '../src/io/state/state-client.js';
+import { FLEET, GROWN, SMALL, Sim, quiet, type Size } from './sim/simulation.js';
 
 const only = process.env['SIM_SEED'];
 const runs = Number(process.env['SIM_RUNS'] ?? 12);
--- a/test/sim/fleet.ts
+++ b/test/sim/agents-and-cloud.ts
@@ -3,10 +3,10 @@
  * tasks. Tasks count as on their machine from the start command on, which is stricter than the rules are.
  */
 import assert from 'node:assert/strict';
-import type { Reply } from '../../src/io/http.js';
+import type { Reply } from '../../src/io/http-client.js';
 import type { Limits } from './sizes.js';
-import type { Submitted } from './submitted.js';
-import type { World } from './world.js';
+import type { Submitted } from './submitted-job.js';
+import type { World } from './virtual-time.js';
 
 type Json = Record<string, unknown>;
 
--- a/test/sim/digest.ts
+++ b/test/sim/digest.ts
@@ -1,7 +1,7 @@
 /** A digest of all that leaves the controllers of a seeded run: two versions of the code behave alike where it is the same. */
 import { createHash, type Hash } from 'node:crypto';
 import { standby } from '../../packages/warm-standby/test/standbys.js';
-import { Sim } from './run.js';
+import { Sim } from './simulation.js';
 import { FLEET, GROWN, SMALL, type Size } from './sizes.js';
 
 /** One seeded run with random faults. */
--- a/test/sim/meeting.ts
+++ b/test/sim/fault-scenario.ts
@@ -1,9 +1,9 @@
 /** Brings troubles about in a seeded run with work under way, and checks that all comes to its end afterwards. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Worker } from './fleet.js';
-import type { Node } from './node.js';
-import { LIMITS, SMALL, quiet, type Sim, type Size } from './run.js';
+import type { Worker } from './agents-and-cloud.js';
+import type { Node } from './simulated-controller.js';
+import { LIMITS, SMALL, quiet, type Sim, type Size } from './simulation.js';
 
 export const LEASE_MS = LIMITS.leaseS * 1000;
 
--- a/test/sim/troubles.ts
+++ b/test/sim/faults.ts
@@ -1,7 +1,7 @@
 /** Troubles of seeded runs: one at random each time. */
-import type { Worker } from './fleet.js';
-import type { Node } from './node.js';
-import type { Sim } from './run.js';
+import type { Worker } from './agents-and-cloud.js';
+import type { Node } from './simulated-controller.js';
+import type { Sim } from './simulation.js';
 import { NODES, ZONES } from './sizes.js';
 
 /** What a trouble may concern. */
--- a/test/sim/pipelines.ts
+++ b/test/sim/pipeline-helpers.ts
@@ -1,10 +1,10 @@
 /** What tests of dependent jobs share: a quiet run, small jobs that cost no GPU, and waiting for something to happen. */
 import assert from 'node:assert/strict';
-import { jobId } from '../../src/core/types.js';
-import { jobFromWire } from '../../src/io/wire.js';
+import { jobId } from '../../src/core/model/ids.js';
+import { jobFromWire } from '../../src/io/users/job-messages.js';
 import { submission } from '../samples.js';
-import { newJob } from './submitted.js';
-import { SMALL, quiet, type Sim, type Size } from './run.js';
+import { newJob } from './submitted-job.js';
+import { SMALL, quiet, type Sim, type Size } from './simulation.js';
 
 export const begun = (seed: number, size: Size = SMALL, ms = 15_000) => quiet(seed, size, ms);
 export const wait = (sim: Sim, ms: number) => sim.world.runUntil(sim.world.now + ms);
--- a/test/sim/node.ts
+++ b/test/sim/simulated-controller.ts
@@ -1,17 +1,17 @@
 /** A controller of a seeded run, among stand-ins for all that it talks to; it may end, be cut off, or be of the version before. */
 import { pino } from 'pino';
-import { readOperator } from '../../src/config/operator.js';
-import type { Settings } from '../../src/config/settings.js';
+import { readOperatorSettings } from '../../src/config/operator-settings.js';
+import type { PlatformSettings } from '../../src/config/platform-settings.js';
 import { Controller, type ControllerDependencies } from '../../src/controller/controller.js';
-import { jobId, nodeName, teamName, zoneName } from '../../src/core/types.js';
-import type { Reply, Transport } from '../../src/io/http.js';
-import type { Peer } from '../../src/io/peers.js';
-import * as wire from '../../src/io/wire.js';
-import type { AgentGateway } from '../../src/io/workers.js';
-import type { LoadedPackage } from '../../src/packages/api.js';
-import type { Sim } from './run.js';
+import { jobId, nodeName, teamName, zoneName } from '../../src/core/model/ids.js';
+import type { Reply, Transport } from '../../src/io/http-client.js';
+import type { Peer } from '../../src/io/peers/peer-link.js';
+import { directCommandsToWire, heartbeatFromWire } from '../../src/io/agents/agent-messages.js';
+import type { AgentGateway } from '../../src/io/agents/agent-client.js';
+import type { LoadedPackage } from '../../src/plugin-host/api.js';
+import type { Sim } from './simulation.js';
 import { LIMITS, NODES, TEAMS, ZONES, type Json } from './sizes.js';
-import { ProcessClock } from './world.js';
+import { ProcessClock } from './virtual-time.js';
 
 /** A change as the version before pipelines wrote it. */
 function asBefore(o: Json): void {
@@ -32,7 +32,7 @@
   clock: ProcessClock;
   lives = 0;
   /** The packages that the node runs, made anew with each start. */
-  packages: (settings: Settings) => readonly LoadedPackage[] = () => [];
+  packages: (settings: PlatformSettings) => readonly LoadedPackage[] = () => [];
   /** Controllers that it does not reach, and that do not reach it. */
   readonly cutFrom = new Set<string>();
   /** What the node cannot reach now. */
@@ -69,7 +69,13 @@
     };
     const log = pino({ level: 'silent' });
     const settings = this.settings();
-    this.controller = new Controller(settings, readOperator(OPERATOR), log, outside, this.packages(settings));
+    this.controller = new Controller({
+      settings,
+      operator: readOperatorSettings(OPERATOR),
+      log,
+      dependencies: outside,
+      packages: this.packages(settings),
+    });
     this.controller.run().catch((e: unknown) => {
       sim.failed ??= asError(e);
     });
@@ -80,7 +86,7 @@
     this.controller = null;
   }
 
-  private settings(): Settings {
+  private settings(): PlatformSettings {
     const { size, next } = this.sim;
     return {
       node: nodeName(this.name),
@@ -221,7 +227,7 @@
           clock.after(1500, () => {
             resolve(null);
           });
-          const body = JSON.parse(JSON.stringify(wire.directCommandsToWire(tok, session, commands))) as Json;
+          const body = JSON.parse(JSON.stringify(directCommandsToWire(tok, session, commands))) as Json;
           sim.observe(this.name, `agent ${address}`, body);
           const arrive = () => {
             const w = sim.fleet.machines.get(address)?.worker;
@@ -232,7 +238,7 @@
             }
             w.direct(body, (r) => {
               clock.run(() => {
-                resolve(wire.heartbeatFromWire(r));
+                resolve(heartbeatFromWire(r));
               });
             });
           };
--- a/test/sim/run.ts
+++ b/test/sim/simulation.ts
@@ -4,19 +4,20 @@
  */
 import assert from 'node:assert/strict';
 import type { Controller } from '../../src/controller/controller.js';
-import { jobId } from '../../src/core/types.js';
-import type { Reply } from '../../src/io/http.js';
-import { key } from '../../src/core/keys.js';
-import { Unavailable } from '../../src/io/state/client.js';
-import * as wire from '../../src/io/wire.js';
+import { jobId } from '../../src/core/model/ids.js';
+import type { Reply } from '../../src/io/http-client.js';
+import { key } from '../../src/core/records/keys.js';
+import { Unavailable } from '../../src/io/state/state-client.js';
+import { heartbeatFromWire, redirectToWire, commandsToWire } from '../../src/io/agents/agent-messages.js';
+import { jobFromWire } from '../../src/io/users/job-messages.js';
 import { submission } from '../samples.js';
-import { Fleet, type Worker } from './fleet.js';
-import { newJob, type Submitted } from './submitted.js';
-import { Node, asError } from './node.js';
+import { Fleet, type Worker } from './agents-and-cloud.js';
+import { newJob, type Submitted } from './submitted-job.js';
+import { Node, asError } from './simulated-controller.js';
 import { LIMITS, NODES, SMALL, TEAMS, ZONES, type Given, type Json, type Size } from './sizes.js';
-import { StateService } from './state.js';
-import { makeTrouble } from './troubles.js';
-import { World } from './world.js';
+import { StateService } from './state-service.js';
+import { makeTrouble } from './faults.js';
+import { World } from './virtual-time.js';
 
 export { FLEET, GROWN, HUGE, LIMITS, SMALL, type Size } from './sizes.js';
 
@@ -134,7 +135,7 @@
         tell(r?.state);
       })
       .catch(fail);
-    this.ask((c) => c.jobs.submit(wire.jobFromWire(job.body as never)))
+    this.ask((c) => c.jobs.submit(jobFromWire(job.body as never)))
       .then((r) => {
         assert.ok(r?.kind !== 'accepted' && r?.kind !== 'impossible', `a retry of ${id} was ${r?.kind}`);
         if (r?.kind === 'known') tell(r.state);
@@ -164,7 +165,7 @@
     });
     const go = async () => {
       for (;;) {
-        const r = await this.ask((c) => c.jobs.submit(wire.jobFromWire(body as never)));
+        const r = await this.ask((c) => c.jobs.submit(jobFromWire(body as never)));
         if (r !== null && r.kind !== 'later') {
           assert.equal(r.kind, 'impossible', `${id} was ${r.kind}: ${JSON.stringify(body)}`);
           this.oddAnswers++;
@@ -202,7 +203,7 @@
   /** A copy of a report, from seconds to well over a lease old, whoever runs there by then; nobody gets the answer. */
   private copyLate(node: string, body: Json): void {
     this.world.after(this.world.int(1000, LIMITS.leaseS * 2500), () => {
-      const report = wire.heartbeatFromWire(structuredClone(body));
+      const report = heartbeatFromWire(structuredClone(body));
       assert.ok(report !== null);
       const { controller, clock } = this.nodes.get(node)!;
       clock.run(() => controller?.heartbeats.answer(report));
@@ -289,7 +290,7 @@
     const watch = async () => {
       while (!job.accepted) {
         const askedAt = world.now;
-        const r = await this.ask((c) => c.jobs.submit(wire.jobFromWire(body as never)));
+        const r = await this.ask((c) => c.jobs.submit(jobFromWire(body as never)));
         if (r !== null && r.kind !== 'later') {
           assert.notEqual(r.kind, 'impossible', `forgotten: ${id} is possible and was refused`);
           job.accepted = true;
@@ -307,7 +308,7 @@
         this.told(id, job, s.found.state, askedAt);
         if (world.chance(0.05)) {
           // A retry of the submission at any later time must be known still.
-          const r = await this.ask((c) => c.jobs.submit(wire.jobFromWire(body as never)));
+          const r = await this.ask((c) => c.jobs.submit(jobFromWire(body as never)));
           if (r !== null && r.kind !== 'later') {
             assert.equal(r.kind, 'known', `a retry of ${id} was ${r.kind}`);
             this.told(id, job, r.state);
@@ -493,12 +494,12 @@
 
 /** What a controller answers a worker's report, as it goes over the wire. */
 function replyTo(controller: Controller, body: Json): Reply {
-  const report = wire.heartbeatFromWire(body);
+  const report = heartbeatFromWire(body);
   assert.ok(report !== null);
   const a = controller.heartbeats.answer(report);
   if (a.kind === 'busy') return { status: 503, body: null };
-  if (a.kind === 'elsewhere') return { status: 421, body: wire.redirectToWire(a.node) };
-  const commands = JSON.parse(JSON.stringify(wire.commandsToWire(a.token, a.commands))) as Json;
+  if (a.kind === 'elsewhere') return { status: 421, body: redirectToWire(a.node) };
+  const commands = JSON.parse(JSON.stringify(commandsToWire(a.token, a.commands))) as Json;
   return { status: 200, body: commands };
 }
 
--- a/test/sim/sizes.ts
+++ b/test/sim/sizes.ts
@@ -1,5 +1,5 @@
 /** Limits, names and sizes of seeded runs. */
-import type { Budget } from './state.js';
+import type { Budget } from './state-service.js';
 
 /** What the platform's settings say of workers. */
 export interface Limits {
--- a/test/sim/state.ts
+++ b/test/sim/state-service.ts
@@ -1,6 +1,6 @@
 /** A stand-in for the state service, written from PROTOCOL. */
-import type { Reply } from '../../src/io/http.js';
-import type { World } from './world.js';
+import type { Reply } from '../../src/io/http-client.js';
+import type { World } from './virtual-time.js';
 
 interface Row {
   value: unknown;
--- a/test/sim/world.ts
+++ b/test/sim/virtual-time.ts
@@ -1,7 +1,7 @@
 /** Virtual time and chance for the stand-ins. One seed gives one run. */
 import { unsafeUniformIntDistribution, xoroshiro128plus, type RandomGenerator } from 'pure-rand';
-import type { Clock } from '../../src/core/clock.js';
-import { monotonicMs, wallClockMs } from '../../src/core/types.js';
+import type { Clock } from '../../src/core/model/clock.js';
+import { monotonicMs, wallClockMs } from '../../src/core/model/time.js';
 
 interface Event {
   readonly at: number;
--- a/test/single-tasks.test.ts
+++ b/test/single-tasks.test.ts
@@ -1,8 +1,8 @@
 /** Jobs of a single small task that come by the dozen. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SMALL, quiet } from './sim/run.js';
-import { wait } from './sim/meeting.js';
+import { SMALL, quiet } from './sim/simulation.js';
+import { wait } from './sim/fault-scenario.js';
 
 test('dozens of small jobs start on one machine, by changes that the state service takes', async () => {
   const sim = await quiet(3, { ...SMALL, everyMs: 1e9, txnOps: 4 }, 5000);
--- a/test/state-usage.test.ts
+++ b/test/state-usage.test.ts
@@ -1,8 +1,8 @@
 /** What changes of the state service are spent on. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { begun, job, one, submitTo, until, wait } from './sim/pipelines.js';
-import { GROWN, type Sim } from './sim/run.js';
+import { begun, job, one, submitTo, until, wait } from './sim/pipeline-helpers.js';
+import { GROWN, type Sim } from './sim/simulation.js';
 
 /** Changes written so far for one reason, by all controllers. */
 const written = (sim: Sim, reason: string): number => {
--- a/test/silent-controllers.test.ts
+++ b/test/unresponsive-controllers.test.ts
@@ -4,10 +4,10 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { key, parseKey } from '../src/core/keys.js';
-import type { Node } from './sim/node.js';
-import { LEASE_MS, all, begun, busy, calledOff, leads, meeting, wait } from './sim/meeting.js';
-import type { Sim } from './sim/run.js';
+import { key, parseKey } from '../src/core/records/keys.js';
+import type { Node } from './sim/simulated-controller.js';
+import { LEASE_MS, all, begun, busy, calledOff, leads, meeting, wait } from './sim/fault-scenario.js';
+import type { Sim } from './sim/simulation.js';
 
 /** Longer than any lease, and than a worker needs to try all controllers. */
 const SILENT_MS = 24_000;
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -3,11 +3,11 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { pino } from 'pino';
-import type { JobService, SubmissionResult } from '../src/controller/jobs.js';
-import type { HeartbeatRouter } from '../src/controller/report-router.js';
-import { fencingToken } from '../src/core/types.js';
-import { Unavailable } from '../src/io/state/client.js';
-import { buildServer } from '../src/io/users.js';
+import type { JobService, SubmissionResult } from '../src/controller/api/job-service.js';
+import type { HeartbeatRouter } from '../src/controller/heartbeats/heartbeat-router.js';
+import { fencingToken } from '../src/core/model/ids.js';
+import { Unavailable } from '../src/io/state/state-client.js';
+import { buildServer } from '../src/io/users/http-server.js';
 import { submission } from './samples.js';
 
 const server = (over: Partial<Record<keyof JobService, unknown>> = {}, most = 50) => {
