--- a/packages/tracing/src/index.ts
+++ b/packages/tracing/src/index.ts
@@ -4,7 +4,7 @@
  */
 import { OTLPTraceExporter } from '@opentelemetry/exporter-trace-otlp-http';
 import { Gauge, Registry } from 'prom-client';
-import type { RunningPackage, Service, ServicePackage } from '../../../src/plugin-host/api.js';
+import type { RunningPlugin, PluginServices, PluginDefinition } from '../../../src/plugin-host/api.js';
 import { JobSpans } from './job-spans.js';
 import { JsonLinesExporter } from './json-lines-exporter.js';
 import { OptionsSchema, type Options } from './options.js';
@@ -13,7 +13,7 @@
 
 const BYTES_PER_MB = 1024 * 1024;
 
-function queuesFor({ clock, node }: Service, options: Options): SpanQueue[] {
+function queuesFor({ clock, node }: PluginServices, options: Options): SpanQueue[] {
   const queues: SpanQueue[] = [];
   if (options.collector_url !== undefined) {
     const exporter = new OTLPTraceExporter({
@@ -46,7 +46,7 @@
   return registry;
 }
 
-function start(service: Service, options: Options): RunningPackage {
+function start(service: PluginServices, options: Options): RunningPlugin {
   const { clock, node } = service;
   const queues = queuesFor(service, options);
   const tracer = new SpanTracer(node, clock, queues);
@@ -69,7 +69,7 @@
 }
 
 /** The package. */
-export const servicePackage: ServicePackage<Options> = {
+export const servicePackage: PluginDefinition<Options> = {
   schema: OptionsSchema,
   validate(options) {
     const { collector_url, file, queue_spans, batch_spans } = options;
--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -21,8 +21,8 @@
   zoneName,
 } from '../../../src/core/model/ids.js';
 import { monotonicMs } from '../../../src/core/model/time.js';
-import { realClock } from '../../../src/io/system-clock.js';
-import { ProcessClock, World } from '../../../test/sim/virtual-time.js';
+import { systemClock } from '../../../src/io/system-clock.js';
+import { ProcessClock, VirtualTime } from '../../../test/sim/virtual-time.js';
 import { JobSpans } from '../src/job-spans.js';
 import { JsonLinesExporter, type SpanLine } from '../src/json-lines-exporter.js';
 import { SpanQueue } from '../src/span-queue.js';
@@ -43,7 +43,7 @@
 }
 
 const virtual = () => {
-  const world = new World(1);
+  const world = new VirtualTime(1);
   return { world, clock: new ProcessClock(world, 1, 0) };
 };
 
@@ -175,11 +175,11 @@
   });
   await new Promise<void>((r) => collector.listen(0, '127.0.0.1', r));
   const url = `http://127.0.0.1:${(collector.address() as AddressInfo).port}/v1/traces`;
-  const queue = new SpanQueue('collector', new OTLPTraceExporter({ url, timeoutMillis: 5000 }), realClock, {
+  const queue = new SpanQueue('collector', new OTLPTraceExporter({ url, timeoutMillis: 5000 }), systemClock, {
     ...OPTIONS,
     timeout_ms: 10_000,
   });
-  const tracer = new SpanTracer('c-7', realClock, [queue]);
+  const tracer = new SpanTracer('c-7', systemClock, [queue]);
   try {
     tracer.record({ name: 'takeover', startMs: 1, endMs: 2, attributes: { slice: 'c-3' } });
     await queue.forceFlush();
@@ -200,8 +200,8 @@
 
 test('the file has one span a line, and is begun anew at its size', async () => {
   const file = path.join(mkdtempSync(path.join(os.tmpdir(), 'pepperbank-')), 'spans.jsonl');
-  const queue = new SpanQueue('file', new JsonLinesExporter(file, 400, 'c-0'), realClock, OPTIONS);
-  const tracer = new SpanTracer('c-0', realClock, [queue]);
+  const queue = new SpanQueue('file', new JsonLinesExporter(file, 400, 'c-0'), systemClock, OPTIONS);
+  const tracer = new SpanTracer('c-0', systemClock, [queue]);
   for (const name of ['one', 'two', 'three']) {
     tracer.record({ name, startMs: 1, endMs: 3.5, attributes: { slice: 'c-1' } });
     await queue.forceFlush();
--- a/packages/warm-standby/measure/takeovers.ts
+++ b/packages/warm-standby/measure/takeovers.ts
@@ -7,7 +7,8 @@
 import { appendFileSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { Command } from 'commander';
-import { Cluster, NODES, type ControllerProcess } from '../test/loopback/cluster.js';
+import { NODES } from '../test/loopback/cluster-settings.js';
+import { Cluster, type ControllerProcess } from '../test/loopback/cluster.js';
 import { Users, sleep } from '../test/loopback/users.js';
 import { key } from '../../../src/core/records/keys.js';
 import { machineName } from '../../../src/core/model/ids.js';
@@ -126,12 +127,12 @@
 }
 
 /** Live machines of the slice, as their records have it. */
-const workersOf = (cluster: Cluster, slice: string) =>
+const workersOf = (cluster: Cluster, shard: string) =>
   new Set(
     cluster.fleet
-      .live()
+      .liveAgents()
       .map((w) => w.name)
-      .filter((name) => sliceOf(cluster, name) === slice),
+      .filter((name) => sliceOf(cluster, name) === shard),
   );
 
 const sliceOf = (cluster: Cluster, machine: string) =>
@@ -156,38 +157,38 @@
   round: number,
 ): Promise<Round> {
   const victim = cluster.controllers.get(NODES[round % NODES.length]!)!;
-  const slice = victim.name;
-  const missing = workersOf(cluster, slice);
-  const { epoch } = cluster.holderOf(slice)!;
+  const shard = victim.name;
+  const missing = workersOf(cluster, shard);
+  const { epoch } = cluster.holderOf(shard)!;
   const result = nothingYet({ kind, standby, round, workers: missing.size });
   const start = performance.now();
   const since = () => Math.round(performance.now() - start);
   const mine = new Set(missing);
   // Before the slice has its new holder other controllers only keep its workers: that is no takeover.
-  const isNewHolder = (node: string) => node !== slice && cluster.holderOf(slice)?.holder === node;
+  const isNewHolder = (node: string) => node !== shard && cluster.holderOf(shard)?.holder === node;
   cluster.watch = {
-    answered: (worker, node, token) => {
-      if (!mine.has(worker.name) || token <= epoch || !isNewHolder(node)) return;
+    answered: (agent, node, token) => {
+      if (!mine.has(agent.name) || token <= epoch || !isNewHolder(node)) return;
       result.firstReportMs ??= since();
-      missing.delete(worker.name);
-      for (const name of missing) if (sliceOf(cluster, name) !== slice) missing.delete(name);
+      missing.delete(agent.name);
+      for (const name of missing) if (sliceOf(cluster, name) !== shard) missing.delete(name);
       if (missing.size === 0) result.allReportsMs ??= since();
     },
-    started: (worker) => {
-      if (mine.has(worker.name) && isNewHolder(worker.node)) result.firstStartMs ??= since();
+    started: (agent) => {
+      if (mine.has(agent.name) && isNewHolder(agent.controller)) result.firstStartMs ??= since();
     },
   };
   const fault = faultOf(kind, victim, cluster);
   await fault.begin();
-  const isMoved = () => cluster.holderOf(slice)?.holder !== slice;
+  const isMoved = () => cluster.holderOf(shard)?.holder !== shard;
   const giveUp = kind === 'short-pause' ? NO_MOVE_MS : 40_000;
   while (!isMoved() && since() < giveUp) await sleep(5);
   if (isMoved()) {
     result.holderMs = since();
-    const holder = cluster.controllers.get(cluster.holderOf(slice)!.holder)!;
+    const holder = cluster.controllers.get(cluster.holderOf(shard)!.holder)!;
     while ((result.firstStartMs === null || result.allReportsMs === null) && since() < 30_000)
       await sleep(10);
-    const takeover = (await statusOf(holder))?.standby?.takeovers.filter((t) => t.slice === slice).at(-1);
+    const takeover = (await statusOf(holder))?.standby?.takeovers.filter((t) => t.slice === shard).at(-1);
     result.cause = takeover?.cause ?? null;
     result.warm = takeover?.warm ?? null;
   }
@@ -231,7 +232,7 @@
     standby: o.standby,
     traced: o.traced,
     seconds: forS,
-    machines: cluster.fleet.live().length,
+    machines: cluster.fleet.liveAgents().length,
     cpuPart: after.map((a, i) => Number(((a.cpuS - before[i]!.cpuS) / forS).toFixed(4))),
     rssMb: after.map((a) => Math.round(a.rssMb)),
     sentBytes: sent.reduce((sum, x) => sum + x, 0),
--- a/packages/warm-standby/src/cluster.ts
+++ b/packages/warm-standby/src/cluster.ts
@@ -1,13 +1,13 @@
 /** Which controllers stand by for which slice, by what is committed now. */
 import type { NodeName } from '../../../src/core/model/ids.js';
-import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
+import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { FailureDomains } from './failure-domains.js';
 import { placeStandbys } from './placement.js';
 
 /** The controllers as this package sees them. */
 export class Cluster {
   constructor(
-    private readonly service: Service,
+    private readonly service: PluginServices,
     readonly domains: FailureDomains,
     readonly domainOf: ReadonlyMap<string, string>,
     private readonly degree: number,
--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -2,7 +2,7 @@
 import { Type } from '@sinclair/typebox';
 import { firstSchemaError } from '../../../src/config/platform-settings.js';
 import type { NodeName } from '../../../src/core/model/ids.js';
-import type { CommandReply, Service, ShardFact } from '../../../src/plugin-host/api.js';
+import type { CommandReply, PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import { TOPIC, decodePrepareAnswer, encodePrepare, readAnswer } from './messages.js';
 import type { Options } from './options.js';
@@ -30,7 +30,7 @@
   private isRunning = false;
 
   constructor(
-    private readonly service: Service,
+    private readonly service: PluginServices,
     private readonly cluster: Cluster,
     private readonly publisher: Publisher,
     private readonly options: Options,
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -2,7 +2,7 @@
  * Warm standby: for each slice another controller follows what its holder decides and learns, watches the holder, and takes
  * over within seconds once it has surely lost the slice. docs/warm-standby.md has the design.
  */
-import type { RunningPackage, Service, ServicePackage } from '../../../src/plugin-host/api.js';
+import type { RunningPlugin, PluginServices, PluginDefinition } from '../../../src/plugin-host/api.js';
 import { Cluster } from './cluster.js';
 import { DomainError, FailureDomains, domainsOfControllers } from './failure-domains.js';
 import { Handover } from './handover.js';
@@ -16,7 +16,7 @@
 import { PHASES, TakeoverHistory, type Takeover } from './takeover-history.js';
 
 /** Records the spans of a takeover and of its phases. */
-function trace({ tracer }: Service, takeover: Takeover): void {
+function trace({ tracer }: PluginServices, takeover: Takeover): void {
   const { at, traceParent, shard, from, cause } = takeover;
   const moments = Object.values(at).filter((t): t is number => t !== null);
   tracer.record({
@@ -40,7 +40,7 @@
   }
 }
 
-function start(service: Service, options: Options): RunningPackage {
+function start(service: PluginServices, options: Options): RunningPlugin {
   const domains = new FailureDomains(options.failure_domains);
   const domainOf = domainsOfControllers(domains, service.settings);
   const cluster = new Cluster(service, domains, domainOf, options.degree);
@@ -67,7 +67,7 @@
 }
 
 /** The package. */
-export const servicePackage: ServicePackage<Options> = {
+export const servicePackage: PluginDefinition<Options> = {
   schema: OptionsSchema,
   validate(options, settings) {
     try {
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -4,7 +4,7 @@
  */
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { MonotonicMs } from '../../../src/core/model/time.js';
-import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
+import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import { ByteBudget } from './byte-budget.js';
 import type { Cluster } from './cluster.js';
 import { DecisionLog } from './decision-log.js';
@@ -106,7 +106,7 @@
   private prunedAt = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly service: Service,
+    private readonly service: PluginServices,
     private readonly cluster: Cluster,
     private readonly options: Options['replication'],
   ) {
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -1,6 +1,6 @@
 /** The standby's side of the messages: follows the logs of slices, answers probes and the question before a handover. */
 import type { NodeName } from '../../../src/core/model/ids.js';
-import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
+import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import {
@@ -36,7 +36,7 @@
   bytesReceived = 0;
 
   constructor(
-    private readonly service: Service,
+    private readonly service: PluginServices,
     private readonly cluster: Cluster,
     private readonly monitor: HolderMonitor,
     private readonly options: Options,
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -1,5 +1,5 @@
 /** What `status` shows of the package. */
-import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
+import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import type { Publisher } from './publisher.js';
@@ -9,7 +9,7 @@
 
 /** The parts that it is read from. */
 export interface StatusSources {
-  readonly service: Service;
+  readonly service: PluginServices;
   readonly cluster: Cluster;
   readonly monitor: HolderMonitor;
   readonly publisher: Publisher;
--- a/packages/warm-standby/src/takeover-history.ts
+++ b/packages/warm-standby/src/takeover-history.ts
@@ -1,7 +1,7 @@
 /** What became of the last takeovers: their phases, for operators, metrics and traces. */
 import type { ServiceEvent } from '../../../src/core/events.js';
 import type { Incarnation, MachineName, NodeName, Version } from '../../../src/core/model/ids.js';
-import type { Service, TraceParent } from '../../../src/plugin-host/api.js';
+import type { PluginServices, TraceParent } from '../../../src/plugin-host/api.js';
 
 /** Why a slice came to this controller. */
 export type TakeoverCause =
@@ -79,7 +79,7 @@
   private readonly open = new Map<Takeover, Set<MachineName>>();
 
   constructor(
-    private readonly service: Service,
+    private readonly service: PluginServices,
     private readonly finished: (takeover: Takeover) => void,
   ) {
     service.onEvent((event) => {
--- a/packages/warm-standby/src/takeover.ts
+++ b/packages/warm-standby/src/takeover.ts
@@ -3,7 +3,7 @@
  * other controllers, and takes the slice. Suspicion starts a takeover and proves nothing; the state service decides.
  */
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
-import type { Service, ShardFact } from '../../../src/plugin-host/api.js';
+import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import { Backoff } from './backoff.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
@@ -60,7 +60,7 @@
   private readonly prepared = new Map<NodeName, { readonly traceParent: string; readonly until: number }>();
 
   constructor(
-    private readonly service: Service,
+    private readonly service: PluginServices,
     private readonly cluster: Cluster,
     private readonly monitor: HolderMonitor,
     private readonly receiver: Receiver,
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -7,83 +7,95 @@
 import type { ShardTransferOutcome } from '../../../src/plugin-host/api.js';
 import { Unavailable } from '../../../src/io/state/state-client.js';
 import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
-import { all, begun, leads, wait } from '../../../test/sim/fault-scenario.js';
-import type { Node } from '../../../test/sim/simulated-controller.js';
+import { allControllers, runUntilBusy, currentLeader, advance } from '../../../test/sim/fault-scenario.js';
+import type { SimulatedController } from '../../../test/sim/simulated-controller.js';
 import { answered } from '../../../test/sim/pipeline-helpers.js';
-import type { Sim } from '../../../test/sim/simulation.js';
+import type { Simulation } from '../../../test/sim/simulation.js';
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
 import { holderOf, shown, standby } from './standbys.js';
 
-const transferOf = ({ controller }: Node) => new ShardTransfer(controller!.context, controller!.membership);
-const factOf = ({ controller }: Node, slice: NodeName) =>
-  new ViewCommittedFacts(controller!.context).shard(slice)!;
+const transferOf = ({ controller }: SimulatedController) =>
+  new ShardTransfer(controller!.context, controller!.membership);
+const factOf = ({ controller }: SimulatedController, shard: NodeName) =>
+  new ViewCommittedFacts(controller!.context).shard(shard)!;
 
 /** The outcome of what a controller does, while the run goes on. */
-const outcomeOf = async (sim: Sim, work: () => Promise<ShardTransferOutcome>) =>
-  (await answered(sim, work())).kind;
+const outcomeOf = async (simulation: Simulation, work: () => Promise<ShardTransferOutcome>) =>
+  (await answered(simulation, work())).kind;
 
 async function threeNodes() {
-  const sim = await begun(3);
-  const [victim, taker] = all(sim).filter((n) => n !== leads(sim)) as [Node, Node];
-  return { sim, victim, taker, slice: nodeName(victim.name) };
+  const simulation = await runUntilBusy(3);
+  const [victim, taker] = allControllers(simulation).filter((n) => n !== currentLeader(simulation)) as [
+    SimulatedController,
+    SimulatedController,
+  ];
+  return { sim: simulation, victim, taker, slice: nodeName(victim.name) };
 }
 
 test('a takeover ends session and leadership of the holder with its slice, even where its lease cannot be ended', async () => {
-  const sim = await begun(3);
-  const victim = leads(sim);
-  const taker = all(sim).find((n) => n !== victim)!;
-  const slice = nodeName(victim.name);
-  const fact = factOf(taker, slice);
+  const simulation = await runUntilBusy(3);
+  const victim = currentLeader(simulation);
+  const taker = allControllers(simulation).find((n) => n !== victim)!;
+  const shard = nodeName(victim.name);
+  const fact = factOf(taker, shard);
   victim.clock.pause();
-  const before = [...sim.state.rows.keys()].filter((k) => k === key.session(victim.name) || k === key.leader);
+  const before = [...simulation.state.rows.keys()].filter(
+    (k) => k === key.session(victim.name) || k === key.leader,
+  );
   assert.equal(before.length, 2);
   taker.controller!.context.state.revokeLease = () => Promise.reject(new Unavailable('revoke'));
-  assert.equal(await outcomeOf(sim, () => transferOf(taker).takeOver(fact)), 'committed');
-  assert.equal(holderOf(sim, slice), taker.name);
-  assert.equal(sim.state.rows.has(key.session(victim.name)), false);
-  assert.notEqual((sim.state.rows.get(key.leader)?.value as { node: string } | undefined)?.node, victim.name);
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(fact)), 'committed');
+  assert.equal(holderOf(simulation, shard), taker.name);
+  assert.equal(simulation.state.rows.has(key.session(victim.name)), false);
+  assert.notEqual(
+    (simulation.state.rows.get(key.leader)?.value as { node: string } | undefined)?.node,
+    victim.name,
+  );
   victim.clock.resume();
-  await wait(sim, 8000);
+  await advance(simulation, 8000);
 });
 
 test('a slice that has changed hands since it was looked at is not taken', async () => {
-  const { sim, victim, taker, slice } = await threeNodes();
-  const fact = factOf(taker, slice);
-  const other = leads(sim);
-  assert.equal(await outcomeOf(sim, () => transferOf(other).takeOver(factOf(other, slice))), 'committed');
-  assert.equal(await outcomeOf(sim, () => transferOf(taker).takeOver(fact)), 'overtaken');
-  assert.notEqual(holderOf(sim, slice), taker.name);
+  const { sim: simulation, victim, taker, slice: shard } = await threeNodes();
+  const fact = factOf(taker, shard);
+  const other = currentLeader(simulation);
+  assert.equal(
+    await outcomeOf(simulation, () => transferOf(other).takeOver(factOf(other, shard))),
+    'committed',
+  );
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(fact)), 'overtaken');
+  assert.notEqual(holderOf(simulation, shard), taker.name);
   assert.ok(victim.controller !== null);
 });
 
 test('a holder that is back in a new life meanwhile keeps its slice', async () => {
-  const { sim, victim, taker, slice } = await threeNodes();
-  const fact = factOf(taker, slice);
+  const { sim: simulation, victim, taker, slice: shard } = await threeNodes();
+  const fact = factOf(taker, shard);
   // The new life has written its session, and the taker's view does not know that yet.
   taker.watchLagMs = 3000;
   victim.crash();
   victim.start();
-  for (let i = 0; i < 100 && holderOf(sim, slice) === victim.name; i++) {
-    const session = sim.state.rows.get(key.session(victim.name))?.value as
+  for (let i = 0; i < 100 && holderOf(simulation, shard) === victim.name; i++) {
+    const session = simulation.state.rows.get(key.session(victim.name))?.value as
       { incarnation?: string } | undefined;
     if (session?.incarnation !== undefined && session.incarnation !== fact.incarnation) break;
-    await wait(sim, 10);
+    await advance(simulation, 10);
   }
-  const sliceRow = sim.state.rows.get(key.shard(slice))!;
+  const sliceRow = simulation.state.rows.get(key.shard(shard))!;
   // As if the new life had not come to its slice yet: then only its session stands against the takeover.
   const asSeen = { ...fact, epoch: version(sliceRow.rev) };
-  assert.equal(await outcomeOf(sim, () => transferOf(taker).takeOver(asSeen)), 'overtaken');
-  assert.equal(holderOf(sim, slice), victim.name);
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(asSeen)), 'overtaken');
+  assert.equal(holderOf(simulation, shard), victim.name);
   taker.watchLagMs = 0;
 });
 
 test('a controller without a session takes nothing', async () => {
-  const { sim, taker, slice } = await threeNodes();
-  const fact = factOf(taker, slice);
-  taker.cut.add('state');
-  await wait(sim, 4000);
-  assert.equal(await outcomeOf(sim, () => transferOf(taker).takeOver(fact)), 'unavailable');
-  assert.notEqual(holderOf(sim, slice), taker.name);
+  const { sim: simulation, taker, slice: shard } = await threeNodes();
+  const fact = factOf(taker, shard);
+  taker.unreachable.add('state');
+  await advance(simulation, 4000);
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(fact)), 'unavailable');
+  assert.notEqual(holderOf(simulation, shard), taker.name);
 });
 
 test('a standby takes no messages from a stranger, nor from a former holder of the slice', async () => {
@@ -91,10 +103,12 @@
     { name: 'one', networks: ['10.0.0.0/32', '10.0.0.2/32'] },
     { name: 'two', networks: ['10.0.0.1/32'] },
   ];
-  const sim = await begun(3, undefined, standby({ failure_domains: domains }));
+  const simulation = await runUntilBusy(3, undefined, standby({ failure_domains: domains }));
   // One that does not follow the slice: it has no replica whose epoch would tell.
-  const shard = nodeName(leads(sim).name);
-  const receiver = all(sim).find((n) => shown(n).slices.some((s) => s.slice === shard && s.role === 'none'))!;
+  const shard = nodeName(currentLeader(simulation).name);
+  const receiver = allControllers(simulation).find((n) =>
+    shown(n).slices.some((s) => s.slice === shard && s.role === 'none'),
+  )!;
   const { epoch } = factOf(receiver, shard);
   const send = async (from: string, of: typeof epoch) => {
     const payload = encodeAppend({ node: shard, shard, epoch: of, first: 1, entries: [], head: 0 });
--- a/packages/warm-standby/test/loopback.test.ts
+++ b/packages/warm-standby/test/loopback.test.ts
@@ -4,7 +4,8 @@
 import { existsSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { test } from 'node:test';
-import { Cluster, NODES } from './loopback/cluster.js';
+import { NODES } from './loopback/cluster-settings.js';
+import { Cluster } from './loopback/cluster.js';
 import { Users } from './loopback/users.js';
 import type { Shown } from './standbys.js';
 
--- a/packages/warm-standby/test/loopback/cluster.ts
+++ b/packages/warm-standby/test/loopback/cluster.ts
@@ -1,31 +1,19 @@
-/**
- * Real controllers of the built program on loopback, among the stand-ins of the seeded runs driven in real time: state service,
- * cloud and workers. Controllers are killed, paused and cut off; what workers and users see is checked as in the seeded runs.
- */
-import { spawn, type ChildProcess } from 'node:child_process';
+/** A cluster of real controller processes on loopback, among stand-ins for the state service, the cloud and the agents. */
+import { key } from '../../../../src/core/records/keys.js';
+import { type HttpResponse, HttpClient, type Method } from '../../../../src/io/http-client.js';
+import { type SimulatedAgent, SimulatedCluster } from '../../../../test/sim/agents-and-cloud.js';
+import { StateService } from '../../../../test/sim/state-service.js';
+import { VirtualTime } from '../../../../test/sim/virtual-time.js';
+import { BUDGET, NODES, LIMITS, TEAMS, ZONES, platformFile } from './cluster-settings.js';
+import { type ChildProcess, spawn } from 'node:child_process';
 import { randomInt } from 'node:crypto';
-import { mkdtempSync, openSync, writeFileSync } from 'node:fs';
+import { openSync, mkdtempSync, writeFileSync } from 'node:fs';
 import http from 'node:http';
-import net, { type AddressInfo } from 'node:net';
+import net, { AddressInfo } from 'node:net';
 import os from 'node:os';
 import path from 'node:path';
-import { HttpClient, type Method, type Reply } from '../../../../src/io/http-client.js';
-import { key } from '../../../../src/core/records/keys.js';
-import { Fleet, type Worker } from '../../../../test/sim/agents-and-cloud.js';
-import { StateService } from '../../../../test/sim/state-service.js';
-import { World } from '../../../../test/sim/virtual-time.js';
 
 type Json = Record<string, unknown>;
-
-export const NODES = ['c-0', 'c-1', 'c-2'];
-const ZONES = ['a', 'b'];
-const TEAMS = new Map([
-  ['red', 64],
-  ['blue', 64],
-  ['green', 64],
-]);
-const LIMITS = { leaseS: 14, reportS: 2, gangWaitS: 40, gangPeerS: 5, cancelS: 40 };
-const BUDGET = { rps: 600, writeRps: 400, txnOps: 16 };
 /** The stand-ins look at the time so often. */
 const TICK_MS = 4;
 /** Longer than any client waits. */
@@ -65,7 +53,7 @@
 
 /** Answers JSON requests by `handle`; null: no answer at all. */
 function jsonServer(
-  handle: (method: string, url: string, body: unknown, reply: (r: Reply) => void) => void,
+  handle: (method: string, url: string, body: unknown, reply: (r: HttpResponse) => void) => void,
 ): http.Server {
   return http.createServer((req, res) => {
     const chunks: Buffer[] = [];
@@ -164,7 +152,7 @@
     this.child?.kill('SIGCONT');
   }
 
-  async ask(method: Method, url: string, body?: unknown, timeoutMs = 5000): Promise<Reply | null> {
+  async ask(method: Method, url: string, body?: unknown, timeoutMs = 5000): Promise<HttpResponse | null> {
     try {
       return await this.client.request(method, url, body, timeoutMs);
     } catch {
@@ -175,15 +163,15 @@
 
 /** What the stand-ins see of the workers, for measurements. */
 export interface WorkerWatch {
-  readonly answered: (worker: Worker, node: string, token: number) => void;
-  readonly started: (worker: Worker) => void;
+  readonly answered: (agent: SimulatedAgent, node: string, token: number) => void;
+  readonly started: (agent: SimulatedAgent) => void;
 }
 
 /** The controllers and all that is round them. */
 export class Cluster {
-  readonly world = new World(1);
+  readonly world = new VirtualTime(1);
   readonly state: StateService;
-  readonly fleet: Fleet;
+  readonly fleet: SimulatedCluster;
   readonly controllers = new Map<string, ControllerProcess>();
   readonly directory = mkdtempSync(path.join(os.tmpdir(), 'pepperbank-loopback-'));
   /** A broken rule, or a stand-in that failed. */
@@ -197,9 +185,16 @@
   constructor(perZone: number) {
     this.state = new StateService(this.world, BUDGET);
     this.state.pageRows = 500;
-    this.fleet = new Fleet(this.world, NODES, LIMITS, TEAMS, perZone, (worker, node, body, done) => {
-      void this.report(worker, node, body, done);
-    });
+    this.fleet = new SimulatedCluster(
+      this.world,
+      NODES,
+      LIMITS,
+      TEAMS,
+      perZone,
+      (agent, node, body, done) => {
+        void this.report(agent, node, body, done);
+      },
+    );
     this.fleet.endpointOf = (name) => this.workerAddresses[Number(name.slice(2)) % WORKER_PORTS]!;
     this.world.check = () => {
       this.fleet.checkCancelled();
@@ -248,8 +243,8 @@
   }
 
   /** Holder of a slice as the state service has it, and its revision. */
-  holderOf(slice: string): { holder: string; epoch: number } | null {
-    const row = this.state.rows.get(key.shard(slice));
+  holderOf(shard: string): { holder: string; epoch: number } | null {
+    const row = this.state.rows.get(key.shard(shard));
     return row === undefined ? null : { holder: (row.value as { holder: string }).holder, epoch: row.rev };
   }
 
@@ -281,10 +276,10 @@
   private async startWorkers(): Promise<void> {
     for (let i = 0; i < WORKER_PORTS; i++) {
       const server = jsonServer((_method, _url, body, reply) => {
-        const worker = this.fleet.live().find((w) => Number(w.name.slice(2)) % WORKER_PORTS === i);
-        worker?.direct(body as Json, (report) => {
-          const isCurrent = report['mandate'] === (body as Json)['mandate'];
-          reply({ status: isCurrent ? 200 : 409, body: report });
+        const agent = this.fleet.liveAgents().find((w) => Number(w.name.slice(2)) % WORKER_PORTS === i);
+        agent?.direct(body as Json, (heartbeat) => {
+          const isCurrent = heartbeat['mandate'] === (body as Json)['mandate'];
+          reply({ status: isCurrent ? 200 : 409, body: heartbeat });
         });
       });
       this.servers.push(server);
@@ -292,22 +287,27 @@
     }
   }
 
-  private async report(worker: Worker, node: string, body: Json, done: (r: Reply) => void): Promise<void> {
+  private async report(
+    agent: SimulatedAgent,
+    node: string,
+    body: Json,
+    done: (r: HttpResponse) => void,
+  ): Promise<void> {
     const controller = this.controllers.get(node)!;
     const isCut = () => controller.isCut;
     if (isCut()) return;
     const reply = await controller.ask('POST', '/v1/report', body, 4500);
     if (!this.isRunning || isCut()) return;
-    const known = worker.tasks.size;
+    const known = agent.tasks.size;
     done(reply ?? { status: 500, body: null });
     if (reply?.status !== 200 || this.watch === null) return;
-    this.watch.answered(worker, node, Number((reply.body as Json)['mandate']));
-    if (worker.tasks.size > known) this.watch.started(worker);
+    this.watch.answered(agent, node, Number((reply.body as Json)['mandate']));
+    if (agent.tasks.size > known) this.watch.started(agent);
   }
 
   private stateServer(controller: () => ControllerProcess): http.Server {
     return jsonServer((method, url, body, reply) => {
-      const answer = (r: Reply) => {
+      const answer = (r: HttpResponse) => {
         if (!controller().isCut) reply(r);
       };
       if (controller().isCut) return;
@@ -355,36 +355,3 @@
     );
   }
 }
-
-function platformFile(c: {
-  name: string;
-  zone: string;
-  bind: string;
-  internal: string;
-  others: readonly string[];
-  cloud: string;
-  state: string;
-}): string {
-  const teams = [...TEAMS].map(
-    ([name, gpus]) =>
-      `[[cluster.teams]]\nname = "${name}"\ncpus = 0\ncpus_max = 0\ngpus = 16\ngpus_max = ${gpus}`,
-  );
-  return `node = "${c.name}"
-area = "${c.zone}"
-bind = "${c.bind}"
-internal_addr = "${c.internal}"
-${c.others.join('\n')}
-[outside]
-cloud = "${c.cloud}"
-state = "${c.state}"
-[cluster]
-count = ${NODES.length}
-zones = ["a", "b"]
-time_bound_ms = 100.0
-workers = { report_s = ${LIMITS.reportS}, lease_s = ${LIMITS.leaseS}, gang_wait_s = ${LIMITS.gangWaitS}, gang_peer_s = ${LIMITS.gangPeerS}, cancel_s = ${LIMITS.cancelS} }
-state = { rps = ${BUDGET.rps}, write_rps = ${BUDGET.writeRps}, value_kb = 8, txn_ops = ${BUDGET.txnOps} }
-cloud = { rps = 5, list_lag_s = 4 }
-quota = { cpu = 1, ram_mb = 200, max_connections = 500 }
-${teams.join('\n')}
-`;
-}
--- a/packages/warm-standby/test/loopback/users.ts
+++ b/packages/warm-standby/test/loopback/users.ts
@@ -1,8 +1,9 @@
 /** Users of a loopback cluster: they submit, ask and submit again, and the history of their answers is checked. */
 import assert from 'node:assert/strict';
-import { newJob, type Submitted } from '../../../../test/sim/submitted-job.js';
+import { newJob, type SubmittedJob } from '../../../../test/sim/submitted-job.js';
 import { submission } from '../../../../test/samples.js';
-import { NODES, type Cluster } from './cluster.js';
+import { NODES } from './cluster-settings.js';
+import type { Cluster } from './cluster.js';
 
 const RETRY_MS = 300;
 const POLL_MS = 700;
@@ -37,7 +38,7 @@
   /** Jobs that were accepted and are not known to be over. */
   open(): string[] {
     return [...this.cluster.fleet.submitted]
-      .filter(([, j]) => j.accepted && j.toldFinal === null)
+      .filter(([, j]) => j.accepted && j.observedFinalState === null)
       .map(([id]) => id);
   }
 
@@ -74,8 +75,8 @@
     await this.follow(id, job);
   }
 
-  private async follow(id: string, job: Submitted): Promise<void> {
-    while (job.toldFinal === null) {
+  private async follow(id: string, job: SubmittedJob): Promise<void> {
+    while (job.observedFinalState === null) {
       await sleep(POLL_MS);
       const reply = await this.anyController().ask('GET', `/v1/jobs/${id}`, undefined, 2000);
       assert.notEqual(reply?.status, 404, `forgotten: ${id}`);
@@ -91,14 +92,14 @@
     if (reply?.status === 200) this.told(id, job, (reply.body as { standing: string }).standing);
   }
 
-  private told(id: string, job: Submitted, standing: string): void {
-    if (job.toldFinal !== null) assert.equal(standing, job.toldFinal, `went_back: ${id}`);
+  private told(id: string, job: SubmittedJob, standing: string): void {
+    if (job.observedFinalState !== null) assert.equal(standing, job.observedFinalState, `went_back: ${id}`);
     if (standing !== 'done') {
       assert.notEqual(standing, 'withdrawn', `${id} was cancelled by nobody`);
       return;
     }
     assert.equal(job.doneTasks.size, job.tasks, `not_done: ${id}`);
-    job.toldFinal = 'done';
+    job.observedFinalState = 'done';
   }
 
   private anyController() {
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -232,11 +232,11 @@
 
 test('4,000 machines: what is sent of them fits the budget, and a snapshot its messages', () => {
   const machines = 4000;
-  const slices = 3;
+  const shards = 3;
   const { bytes_per_s: budget } = OptionsSchema.properties.replication.properties;
   const mostBytes = Number(budget.default);
   const log = new DecisionLog(shard, EPOCH, 4000);
-  const report = (i: number, at: number) => {
+  const heartbeat = (i: number, at: number) => {
     log.append({
       kind: 'agent',
       machine: machineName(`n-${String(i).padStart(6, '0')}`),
@@ -248,7 +248,7 @@
     });
   };
   // Each reports every 2 s for a minute.
-  for (let at = 0; at < 60_000; at += 2000) for (let i = 0; i < machines / slices; i++) report(i, at);
+  for (let at = 0; at < 60_000; at += 2000) for (let i = 0; i < machines / shards; i++) heartbeat(i, at);
   const all = log.state.entries();
   const bytesEach = all.reduce((n, e) => n + entrySize(e), 0) / all.length;
   const perSecond = (log.head * bytesEach) / 60;
--- a/packages/warm-standby/test/standby-decisions.test.ts
+++ b/packages/warm-standby/test/standby-decisions.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { readPlatformSettings } from '../../../src/config/platform-settings.js';
 import { nodeName, type NodeName } from '../../../src/core/model/ids.js';
-import { configure } from '../../../src/plugin-host/plugin-loader.js';
+import { configurePlugin } from '../../../src/plugin-host/plugin-loader.js';
 import { platformSettings } from '../../../test/samples.js';
 import { Backoff } from '../src/backoff.js';
 import { ByteBudget } from '../src/byte-budget.js';
@@ -60,7 +60,7 @@
 test('options that cannot be used end the start with the path and the reason', () => {
   const settings = readPlatformSettings(platformSettings);
   const reject = (options: object, message: RegExp) => {
-    assert.throws(() => configure('warm_standby', servicePackage, options, settings), message);
+    assert.throws(() => configurePlugin('warm_standby', servicePackage, options, settings), message);
   };
   reject({ degree: 3 }, /packages\.warm_standby\.degree: 3, and there are 2/);
   reject({ degree: -1 }, /packages\.warm_standby\.degree/);
@@ -70,20 +70,20 @@
     { failure_domains: [{ name: 'a', networks: ['10.7.0.0/16'] }] },
     /packages\.warm_standby\.failure_domains: 10\.0\.0\.1 of c-0 is in none/,
   );
-  configure('warm_standby', servicePackage, {}, settings);
+  configurePlugin('warm_standby', servicePackage, {}, settings);
 });
 
 const nodes = [...Array(9).keys()].map((i) => nodeName(`c-${i}`));
 const threeDomains = new Map(nodes.map((n, i) => [n as string, `d-${i % 3}`]));
-const place = (slice: NodeName, holder: NodeName, candidates: readonly NodeName[], degree = 2) =>
-  placeStandbys({ slice, holder, candidates, domainOf: threeDomains, degree });
+const place = (shard: NodeName, holder: NodeName, candidates: readonly NodeName[], degree = 2) =>
+  placeStandbys({ slice: shard, holder, candidates, domainOf: threeDomains, degree });
 
 test('standbys are in other domains than their holder, apart from one another, and the same for all who ask', () => {
-  for (const slice of nodes) {
-    const standbys = place(slice, slice, nodes);
+  for (const shard of nodes) {
+    const standbys = place(shard, shard, nodes);
     assert.equal(standbys.length, 2);
-    assert.equal(new Set([slice, ...standbys].map((n) => threeDomains.get(n))).size, 3);
-    assert.deepEqual(place(slice, slice, [...nodes].reverse()), standbys);
+    assert.equal(new Set([shard, ...standbys].map((n) => threeDomains.get(n))).size, 3);
+    assert.deepEqual(place(shard, shard, [...nodes].reverse()), standbys);
   }
   assert.deepEqual(place(nodes[0]!, nodes[0]!, [nodes[0]!, nodes[3]!]), [], 'none in the own domain');
 });
@@ -91,11 +91,11 @@
 test('a controller that comes or goes moves only the standbys that it gains or had', () => {
   fc.assert(
     fc.property(fc.subarray(nodes, { minLength: 2 }), fc.constantFrom(...nodes), (candidates, gone) => {
-      for (const slice of nodes) {
-        const before = place(slice, slice, candidates, 1);
+      for (const shard of nodes) {
+        const before = place(shard, shard, candidates, 1);
         const after = place(
-          slice,
-          slice,
+          shard,
+          shard,
           candidates.filter((n) => n !== gone),
           1,
         );
--- a/packages/warm-standby/test/standbys.ts
+++ b/packages/warm-standby/test/standbys.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import type { PlatformSettings } from '../../../src/config/platform-settings.js';
 import { key } from '../../../src/core/records/keys.js';
-import type { LoadedPackage } from '../../../src/plugin-host/api.js';
-import { configure } from '../../../src/plugin-host/plugin-loader.js';
-import type { Node } from '../../../test/sim/simulated-controller.js';
-import type { Sim } from '../../../test/sim/simulation.js';
+import type { LoadedPlugin } from '../../../src/plugin-host/api.js';
+import { configurePlugin } from '../../../src/plugin-host/plugin-loader.js';
+import type { SimulatedController } from '../../../test/sim/simulated-controller.js';
+import type { Simulation } from '../../../test/sim/simulation.js';
 import { servicePackage } from '../src/index.js';
 
 /** A session lives for 2 s in these runs, so that detection has to be faster than that. */
@@ -19,8 +19,8 @@
 /** The package for each controller of a run, with other options on top. */
 export const standby =
   (over: object = {}) =>
-  (settings: PlatformSettings): LoadedPackage[] => [
-    configure('warm_standby', servicePackage, { ...OPTIONS, ...over }, settings),
+  (settings: PlatformSettings): LoadedPlugin[] => [
+    configurePlugin('warm_standby', servicePackage, { ...OPTIONS, ...over }, settings),
   ];
 
 /** What a controller shows of the package. */
@@ -56,7 +56,7 @@
   readonly rejectedMessages: Readonly<Record<string, number>>;
 }
 
-export function shown(node: Node): Shown {
+export function shown(node: SimulatedController): Shown {
   const { packages } = node.controller!;
   const part = packages!.status()['warm_standby'] as Shown & { failed?: string };
   assert.equal(part.failed, undefined);
@@ -64,21 +64,24 @@
 }
 
 /** The controller that holds a slice now, as the state service has it. */
-export const holderOf = (sim: Sim, slice: string) =>
-  (sim.state.rows.get(key.shard(slice))?.value as { holder: string } | undefined)?.holder;
+export const holderOf = (simulation: Simulation, shard: string) =>
+  (simulation.state.rows.get(key.shard(shard))?.value as { holder: string } | undefined)?.holder;
 
 /** The slice's first standby, as its holder sees it. */
-export function standbyOf(sim: Sim, slice: string): Node {
-  const holder = sim.nodes.get(holderOf(sim, slice)!)!;
-  const name = shown(holder).slices.find((s) => s.slice === slice)?.standbys[0];
-  assert.ok(name !== undefined, `${slice} has a standby`);
-  return sim.nodes.get(name)!;
+export function standbyOf(simulation: Simulation, shard: string): SimulatedController {
+  const holder = simulation.controllers.get(holderOf(simulation, shard)!)!;
+  const name = shown(holder).slices.find((s) => s.slice === shard)?.standbys[0];
+  assert.ok(name !== undefined, `${shard} has a standby`);
+  return simulation.controllers.get(name)!;
 }
 
 /** All takeovers that the controllers know of. */
-export const takeovers = (sim: Sim) =>
-  [...sim.nodes.values()].flatMap((n) => (n.controller === null ? [] : shown(n).takeovers));
+export const takeovers = (simulation: Simulation) =>
+  [...simulation.controllers.values()].flatMap((n) => (n.controller === null ? [] : shown(n).takeovers));
 
 /** Counts over all controllers. */
-export const total = (sim: Sim, count: keyof Shown['counts']) =>
-  [...sim.nodes.values()].reduce((sum, n) => sum + (n.controller === null ? 0 : shown(n).counts[count]), 0);
+export const total = (simulation: Simulation, count: keyof Shown['counts']) =>
+  [...simulation.controllers.values()].reduce(
+    (sum, n) => sum + (n.controller === null ? 0 : shown(n).counts[count]),
+    0,
+  );
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -5,8 +5,8 @@
 import { paths } from '../io/paths.js';
 import { readOperatorSettingsFiles, type OperatorSettings } from '../config/operator-settings.js';
 import { SettingsError, readPlatformSettings, type PlatformSettings } from '../config/platform-settings.js';
-import type { LoadedPackage } from '../plugin-host/api.js';
-import { loadPackages } from '../plugin-host/plugin-loader.js';
+import type { LoadedPlugin } from '../plugin-host/api.js';
+import { loadPlugins } from '../plugin-host/plugin-loader.js';
 
 const VERSION = '0.1.0';
 /** Exit codes: 0 done, 1 the service said no or could not be reached, 2 wrong usage or settings. */
@@ -27,7 +27,7 @@
 interface Loaded {
   readonly settings: PlatformSettings;
   readonly operator: OperatorSettings;
-  readonly packages: readonly LoadedPackage[];
+  readonly packages: readonly LoadedPlugin[];
 }
 
 function readText(path: string): string {
@@ -50,7 +50,7 @@
   return inFile(paths.join(', '), () => ({
     settings,
     operator,
-    packages: loadPackages(operator.packages, settings),
+    packages: loadPlugins(operator.packages, settings),
   }));
 }
 
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -7,8 +7,8 @@
 import { CloudClient } from '../io/cloud/cloud-client.js';
 import type { Transport } from '../io/http-client.js';
 import type { Peer } from '../io/peers/peer-link.js';
-import type { LoadedPackage, Service } from '../plugin-host/api.js';
-import { PackageHost, TracerSwitch } from '../plugin-host/plugin-host.js';
+import type { LoadedPlugin, PluginServices } from '../plugin-host/api.js';
+import { PluginHost, ForwardingTracer } from '../plugin-host/plugin-host.js';
 import { TopicChannel } from '../plugin-host/topic-channel.js';
 import { JobService } from './api/job-service.js';
 import { ViewCommittedFacts } from './committed-facts.js';
@@ -46,7 +46,7 @@
   readonly operator: OperatorSettings;
   readonly log: Logger;
   readonly dependencies: ControllerDependencies;
-  readonly packages?: readonly LoadedPackage[];
+  readonly packages?: readonly LoadedPlugin[];
 }
 
 /** The modules of one controller. */
@@ -61,7 +61,7 @@
   /** Questions and answers between the packages of controllers. */
   readonly channel: TopicChannel;
   /** Null where no package is enabled. */
-  readonly packages: PackageHost | null;
+  readonly packages: PluginHost | null;
   private readonly health: HealthTracker;
 
   constructor({ settings, operator, log, dependencies, packages = [] }: ControllerOptions) {
@@ -108,11 +108,11 @@
     ]);
   }
 
-  private createPackageHost(packages: readonly LoadedPackage[], random: () => number): PackageHost {
+  private createPackageHost(packages: readonly LoadedPlugin[], random: () => number): PluginHost {
     const { context, health } = this;
     const { settings, clock, incarnation, log } = context;
-    const tracer = new TracerSwitch();
-    const serviceFor = (packageLog: Logger): Service => ({
+    const tracer = new ForwardingTracer();
+    const serviceFor = (packageLog: Logger): PluginServices => ({
       node: settings.node,
       incarnation,
       settings,
@@ -134,7 +134,7 @@
         tracer.provide(target);
       },
     });
-    return new PackageHost(packages, serviceFor, log);
+    return new PluginHost(packages, serviceFor, log);
   }
 
   private async logUsage(): Promise<never> {
--- a/src/controller/leader/scaling-planner.ts
+++ b/src/controller/leader/scaling-planner.ts
@@ -49,7 +49,7 @@
       jobs: context.dependencies.current().startable.filter((j) => this.deservesRoom(j)),
       machines,
       rentals: view.rentals.values(),
-      ledger: context.allocations.current(),
+      totals: context.allocations.current(),
       types: view.types ?? [],
       shardByTeam: new Map([...view.teams].map(([team, r]) => [team, r.owner])),
       order: context.policy.jobOrder(),
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -8,9 +8,9 @@
 import { AgentClient } from '../io/agents/agent-client.js';
 import { HttpClient } from '../io/http-client.js';
 import { PeerLink, PeerServer, type Peer } from '../io/peers/peer-link.js';
-import { realClock } from '../io/system-clock.js';
+import { systemClock } from '../io/system-clock.js';
 import { buildServer } from '../io/users/http-server.js';
-import type { LoadedPackage } from '../plugin-host/api.js';
+import type { LoadedPlugin } from '../plugin-host/api.js';
 import { status } from './api/status.js';
 import { Controller, type ControllerDependencies } from './controller.js';
 
@@ -39,7 +39,7 @@
   const maxConnections = settings.limits.max_connections;
   const agentConnections = Math.floor(maxConnections / AGENT_CONNECTIONS_DIVISOR);
   return {
-    clock: realClock,
+    clock: systemClock,
     identity: randomBytes(6).toString('hex'),
     random: Math.random,
     state: new HttpClient(settings.state, STATE_CONNECTIONS),
@@ -91,7 +91,7 @@
   settings: PlatformSettings,
   operator: OperatorSettings,
   log: Logger,
-  packages: readonly LoadedPackage[] = [],
+  packages: readonly LoadedPlugin[] = [],
 ): Promise<void> {
   const dependencies = connect(settings, packages.length > 0);
   const controller = new Controller({ settings, operator, log, dependencies, packages });
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -170,6 +170,6 @@
   }
 
   private desiredState(): DesiredState {
-    return { jobs: this.context.view.jobs, ledger: this.context.allocations.current() };
+    return { jobs: this.context.view.jobs, totals: this.context.allocations.current() };
   }
 }
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -103,7 +103,7 @@
     const { placements, waitReasons } = placeTasks({
       jobs: mine.filter((j) => !this.health.isBackingOff(j)),
       machines: this.availableMachines(),
-      ledger: totals,
+      totals,
       // A number for each start; the revision at which the team's slice got its holder is put before it below,
       // so that no attempt is ever used twice.
       newAttempt: () => attempt(++this.counter),
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -113,7 +113,7 @@
       job: spec,
       jobs: context.view.jobs,
       machines: shard,
-      ledger: context.allocations.current(),
+      totals: context.allocations.current(),
       teams: context.teams,
       isClaimed,
     };
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -116,7 +116,7 @@
   /** Results, proofs of absence, cancellations and machines that came up; what can wait for starts stands apart. */
   private reconcile(work: readonly MachineName[]): { now: ChangeSet[]; later: ChangeSet[] } {
     const { context } = this;
-    const wanted = { jobs: context.view.jobs, ledger: context.allocations.current() };
+    const wanted = { jobs: context.view.jobs, totals: context.allocations.current() };
     const found: UncommittedResults = new Map();
     this.machines.beginPass();
     const urgent: ChangeSet[] = [];
--- a/src/core/agents/agent-session.ts
+++ b/src/core/agents/agent-session.ts
@@ -100,7 +100,7 @@
 /** What should be on machines, by the records. */
 export interface DesiredState {
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
-  readonly ledger: AllocationTotals;
+  readonly totals: AllocationTotals;
 }
 
 /** Why a task should not be on its machine. */
@@ -112,7 +112,7 @@
   if (job === undefined) return 'over';
   if (job.phase === 'cancelling') return 'cancelled';
   if (isDone(job.done, index)) return 'task_done';
-  const placement = w.ledger.jobs.get(p.job);
+  const placement = w.totals.jobs.get(p.job);
   if (p.kind === 'gang') {
     // One attempt of a gang is on its machines as a whole or must go: what is left of it would only wait.
     if ((placement?.tasksPerAttempt.get(p.attempt) ?? 0) < job.spec.tasks) return 'gang_broken';
@@ -218,7 +218,7 @@
   // A record may say too much: entries of tasks that are done stay in it for a while, and their room is used again.
   // So only as much is started as there is room for beside what is known to be there.
   const alive = (k: string) => listed.get(k)?.state !== 'exited' && listed.has(k);
-  let room = w.ledger.freeByMachine.get(record.name) ?? NO_RESOURCES;
+  let room = w.totals.freeByMachine.get(record.name) ?? NO_RESOURCES;
   for (const [k, { placed }] of known) if (!alive(k)) room = addResources(room, placed.demand);
   for (const [k, { placed, index: i }] of known) {
     if (listed.has(k) || session.exitedTasks.has(k) || stopReasonFor(placed, i, w) !== null) continue;
--- a/src/core/placement/placement.ts
+++ b/src/core/placement/placement.ts
@@ -36,7 +36,7 @@
   readonly jobs: Iterable<JobRecord>;
   /** Machines that new work may be put on; the ledger covers every machine. */
   readonly machines: readonly MachineRecord[];
-  readonly ledger: AllocationTotals;
+  readonly totals: AllocationTotals;
   readonly newAttempt: () => Attempt;
   /** How long the machine would need for the image, as a rank: 0 where it has it. Only a tie-break beside H. */
   readonly fetchRank: (machine: MachineRecord, image: string) => number;
@@ -114,7 +114,7 @@
 
 /** Most machines are full most of the time: only those are looked at that can take the least of the demands. */
 function openRooms(
-  { machines: shard, ledger: totals, recordBytesLeft }: PlacementInput,
+  { machines: shard, totals, recordBytesLeft }: PlacementInput,
   least: ResourceVector | null,
 ): CandidateMachine[] {
   if (least === null) return [];
@@ -131,7 +131,7 @@
 
 /** Places waiting tasks; the ledger is left as it was. */
 export function placeTasks(input: PlacementInput): PlacementResult {
-  const { ledger: totals } = input;
+  const { totals } = input;
   const placements: Placement[] = [];
   const waitReasons = new Map<JobId, WaitReason>();
 
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -47,7 +47,7 @@
   readonly job: JobSpec;
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
   readonly machines: readonly MachineRecord[];
-  readonly ledger: AllocationTotals;
+  readonly totals: AllocationTotals;
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly isClaimed: (m: MachineRecord) => boolean;
 }
@@ -56,7 +56,7 @@
 export function selectVictims(
   input: PreemptionInput,
 ): { machine: MachineRecord; victims: Allocation[] } | null {
-  const { job, jobs, ledger: totals, teams } = input;
+  const { job, jobs, totals, teams } = input;
   const entitled = isWithinGuarantee(teams.get(job.team), totals, job, 1);
   const zones = totals.jobs.get(job.id)?.tasksPerZone;
   const may = (p: Allocation): boolean => {
@@ -101,7 +101,7 @@
 }
 
 /** Tasks that the machine can take of a gang, now or once its low-priority work is gone, and what that loses. */
-function gangPlaceOn(machine: MachineRecord, { job, jobs, ledger: totals }: PreemptionInput) {
+function gangPlaceOn(machine: MachineRecord, { job, jobs, totals }: PreemptionInput) {
   const free = totals.freeByMachine.get(machine.name)!;
   const victims = machine.placed.filter((p) => p.priority === 'low' && p.kind === 'array' && p.stop !== true);
   const now = tasksThatFit(job.demand, free);
--- a/src/core/scaling/scaling-plan.ts
+++ b/src/core/scaling/scaling-plan.ts
@@ -48,7 +48,7 @@
 
 /** Machines that are there or being rented, with the room that they have now. */
 function packingBins(input: ScalingInput): PackingBin[] {
-  const { ledger: totals } = input;
+  const { totals } = input;
   const bins: PackingBin[] = [];
   const typeOf = new Map(input.types.map((t) => [t.name, t]));
   for (const m of input.machines) {
@@ -83,7 +83,7 @@
 
 /** Plans moves, rentals and returns; pure, and made anew from the present state each time. */
 export function planScaling(input: ScalingInput): ScalingPlan {
-  const { ledger: totals } = input;
+  const { totals } = input;
   const waiting = [...input.jobs]
     .filter((j) => j.phase === 'active' && input.shardByTeam.has(j.spec.team))
     .sort(compareJobs({ ...input.order, hasTasks: (id) => totals.jobs.has(id) }));
--- a/src/core/scaling/scaling-types.ts
+++ b/src/core/scaling/scaling-types.ts
@@ -19,7 +19,7 @@
   readonly jobs: Iterable<JobRecord>;
   readonly machines: readonly MachineRecord[];
   readonly rentals: Iterable<RentalRecord>;
-  readonly ledger: AllocationTotals;
+  readonly totals: AllocationTotals;
   readonly types: readonly MachineType[];
   readonly shardByTeam: ReadonlyMap<TeamName, NodeName>;
   readonly order: Omit<JobOrderContext, 'hasTasks'>;
--- a/src/core/scaling/shard-rebalancing.ts
+++ b/src/core/scaling/shard-rebalancing.ts
@@ -18,7 +18,7 @@
   bins: readonly PackingBin[],
   rest: readonly PendingDemand[],
 ): { bin: PackingBin; to: NodeName }[] {
-  const { ledger: totals, shardByTeam } = input;
+  const { totals, shardByTeam } = input;
   const size = (a: ResourceVector) => dominantShare(a, totals.fleetCapacity);
   const has = new Map<NodeName, number>();
   let all = 0;
--- a/src/io/cloud/cloud-client.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -2,7 +2,7 @@
 import type { MachineName } from '../../core/model/ids.js';
 import type { MachineType, RentalRecord } from '../../core/model/machines.js';
 import type { Clock } from '../../core/model/clock.js';
-import type { Reply, Transport } from '../http-client.js';
+import type { HttpResponse, Transport } from '../http-client.js';
 import { RateLimiter, type RequestPriority } from '../rate-limiter.js';
 import {
   typesFromWire,
@@ -16,7 +16,7 @@
 import { paths } from '../paths.js';
 
 /** What the cloud answered to a rental. */
-export type Rented =
+export type RentalResult =
   | { readonly kind: 'rented'; readonly machines: readonly MachineName[] }
   | { readonly kind: 'no_capacity' }
   /** Perhaps carried out: the same request must be asked again. */
@@ -40,7 +40,7 @@
     path: string,
     body: unknown,
     priority: RequestPriority,
-  ): Promise<Reply | null> {
+  ): Promise<HttpResponse | null> {
     if (!(await this.limiter.acquire(priority, 0))) return null;
     try {
       const r = await this.http.request(method, path, body, 5000);
@@ -56,7 +56,7 @@
     return r?.status === 200 ? typesFromWire(r.body) : null;
   }
 
-  async rent(r: RentalRecord): Promise<Rented> {
+  async rent(r: RentalRecord): Promise<RentalResult> {
     const reply = await this.call('POST', paths.machines, rentalToWire({ ...r, count: r.owners.length }), 1);
     if (reply?.status === 200) return { kind: 'rented', machines: rentedFromWire(reply.body) };
     const refused =
@@ -75,7 +75,7 @@
     const out: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
-      const r: Reply | null = await this.call('GET', paths.machines + listQuery(after), undefined, 2);
+      const r: HttpResponse | null = await this.call('GET', paths.machines + listQuery(after), undefined, 2);
       if (r?.status !== 200) return null;
       const page = listFromWire(r.body);
       out.push(...page.machines);
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -5,7 +5,7 @@
 import { Pool } from 'undici';
 
 /** A response. */
-export interface Reply {
+export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -16,7 +16,7 @@
 /** Sends requests to one server. */
 export interface Transport {
   /** Throws when no answer came: the request may or may not have been carried out. */
-  request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<Reply>;
+  request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse>;
 }
 
 /** A pool of connections to one server. */
@@ -35,7 +35,7 @@
     });
   }
 
-  async request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<Reply> {
+  async request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     const abort = new AbortController();
     const timer = setTimeout(() => {
       abort.abort(new Error('deadline'));
--- a/src/io/peers/peer-link.ts
+++ b/src/io/peers/peer-link.ts
@@ -35,7 +35,7 @@
 }
 /** What versions without topics have always sent; a field that is left out has its default at the other end. */
 const EMPTY = { answer: false, cancel: '', outcome: '', contact: false };
-const MOST = 64 * 1024;
+const MAX_FRAME_BYTES = 64 * 1024;
 
 function encode(f: Partial<Frame>): Buffer {
   const body = FrameType.encode(FrameType.create(f)).finish();
@@ -46,13 +46,13 @@
 }
 
 /** Splits a connection's bytes into messages of the peer protocol. */
-export async function* frames(socket: AsyncIterable<Buffer>): AsyncGenerator<Frame> {
+export async function* readFrames(socket: AsyncIterable<Buffer>): AsyncGenerator<Frame> {
   let held: Buffer = Buffer.alloc(0);
   for await (const chunk of socket) {
     held = held.length === 0 ? chunk : Buffer.concat([held, chunk]);
     while (held.length >= 4) {
       const n = held.readUInt32BE(0);
-      if (n > MOST) throw new Error('frame too long');
+      if (n > MAX_FRAME_BYTES) throw new Error('frame too long');
       if (held.length < 4 + n) break;
       yield FrameType.decode(held.subarray(4, 4 + n)) as unknown as Frame;
       held = held.subarray(4 + n);
@@ -93,10 +93,10 @@
   private async serve(socket: net.Socket): Promise<void> {
     this.sockets.add(socket);
     try {
-      for await (const f of frames(socket)) {
+      for await (const f of readFrames(socket)) {
         if (f.answer) continue;
         const reply = (answer: Partial<Frame>) => {
-          if (!socket.destroyed && socket.writableLength < MOST)
+          if (!socket.destroyed && socket.writableLength < MAX_FRAME_BYTES)
             socket.write(encode({ ...EMPTY, ...answer, number: f.number, answer: true }));
         };
         if (f.topic !== '') {
@@ -165,7 +165,7 @@
 
   private async read(socket: net.Socket): Promise<void> {
     try {
-      for await (const f of frames(socket)) if (f.answer) this.waiting.get(f.number)?.(f);
+      for await (const f of readFrames(socket)) if (f.answer) this.waiting.get(f.number)?.(f);
     } catch {
       // The connection is gone; whoever waits is told below.
     }
--- a/src/io/state/state-client.ts
+++ b/src/io/state/state-client.ts
@@ -5,7 +5,7 @@
 import { NO_VERSION, revision, type Revision, type Version } from '../../core/model/ids.js';
 import type { MonotonicMs } from '../../core/model/time.js';
 import type { KeyChange } from '../../core/state/cluster-view.js';
-import type { Method, Reply, Transport } from '../http-client.js';
+import type { Method, HttpResponse, Transport } from '../http-client.js';
 import { RateLimiter, REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
 import { paths } from '../paths.js';
 import {
@@ -112,7 +112,7 @@
   private async call(
     { kind, method, path, body, urgency: priority, writes = 0 }: StateRequest,
     stale: () => boolean = () => false,
-  ): Promise<Reply | 'refused' | 'stale' | 'unknown'> {
+  ): Promise<HttpResponse | 'refused' | 'stale' | 'unknown'> {
     if (!(await this.limiter.acquire(priority, writes))) return 'refused';
     if (stale()) {
       this.limiter.refund(writes);
--- a/src/io/system-clock.ts
+++ b/src/io/system-clock.ts
@@ -3,7 +3,7 @@
 import { monotonicMs, wallClockMs } from '../core/model/time.js';
 
 /** The clocks and timers of this process. */
-export const realClock: Clock = {
+export const systemClock: Clock = {
   now: () => monotonicMs(performance.now()),
   wallClock: () => wallClockMs(Date.now()),
   after: (ms, fn) => {
--- a/src/io/users/http-server.ts
+++ b/src/io/users/http-server.ts
@@ -6,7 +6,7 @@
 import { monotonicMs } from '../../core/model/time.js';
 import type { CancellationResult, JobService } from '../../controller/api/job-service.js';
 import type { HeartbeatRouter } from '../../controller/heartbeats/heartbeat-router.js';
-import type { PackageHost } from '../../plugin-host/plugin-host.js';
+import type { PluginHost } from '../../plugin-host/plugin-host.js';
 import { Unavailable } from '../state/state-client.js';
 import { heartbeatFromWire, commandsToWire, redirectToWire } from '../agents/agent-messages.js';
 import { BODY_LIMIT, paths } from '../paths.js';
@@ -23,7 +23,7 @@
   readonly leastInProgress: number;
   readonly mostInProgress: number;
   /** Commands and metrics of packages; none where no package is enabled. */
-  readonly packages?: Pick<PackageHost, 'command' | 'metrics'>;
+  readonly packages?: Pick<PluginHost, 'command' | 'metrics'>;
 }
 
 class Malformed extends Error {}
@@ -129,7 +129,7 @@
 }
 
 /** Operators' commands to packages, and their metrics. */
-function servePackages(app: FastifyInstance, packages: Pick<PackageHost, 'command' | 'metrics'>): void {
+function servePackages(app: FastifyInstance, packages: Pick<PluginHost, 'command' | 'metrics'>): void {
   app.post<{ Params: { name: string; command: string } }>(paths.packageCommand, async (req, reply) => {
     const { name, command } = req.params;
     const r = await packages.command(name, command, req.body);
--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -115,7 +115,7 @@
   | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: TaskRun };
 
 /** The part of the service that a package may use. */
-export interface Service {
+export interface PluginServices {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
   readonly settings: PlatformSettings;
@@ -165,7 +165,7 @@
 }
 
 /** A package that runs. */
-export interface RunningPackage {
+export interface RunningPlugin {
   /** Runs until the process ends. */
   run(): Promise<void>;
   /** Its part of what `status` shows. */
@@ -177,17 +177,17 @@
 }
 
 /** What the file of a package exports as `servicePackage`. */
-export interface ServicePackage<Options = unknown> {
+export interface PluginDefinition<Options = unknown> {
   /** What its section of the operators' file may hold, with defaults. */
   readonly schema: TSchema;
   /** The first thing wrong with options that fit the schema, with its path, or null. */
   validate(options: Options, settings: PlatformSettings): string | null;
-  start(service: Service, options: Options): RunningPackage;
+  start(service: PluginServices, options: Options): RunningPlugin;
 }
 
 /** A package with its checked options. */
-export interface LoadedPackage {
+export interface LoadedPlugin {
   readonly name: string;
-  readonly definition: ServicePackage;
+  readonly definition: PluginDefinition;
   readonly options: unknown;
 }
--- a/src/plugin-host/plugin-host.ts
+++ b/src/plugin-host/plugin-host.ts
@@ -3,9 +3,9 @@
 import type {
   CommandReply,
   FinishedSpan,
-  LoadedPackage,
-  RunningPackage,
-  Service,
+  LoadedPlugin,
+  RunningPlugin,
+  PluginServices,
   Tracer,
   TraceParent,
 } from './api.js';
@@ -13,7 +13,7 @@
 const NO_CONTEXT: TraceParent = '';
 
 /** Spans go nowhere where no package takes them. */
-export class TracerSwitch implements Tracer {
+export class ForwardingTracer implements Tracer {
   private target: Tracer | null = null;
 
   provide(target: Tracer): void {
@@ -30,13 +30,13 @@
 }
 
 /** The packages of one controller. */
-export class PackageHost {
-  private readonly running = new Map<string, RunningPackage>();
+export class PluginHost {
+  private readonly running = new Map<string, RunningPlugin>();
   private readonly failed = new Map<string, string>();
 
   constructor(
-    packages: readonly LoadedPackage[],
-    service: (log: Logger) => Service,
+    packages: readonly LoadedPlugin[],
+    service: (log: Logger) => PluginServices,
     private readonly log: Logger,
   ) {
     for (const { name, definition, options } of packages) {
--- a/src/plugin-host/plugin-loader.ts
+++ b/src/plugin-host/plugin-loader.ts
@@ -6,17 +6,17 @@
 import { createRequire } from 'node:module';
 import path from 'node:path';
 import { SettingsError, firstSchemaError, type PlatformSettings } from '../config/platform-settings.js';
-import type { LoadedPackage, ServicePackage } from './api.js';
+import type { LoadedPlugin, PluginDefinition } from './api.js';
 
 const NAME = /^[a-z][a-z0-9_]*$/;
 
 /** Where the build puts the packages. */
 export const PACKAGES_DIRECTORY = path.join(__dirname, 'packages');
 
-const isPackage = (value: unknown): value is ServicePackage =>
+const isPackage = (value: unknown): value is PluginDefinition =>
   typeof value === 'object' && value !== null && 'schema' in value && 'start' in value;
 
-function definitionOf(name: string, directory: string): ServicePackage {
+function definitionOf(name: string, directory: string): PluginDefinition {
   const file = path.join(directory, `${name.replaceAll('_', '-')}.cjs`);
   if (!NAME.test(name) || !existsSync(file))
     throw new SettingsError(`packages.${name}: there is no such package`);
@@ -26,12 +26,12 @@
 }
 
 /** Checks the options of one package, with its defaults filled in. Throws `SettingsError` with the path. */
-export function configure(
+export function configurePlugin(
   name: string,
-  definition: ServicePackage,
+  definition: PluginDefinition,
   section: unknown,
   settings: PlatformSettings,
-): LoadedPackage {
+): LoadedPlugin {
   const options = structuredClone(section);
   const wrong = firstSchemaError(definition.schema, options) ?? definition.validate(options, settings);
   if (wrong !== null) throw new SettingsError(`packages.${name}.${wrong}`);
@@ -39,12 +39,12 @@
 }
 
 /** Loads and checks all packages that have a section. Throws `SettingsError`. */
-export function loadPackages(
+export function loadPlugins(
   sections: Readonly<Record<string, unknown>>,
   settings: PlatformSettings,
   directory = PACKAGES_DIRECTORY,
-): LoadedPackage[] {
+): LoadedPlugin[] {
   return Object.entries(sections).map(([name, section]) =>
-    configure(name, definitionOf(name, directory), section, settings),
+    configurePlugin(name, definitionOf(name, directory), section, settings),
   );
 }
--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ClusterView } from '../src/core/state/cluster-view.js';
-import type { Reply, Transport } from '../src/io/http-client.js';
+import type { HttpResponse, Transport } from '../src/io/http-client.js';
 import { StateClient, type StateServiceLimits } from '../src/io/state/state-client.js';
 import { StateWatcher } from '../src/io/state/state-watcher.js';
 import {
@@ -15,7 +15,7 @@
 import { REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
 import { version } from '../src/core/model/ids.js';
 import { StateService } from './sim/state-service.js';
-import { ProcessClock, World } from './sim/virtual-time.js';
+import { ProcessClock, VirtualTime } from './sim/virtual-time.js';
 
 const BUDGET = { rps: 500, writeRps: 500, txnOps: 4 };
 const LIMITS: StateServiceLimits = {
@@ -30,14 +30,14 @@
 
 /** A client of the stand-in whose first transaction with changes gets no answer, and whose watch is held up. */
 function setUp(fate: 'applied' | 'late' | 'lost' | 'refused') {
-  const world = new World(3);
+  const world = new VirtualTime(3);
   const state = new StateService(world, BUDGET);
   const clock = new ProcessClock(world, 1, 0);
   let first = true;
   let watchHeldUntil = 0;
   const http: Transport = {
     request: (method, path, body, timeoutMs) =>
-      new Promise<Reply>((resolve, reject) => {
+      new Promise<HttpResponse>((resolve, reject) => {
         clock.after(timeoutMs, () => {
           reject(new Error('no answer'));
         });
@@ -62,7 +62,7 @@
   };
   const watch: Transport = {
     request: (_method, path) =>
-      new Promise<Reply>((resolve) => {
+      new Promise<HttpResponse>((resolve) => {
         state.follow(path, (r) => {
           world.at(Math.max(world.now + 5, watchHeldUntil), () => {
             resolve(r);
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -243,8 +243,8 @@
 test('a slice that a process has given itself is its own once its view holds what was committed before', () => {
   const view = new ClusterView();
   view.advanceTo(revision(10));
-  const slice = key.shard('c-1');
-  view.apply({ key: slice, value: { holder: 'c-0', incarnation: 'me' }, version: version(20) });
+  const shard = key.shard('c-1');
+  view.apply({ key: shard, value: { holder: 'c-0', incarnation: 'me' }, version: version(20) });
   assert.equal(view.isHeldBy('c-1', incarnation('me')), false, 'a start of its former holder may be at 19');
   view.advanceTo(revision(20));
   assert.equal(view.isHeldBy('c-1', incarnation('me')), true);
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -5,8 +5,15 @@
 import { parseKey } from '../src/core/records/keys.js';
 import { jobId, machineName } from '../src/core/model/ids.js';
 import { monotonicMs } from '../src/core/model/time.js';
-import { all, begun, calledOff, leads, meeting, wait } from './sim/fault-scenario.js';
-import type { Sim } from './sim/simulation.js';
+import {
+  allControllers,
+  runUntilBusy,
+  cancelledJobs,
+  currentLeader,
+  faultScenario,
+  advance,
+} from './sim/fault-scenario.js';
+import type { Simulation } from './sim/simulation.js';
 
 const JOB = jobId('wk-1');
 const machine = (i: number) => machineName(`n-${i}`);
@@ -74,18 +81,18 @@
 });
 
 /** Starts of tasks of the job so far. */
-function countStarts(sim: Sim, id: string): () => number {
+function countStarts(simulation: Simulation, id: string): () => number {
   let starts = 0;
-  const enter = sim.fleet.enter.bind(sim.fleet);
-  sim.fleet.enter = (w, t) => {
+  const enter = simulation.cluster.recordTaskStart.bind(simulation.cluster);
+  simulation.cluster.recordTaskStart = (w, t) => {
     if (t.id === id) starts++;
     enter(w, t);
   };
   return () => starts;
 }
 
-const drained = (sim: Sim) =>
-  [...sim.state.rows].filter(
+const drained = (simulation: Simulation) =>
+  [...simulation.state.rows].filter(
     ([k, r]) => parseKey(k).kind === 'machine' && (r.value as { drain?: boolean }).drain === true,
   );
 
@@ -95,50 +102,59 @@
   ['daemon', 4, 30],
 ] as const)
   test(`a broken ${kind} is tried rarely, drains no machine, says so, and is cancelled at once`, async () => {
-    const sim = await begun(3);
-    const id = sim.submit({ kind, tasks, broken: true, stays: true, fields: { cards: 0, tier: 'urgent' } });
-    const starts = countStarts(sim, id);
-    const before = drained(sim).length;
-    await wait(sim, 60_000);
+    const simulation = await runUntilBusy(3);
+    const id = simulation.submit({
+      kind,
+      tasks,
+      alwaysFails: true,
+      isNeverCancelled: true,
+      fields: { cards: 0, tier: 'urgent' },
+    });
+    const starts = countStarts(simulation, id);
+    const before = drained(simulation).length;
+    await advance(simulation, 60_000);
     assert.ok(starts() >= 3, `it was tried ${starts()} times`);
     assert.ok(starts() <= most, `it was tried ${starts()} times in a minute`);
-    assert.equal(drained(sim).length, before);
-    const asked = leads(sim).controller!.jobs.find(jobId(id));
-    await wait(sim, 500);
+    assert.equal(drained(simulation).length, before);
+    const asked = currentLeader(simulation).controller!.jobs.find(jobId(id));
+    await advance(simulation, 500);
     const found = await asked;
     assert.equal(found?.failing?.why, 'error');
     assert.ok(found.failing.rounds >= 1 && found.failing.machines.length > 0);
     // Whoever takes over goes on with its waits.
-    for (const n of all(sim)) n.crash();
-    await wait(sim, 500);
-    for (const n of all(sim)) n.start();
+    for (const n of allControllers(simulation)) n.crash();
+    await advance(simulation, 500);
+    for (const n of allControllers(simulation)) n.start();
     const crashed = starts();
-    await wait(sim, 6000);
+    await advance(simulation, 6000);
     assert.ok(starts() - crashed <= Math.max(3, tasks / 3), 'not all of it is tried again');
-    sim.callOff(id);
-    await wait(sim, 6000);
-    assert.equal(sim.fleet.submitted.get(id)!.toldFinal, 'cancelled');
+    simulation.cancel(id);
+    await advance(simulation, 6000);
+    assert.equal(simulation.cluster.submitted.get(id)!.observedFinalState, 'cancelled');
   });
 
-meeting('broken jobs meet an outage of the state service and a change of leader', async (sim) => {
-  const ids = [...Array(6).keys()].map((i) =>
-    sim.submit({
-      kind: i % 2 === 0 ? 'sweep' : 'ensemble',
-      tasks: 3,
-      broken: true,
-      stays: true,
-      fields: { cards: 0 },
-    }),
-  );
-  await wait(sim, 6000);
-  sim.state.setOutage(true);
-  leads(sim).crash();
-  for (const id of ids.slice(0, 3)) sim.callOff(id);
-  await wait(sim, 15_000);
-  sim.state.setOutage(false);
-  for (const n of all(sim)) if (n.controller === null) n.start();
-  await wait(sim, 10_000);
-  for (const id of ids.slice(3)) sim.callOff(id);
-  await wait(sim, 10_000);
-  assert.ok(calledOff(sim).length >= 6, 'all were called off');
-});
+faultScenario(
+  'broken jobs meet an outage of the state service and a change of leader',
+  async (simulation) => {
+    const ids = [...Array(6).keys()].map((i) =>
+      simulation.submit({
+        kind: i % 2 === 0 ? 'sweep' : 'ensemble',
+        tasks: 3,
+        alwaysFails: true,
+        isNeverCancelled: true,
+        fields: { cards: 0 },
+      }),
+    );
+    await advance(simulation, 6000);
+    simulation.state.setOutage(true);
+    currentLeader(simulation).crash();
+    for (const id of ids.slice(0, 3)) simulation.cancel(id);
+    await advance(simulation, 15_000);
+    simulation.state.setOutage(false);
+    for (const n of allControllers(simulation)) if (n.controller === null) n.start();
+    await advance(simulation, 10_000);
+    for (const id of ids.slice(3)) simulation.cancel(id);
+    await advance(simulation, 10_000);
+    assert.ok(cancelledJobs(simulation).length >= 6, 'all were called off');
+  },
+);
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -33,7 +33,7 @@
   };
   return new HealthTracker(context as unknown as ControllerContext, () => 0.5);
 }
-const report = (seq: number, tasks: [id: string, state: string][]): Heartbeat =>
+const heartbeat = (seq: number, tasks: [id: string, state: string][]): Heartbeat =>
   heartbeatFromWire({
     teller: 'n-1',
     flavor: 'm',
@@ -61,14 +61,14 @@
   ];
   const first = setUp(100, jobs);
   first.observeHeartbeat(
-    report(1, [
+    heartbeat(1, [
       ['wk-1', 'running'],
       ['wk-2', 'pulling'],
     ]),
   );
   assert.deepEqual(first.cachedImages(record), ['img-a'], 'one that is being fetched is not there yet');
   first.observeHeartbeat(
-    report(2, [
+    heartbeat(2, [
       ['wk-1', 'running'],
       ['wk-2', 'running'],
     ]),
@@ -81,7 +81,7 @@
   assert.equal(next.hasImage(kept, 'img-c'), false);
   assert.equal(next.hasImage(record, 'img-a'), false);
   first.observeHeartbeat(
-    report(3, [
+    heartbeat(3, [
       ['wk-2', 'running'],
       ['wk-3', 'running'],
     ]),
@@ -95,7 +95,7 @@
   ]);
   const long = setUp(1000, many);
   long.observeHeartbeat(
-    report(
+    heartbeat(
       1,
       many.map(([id]) => [id, 'running']),
     ),
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -19,68 +19,74 @@
 import { heartbeatFromWire } from '../src/io/agents/agent-messages.js';
 import type { Guard, WriteOperation } from '../src/io/state/state-messages.js';
 import { jobFromWire } from '../src/io/users/job-messages.js';
-import { HUGE, Sim } from './sim/simulation.js';
-import { all, leads, wait } from './sim/fault-scenario.js';
+import { HUGE, Simulation } from './sim/simulation.js';
+import { allControllers, currentLeader, advance } from './sim/fault-scenario.js';
 import { machine, submission, types } from './samples.js';
 
 const MACHINES = 4000;
 
 /** Runs until the condition holds; fails where it does not within the time. */
-async function until(sim: Sim, ms: number, what: string, holds: () => boolean): Promise<void> {
+async function until(simulation: Simulation, ms: number, what: string, holds: () => boolean): Promise<void> {
   for (let waited = 0; !holds(); waited += 1000) {
     assert.ok(waited < ms, `${what}: not within ${ms} ms`);
-    await wait(sim, 1000);
+    await advance(simulation, 1000);
   }
 }
 
 test('a leader and owners serve 4,000 machines through the start, a loss and a burst', async () => {
-  const sim = new Sim(5, HUGE);
-  sim.smooth = true;
-  sim.copies = 0;
+  const simulation = new Simulation(5, HUGE);
+  simulation.isSmooth = true;
+  simulation.duplicateHeartbeatProbability = 0;
   // One task fills a machine, so that each has one.
   const fields = { vcpus: 14, cards: 0, tier: 'standard', vault: null, samePlace: false };
   const submitAll = (tasks: number, tenants: readonly string[], runMs: number) =>
     tenants.map((tenant) =>
-      sim.submit({ kind: 'sweep', tasks, runMs, stays: true, fields: { ...fields, tenant } }),
+      simulation.submit({
+        kind: 'sweep',
+        tasks,
+        runMs,
+        isNeverCancelled: true,
+        fields: { ...fields, tenant },
+      }),
     );
   const teams = ['red', 'blue', 'green'];
   submitAll(MACHINES / 3, teams, 100_000);
-  const busy = () => sim.fleet.live().filter((w) => w.tasks.size > 0).length;
-  await until(sim, 120_000, 'a task on each of 3,900 machines', () => busy() >= MACHINES * 0.975);
+  const busy = () => simulation.cluster.liveAgents().filter((w) => w.tasks.size > 0).length;
+  await until(simulation, 120_000, 'a task on each of 3,900 machines', () => busy() >= MACHINES * 0.975);
 
   // Steady reports: nothing is written for them, and few requests are made.
-  const before = { ...sim.state.counts };
-  await wait(sim, 5000);
-  const writes = (sim.state.counts.writes - before.writes) / 5;
+  const before = { ...simulation.state.counts };
+  await advance(simulation, 5000);
+  const writes = (simulation.state.counts.writes - before.writes) / 5;
   assert.ok(writes < HUGE.writeRps / 4, `${writes} changes a second while nothing happens`);
 
   // A controller is lost: its slice goes by one change, and no worker's lease runs out.
-  const lost = all(sim).find((n) => n !== leads(sim))!;
-  const records = () => [...sim.state.rows].filter(([k]) => parseKey(k).kind === 'machine');
+  const lost = allControllers(simulation).find((n) => n !== currentLeader(simulation))!;
+  const records = () => [...simulation.state.rows].filter(([k]) => parseKey(k).kind === 'machine');
   const versions = new Map(records().map(([k, r]) => [k, r.rev]));
   lost.crash();
-  await wait(sim, 12_000);
+  await advance(simulation, 12_000);
   const rewritten = records().filter(([k, r]) => versions.get(k) !== r.rev).length;
   assert.ok(rewritten < MACHINES / 4, `${rewritten} records of machines written anew`);
-  assert.equal(sim.fleet.leasesLost, 0, 'tasks killed by their lease');
+  assert.equal(simulation.cluster.tasksLostToLeaseExpiry, 0, 'tasks killed by their lease');
   lost.start();
-  await wait(sim, 8000);
-  assert.equal(sim.fleet.leasesLost, 0, 'tasks killed by their lease');
+  await advance(simulation, 8000);
+  assert.equal(simulation.cluster.tasksLostToLeaseExpiry, 0, 'tasks killed by their lease');
 
   // A burst of small tasks on what is left of the machines.
-  const starts = sim.fleet.starts;
+  const starts = simulation.cluster.starts;
   for (const tenant of teams)
     for (let i = 0; i < 10; i++)
-      sim.submit({
+      simulation.submit({
         kind: 'sweep',
         tasks: 40,
         runMs: 4000,
-        stays: true,
+        isNeverCancelled: true,
         fields: { ...fields, tenant, vcpus: 1, memoryGb: 1 },
       });
-  await until(sim, 40_000, 'the burst', () => sim.fleet.starts - starts >= 1200);
-  assert.equal(sim.state.tooLarge, 0, 'changes above a limit');
-  for (const [k, r] of sim.state.rows) assert.ok(jsonBytes(r.value) <= sim.state.valueBytes, k);
+  await until(simulation, 40_000, 'the burst', () => simulation.cluster.starts - starts >= 1200);
+  assert.equal(simulation.state.tooLarge, 0, 'changes above a limit');
+  for (const [k, r] of simulation.state.rows) assert.ok(jsonBytes(r.value) <= simulation.state.valueBytes, k);
 });
 
 test('what a controller keeps of 4,000 machines fits into its heap', () => {
@@ -105,7 +111,7 @@
     const value: unknown = JSON.parse(text);
     view.apply({ key: key.machine(machineName(name)), value, version: version(i + 10) });
     const memory = newAgentSession(view.fencingTokenOf(value as MachineRecord), monotonicMs(0));
-    const report = heartbeatFromWire(
+    const heartbeat = heartbeatFromWire(
       JSON.parse(
         JSON.stringify({
           teller: name,
@@ -118,12 +124,12 @@
         }),
       ),
     );
-    recordHeartbeat(memory, report!, monotonicMs(1), true, 2000);
+    recordHeartbeat(memory, heartbeat!, monotonicMs(1), true, 2000);
     memories.push(memory);
   }
-  const ledger = new AllocationTotals(view.machines.values(), types, new Map());
+  const totals = new AllocationTotals(view.machines.values(), types, new Map());
   const used = heap() - before;
-  assert.equal(ledger.freeByMachine.size, MACHINES);
+  assert.equal(totals.freeByMachine.size, MACHINES);
   assert.equal(memories.length, MACHINES);
   // `deploy/service.toml` allows 72 MB, of which the program takes about 20 without any machine.
   assert.ok(used < 45, `${used.toFixed(1)} MB`);
@@ -204,7 +210,7 @@
   for (const tally of [1, 2])
     for (let i = 0; i < MACHINES; i++) {
       now += 0.6;
-      const report = heartbeatFromWire({
+      const heartbeat = heartbeatFromWire({
         teller: `n-${i}`,
         flavor: 'm',
         vault: 'a',
@@ -212,7 +218,7 @@
         tally,
         shards: [],
       });
-      unknown.recordHeartbeat(report!);
+      unknown.recordHeartbeat(heartbeat!);
     }
   assert.equal(unknown.size, MACHINES);
 });
--- a/test/packages.test.ts
+++ b/test/packages.test.ts
@@ -7,8 +7,8 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { readOperatorSettingsFiles } from '../src/config/operator-settings.js';
-import type { LoadedPackage, RunningPackage, Service } from '../src/plugin-host/api.js';
-import { PackageHost } from '../src/plugin-host/plugin-host.js';
+import type { LoadedPlugin, RunningPlugin, PluginServices } from '../src/plugin-host/api.js';
+import { PluginHost } from '../src/plugin-host/plugin-host.js';
 import { platformSettings } from './samples.js';
 
 const directory = mkdtempSync(path.join(os.tmpdir(), 'pepperbank-'));
@@ -90,13 +90,13 @@
 });
 
 test('a package that fails at its start or later is named, and the others go on', async () => {
-  const packageOf = (name: string, start: () => RunningPackage): LoadedPackage => ({
+  const packageOf = (name: string, start: () => RunningPlugin): LoadedPlugin => ({
     name,
     definition: { schema: {} as never, validate: () => null, start },
     options: {},
   });
   let steps = 0;
-  const host = new PackageHost(
+  const host = new PluginHost(
     [
       packageOf('broken', () => {
         throw new Error('no start');
@@ -111,7 +111,7 @@
         metrics: () => Promise.resolve('x 1\n'),
       })),
     ],
-    () => ({}) as Service,
+    () => ({}) as PluginServices,
     pino({ level: 'silent' }),
   );
   await host.run();
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -6,17 +6,26 @@
 import { key } from '../src/core/records/keys.js';
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission } from './samples.js';
-import { accepted, begun, job, one, running, until, wait, withdrawn } from './sim/pipeline-helpers.js';
-import { GROWN, LIMITS, SMALL, Sim } from './sim/simulation.js';
+import {
+  accepted,
+  runQuietly,
+  job,
+  submitSmall,
+  submitRunning,
+  advanceUntil,
+  advance,
+  isCancelledUnstarted,
+} from './sim/pipeline-helpers.js';
+import { GROWN, LIMITS, SMALL, Simulation } from './sim/simulation.js';
 
 for (const [name, trouble] of [
   ['with nothing else', () => undefined],
   [
     'through a change of owner',
-    (sim: Sim) => {
-      for (const n of sim.nodes.values()) {
+    (simulation: Simulation) => {
+      for (const n of simulation.controllers.values()) {
         n.crash();
-        sim.world.after(300, () => {
+        simulation.time.after(300, () => {
           n.start();
         });
       }
@@ -24,145 +33,180 @@
   ],
   [
     'through an outage longer than the time for it',
-    (sim: Sim) => {
-      sim.state.setOutage(true);
-      sim.world.after(LIMITS.cancelS * 1000 * 12, () => {
-        sim.state.setOutage(false);
+    (simulation: Simulation) => {
+      simulation.state.setOutage(true);
+      simulation.time.after(LIMITS.cancelS * 1000 * 12, () => {
+        simulation.state.setOutage(false);
       });
     },
   ],
 ] as const)
   test(`a cancelled job takes with it what needs it, at any depth and in any team, ${name}`, async () => {
-    const sim = await begun(4);
-    const head = one(sim, [], 30);
-    await until(sim, () => job(sim, head).accepted, 2000);
+    const simulation = await runQuietly(4);
+    const head = submitSmall(simulation, [], 30);
+    await advanceUntil(simulation, () => job(simulation, head).accepted, 2000);
     const chain = [head];
     for (const tenant of ['red', 'blue', 'green', 'red', 'blue']) {
-      chain.push(one(sim, [chain.at(-1)!], 2, { tenant }));
-      await until(sim, () => job(sim, chain.at(-1)!).accepted, 2000);
+      chain.push(submitSmall(simulation, [chain.at(-1)!], 2, { tenant }));
+      await advanceUntil(simulation, () => job(simulation, chain.at(-1)!).accepted, 2000);
     }
-    sim.callOff(head);
-    await until(sim, () => job(sim, head).toldCancelledAt !== null, 8000);
-    trouble(sim);
+    simulation.cancel(head);
+    await advanceUntil(simulation, () => job(simulation, head).observedCancelledAt !== null, 8000);
+    trouble(simulation);
     // One that names a withdrawn job afterwards, or while it is withdrawn, is accepted and over.
-    chain.push(one(sim, [chain.at(-1)!]));
-    await wait(sim, 15_000);
-    for (const id of chain.slice(1)) assert.ok(withdrawn(sim, id), `${id} is ${job(sim, id).toldFinal}`);
+    chain.push(submitSmall(simulation, [chain.at(-1)!]));
+    await advance(simulation, 15_000);
+    for (const id of chain.slice(1))
+      assert.ok(isCancelledUnstarted(simulation, id), `${id} is ${job(simulation, id).observedFinalState}`);
   });
 
 test('a stage that is called off withdraws what follows, and what precedes it goes on', async () => {
-  const sim = await begun(4);
-  const first = one(sim, [], 3);
-  await until(sim, () => job(sim, first).accepted, 2000);
-  const middle = one(sim, [first]);
-  const beside = one(sim, [first]);
-  await until(sim, () => job(sim, middle).accepted && job(sim, beside).accepted, 2000);
-  const last = one(sim, [middle, beside]);
-  await until(sim, () => job(sim, last).accepted, 2000);
-  sim.callOff(middle);
-  await until(
-    sim,
-    () => [first, middle, beside, last].every((id) => job(sim, id).toldFinal !== null),
+  const simulation = await runQuietly(4);
+  const first = submitSmall(simulation, [], 3);
+  await advanceUntil(simulation, () => job(simulation, first).accepted, 2000);
+  const middle = submitSmall(simulation, [first]);
+  const beside = submitSmall(simulation, [first]);
+  await advanceUntil(
+    simulation,
+    () => job(simulation, middle).accepted && job(simulation, beside).accepted,
+    2000,
+  );
+  const last = submitSmall(simulation, [middle, beside]);
+  await advanceUntil(simulation, () => job(simulation, last).accepted, 2000);
+  simulation.cancel(middle);
+  await advanceUntil(
+    simulation,
+    () => [first, middle, beside, last].every((id) => job(simulation, id).observedFinalState !== null),
     60_000,
   );
   assert.deepEqual(
-    [first, middle, beside, last].map((id) => job(sim, id).toldFinal),
+    [first, middle, beside, last].map((id) => job(simulation, id).observedFinalState),
     ['done', 'cancelled', 'done', 'cancelled'],
   );
 });
 
 test('a cancellation that is answered with done lets the rest go on', async () => {
-  const sim = await begun(4);
-  sim.offAtEnd = 1;
+  const simulation = await runQuietly(4);
+  simulation.cancelAtEndProbability = 1;
   const ids: string[] = [];
   for (let i = 0; i < 8; i++) {
-    const first = one(sim, []);
-    await until(sim, () => job(sim, first).accepted, 2000);
-    ids.push(first, one(sim, [first]));
+    const first = submitSmall(simulation, []);
+    await advanceUntil(simulation, () => job(simulation, first).accepted, 2000);
+    ids.push(first, submitSmall(simulation, [first]));
   }
-  await until(sim, () => ids.every((id) => job(sim, id).toldFinal !== null), 60_000);
+  await advanceUntil(
+    simulation,
+    () => ids.every((id) => job(simulation, id).observedFinalState !== null),
+    60_000,
+  );
   let went = 0;
   for (let i = 0; i < ids.length; i += 2) {
-    if (job(sim, ids[i]!).toldFinal === 'cancelled') assert.ok(withdrawn(sim, ids[i + 1]!));
+    if (job(simulation, ids[i]!).observedFinalState === 'cancelled')
+      assert.ok(isCancelledUnstarted(simulation, ids[i + 1]!));
     else went++;
   }
   assert.ok(went > 0, 'some were done when they were called off');
 });
 
 test('a job names what was accepted: others, itself and services get 422; what is done costs nothing', async () => {
-  const sim = await begun(4);
-  const service = sim.submit({ kind: 'daemon', stays: true, tasks: 1, fields: { cards: 0 } });
-  const quick = one(sim, []);
-  await until(sim, () => job(sim, quick).toldFinal !== null && job(sim, service).accepted, 40_000);
-  const { controller } = sim.nodes.get('c-1')!;
+  const simulation = await runQuietly(4);
+  const service = simulation.submit({
+    kind: 'daemon',
+    isNeverCancelled: true,
+    tasks: 1,
+    fields: { cards: 0 },
+  });
+  const quick = submitSmall(simulation, []);
+  await advanceUntil(
+    simulation,
+    () => job(simulation, quick).observedFinalState !== null && job(simulation, service).accepted,
+    40_000,
+  );
+  const { controller } = simulation.controllers.get('c-1')!;
   const submit = (nameId: string, awaits: string[]) =>
     controller!.jobs.submit(jobFromWire(submission({ nameId, awaits, tenant: 'red', cards: 0 }) as never));
   for (const awaits of [['wk-none'], ['wk-x1'], [quick, 'wk-none'], [service]]) {
-    const r = await Promise.all([submit('wk-x1', awaits), wait(sim, 3000)]);
+    const r = await Promise.all([submit('wk-x1', awaits), advance(simulation, 3000)]);
     assert.equal(r[0].kind, 'impossible', awaits.join());
   }
-  const next = one(sim, [quick], 30);
-  await until(sim, () => job(sim, next).accepted, 3000);
-  const stored = sim.state.rows.get(key.job(jobId(next)))?.value as { spec: { needs?: unknown } } | undefined;
+  const next = submitSmall(simulation, [quick], 30);
+  await advanceUntil(simulation, () => job(simulation, next).accepted, 3000);
+  const stored = simulation.state.rows.get(key.job(jobId(next)))?.value as
+    { spec: { needs?: unknown } } | undefined;
   assert.equal(stored?.spec.needs, undefined, 'what is done needs no look any more');
   // A retry is known, whatever it names.
-  const [again] = await Promise.all([submit(next, ['wk-none']), wait(sim, 1000)]);
+  const [again] = await Promise.all([submit(next, ['wk-none']), advance(simulation, 1000)]);
   assert.equal(again.kind, 'known');
   // Where it can't be known, nothing is decided.
-  sim.state.setOutage(true);
-  await wait(sim, 3000);
-  const [later] = await Promise.all([submit('wk-x3', ['wk-none']), wait(sim, 100)]);
+  simulation.state.setOutage(true);
+  await advance(simulation, 3000);
+  const [later] = await Promise.all([submit('wk-x3', ['wk-none']), advance(simulation, 100)]);
   assert.equal(later.kind, 'later');
 });
 
 test('hundreds of jobs behind one go on when it is done, and are withdrawn when it is cancelled', async () => {
   for (const off of [false, true]) {
-    const sim = await begun(4, GROWN);
+    const simulation = await runQuietly(4, GROWN);
     // One that is called off must still run by then.
-    const head = off ? await running(sim, 120_000) : await accepted(sim, [], 60, {}, 5000);
-    const wide = [...Array(250).keys()].map(() => one(sim, [head], 1, { tier: 'production' }));
-    await until(sim, () => wide.every((id) => job(sim, id).accepted), 60_000);
-    if (off) sim.callOff(head);
-    await until(sim, () => job(sim, head).toldFinal !== null, 60_000);
+    const head = off
+      ? await submitRunning(simulation, 120_000)
+      : await accepted(simulation, [], 60, {}, 5000);
+    const wide = [...Array(250).keys()].map(() => submitSmall(simulation, [head], 1, { tier: 'production' }));
+    await advanceUntil(simulation, () => wide.every((id) => job(simulation, id).accepted), 60_000);
+    if (off) simulation.cancel(head);
+    await advanceUntil(simulation, () => job(simulation, head).observedFinalState !== null, 60_000);
     if (off) {
-      assert.equal(job(sim, head).toldFinal, 'cancelled');
+      assert.equal(job(simulation, head).observedFinalState, 'cancelled');
       // Told at once; the records follow in batches.
-      await until(sim, () => wide.every((id) => withdrawn(sim, id)), 8000);
-      await until(sim, () => wide.every((id) => sim.state.rows.has(key.final(jobId(id)))), 90_000);
-    } else await until(sim, () => wide.every((id) => job(sim, id).toldFinal === 'done'), 150_000);
+      await advanceUntil(simulation, () => wide.every((id) => isCancelledUnstarted(simulation, id)), 8000);
+      await advanceUntil(
+        simulation,
+        () => wide.every((id) => simulation.state.rows.has(key.final(jobId(id)))),
+        90_000,
+      );
+    } else
+      await advanceUntil(
+        simulation,
+        () => wide.every((id) => job(simulation, id).observedFinalState === 'done'),
+        150_000,
+      );
   }
 });
 
 test('a pipeline that is urgent at its end goes before other work of its team from its beginning', async () => {
-  const sim = await begun(4);
+  const simulation = await runQuietly(4);
   // More standard work than the team may run at once.
   for (let i = 0; i < 12; i++)
-    sim.submit({ kind: 'sweep', tasks: 6, fields: { tenant: 'blue', tier: 'standard', cards: 2, vcpus: 4 } });
-  await wait(sim, 2000);
-  const first = one(sim, [], 2, { tenant: 'blue', cards: 1, tier: 'low' });
-  await until(sim, () => job(sim, first).accepted, 2000);
-  const last = one(sim, [first], 1, { tenant: 'blue', cards: 1, tier: 'urgent', dueS: 30 });
-  await until(sim, () => job(sim, last).toldFinal === 'done', 45_000);
+    simulation.submit({
+      kind: 'sweep',
+      tasks: 6,
+      fields: { tenant: 'blue', tier: 'standard', cards: 2, vcpus: 4 },
+    });
+  await advance(simulation, 2000);
+  const first = submitSmall(simulation, [], 2, { tenant: 'blue', cards: 1, tier: 'low' });
+  await advanceUntil(simulation, () => job(simulation, first).accepted, 2000);
+  const last = submitSmall(simulation, [first], 1, { tenant: 'blue', cards: 1, tier: 'urgent', dueS: 30 });
+  await advanceUntil(simulation, () => job(simulation, last).observedFinalState === 'done', 45_000);
 });
 
 test('values stay below the lower limit from the start, and a machine takes many small tasks all the same', async () => {
-  const sim = new Sim(5);
-  sim.copies = 0;
-  sim.smooth = true;
-  sim.next = { value_kb: 2, txn_ops: 4, write_rps: 150 };
-  for (const n of sim.nodes.values()) {
+  const simulation = new Simulation(5);
+  simulation.duplicateHeartbeatProbability = 0;
+  simulation.isSmooth = true;
+  simulation.upcomingLimits = { value_kb: 2, txn_ops: 4, write_rps: 150 };
+  for (const n of simulation.controllers.values()) {
     n.crash();
     n.start();
   }
-  await sim.world.runUntil(10_000);
+  await simulation.time.runUntil(10_000);
   let largest = 0;
   let most = 0;
-  for (let i = 0; i < 10; i++) one(sim, [], 40, { vcpus: 0.25, memoryGb: 0.25 });
+  for (let i = 0; i < 10; i++) submitSmall(simulation, [], 40, { vcpus: 0.25, memoryGb: 0.25 });
   for (let i = 0; i < 150; i++) {
-    await wait(sim, 100);
-    for (const [k, row] of sim.state.rows)
+    await advance(simulation, 100);
+    for (const [k, row] of simulation.state.rows)
       if (k.startsWith('p/')) largest = Math.max(largest, jsonBytes(row.value));
-    for (const w of sim.fleet.live())
+    for (const w of simulation.cluster.liveAgents())
       most = Math.max(most, [...w.tasks.values()].filter((t) => t.state !== 'ended').length);
   }
   assert.ok(largest <= 2048, `a value of ${largest} bytes`);
@@ -170,44 +214,48 @@
 });
 
 test('what stood above the lower limit is left or written back smaller, and holds nobody up', async () => {
-  const sim = await begun(6, SMALL, 30_000);
-  const before = sim.fleet.starts;
+  const simulation = await runQuietly(6, SMALL, 30_000);
+  const before = simulation.cluster.starts;
   // As the version before left it: a record of more than two KiB, for the images and entries in it.
   let grown = 0;
-  for (const [k, row] of sim.state.rows) {
+  for (const [k, row] of simulation.state.rows) {
     const m = row.value as { images?: string[]; placed?: unknown[] };
     if (!k.startsWith('p/m/') || m.placed === undefined) continue;
     m.images = [...Array(90).keys()].map((i) => `an-image-with-a-long-name-${i}`);
     grown++;
   }
   assert.ok(grown >= 3);
-  sim.next = { value_kb: 2, txn_ops: 4, write_rps: 150 };
-  sim.state.valueBytes = 2048;
-  sim.state.budget = { ...SMALL, txnOps: 4, writeRps: 150 };
-  for (const n of sim.nodes.values()) {
+  simulation.upcomingLimits = { value_kb: 2, txn_ops: 4, write_rps: 150 };
+  simulation.state.valueBytes = 2048;
+  simulation.state.budget = { ...SMALL, txnOps: 4, writeRps: 150 };
+  for (const n of simulation.controllers.values()) {
     n.crash();
     n.start();
   }
-  await wait(sim, 30_000);
-  assert.equal(sim.state.tooLarge, 0);
-  assert.ok(sim.fleet.starts > before + 10, 'work goes on');
+  await advance(simulation, 30_000);
+  assert.equal(simulation.state.tooLarge, 0);
+  assert.ok(simulation.cluster.starts > before + 10, 'work goes on');
 });
 
 test('the version before and this one serve side by side, through crashes, and the first pipeline comes at once', async () => {
   for (const seed of [2, 9]) {
-    const sim = new Sim(seed, SMALL, true);
-    sim.upgrade(20_000);
+    const simulation = new Simulation(seed, SMALL, true);
+    simulation.upgrade(20_000);
     // One dies before its turn and comes back old.
-    sim.world.after(15_000, () => {
-      sim.nodes.get('c-2')!.crash();
-      sim.world.after(400, () => {
-        sim.nodes.get('c-2')!.start();
+    simulation.time.after(15_000, () => {
+      simulation.controllers.get('c-2')!.crash();
+      simulation.time.after(400, () => {
+        simulation.controllers.get('c-2')!.start();
       });
     });
-    await sim.world.runUntil(28_750);
-    assert.ok([...sim.nodes.values()].every((n) => !n.old));
-    const ids = sim.pipeline(2, false);
-    await until(sim, () => ids.length >= 4 && ids.every((id) => job(sim, id).toldFinal === 'done'), 70_000);
-    assert.equal(sim.state.tooLarge, 0);
+    await simulation.time.runUntil(28_750);
+    assert.ok([...simulation.controllers.values()].every((n) => !n.runsPreviousVersion));
+    const ids = simulation.pipeline(2, false);
+    await advanceUntil(
+      simulation,
+      () => ids.length >= 4 && ids.every((id) => job(simulation, id).observedFinalState === 'done'),
+      70_000,
+    );
+    assert.equal(simulation.state.tooLarge, 0);
   }
 });
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -40,7 +40,7 @@
     jobs,
     machines,
     rentals: [],
-    ledger: new AllocationTotals(machines, types, teams),
+    totals: new AllocationTotals(machines, types, teams),
     types: [type],
     shardByTeam: new Map([
       [teamName('red'), nodeName('c-0')],
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -18,7 +18,7 @@
     job: wanted.spec,
     jobs: new Map([wanted, ...others].map((j) => [j.spec.id, j])),
     machines,
-    ledger: new AllocationTotals(machines, types, teams),
+    totals: new AllocationTotals(machines, types, teams),
     teams,
     isClaimed: () => false,
   });
@@ -34,7 +34,7 @@
   return placeTasks({
     jobs,
     machines,
-    ledger: new AllocationTotals(machines, types, known),
+    totals: new AllocationTotals(machines, types, known),
     newAttempt: () => attempt(++n),
     fetchRank: () => 2,
     isAvoided: () => false,
@@ -91,12 +91,12 @@
 
 test('the tasks of an array share machines that fit alike, so that few records are written', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue', cards: 4, vcpus: 4 });
-  const slice = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [on(busy, i)]));
+  const shard = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [on(busy, i)]));
   const array = job('wk-2', { shards: 12, cards: 0, vcpus: 1, memoryGb: 6 });
   const cached = (m: MachineRecord) => (m.name === 'n-4' || m.name === 'n-5' ? 0 : 2);
   const used = (fetchRank: PlacementInput['fetchRank'], wanted = array) =>
     new Set(
-      pass([wanted], slice, { fitnessTolerance: 0.6, fetchRank }).placements.map(
+      pass([wanted], shard, { fitnessTolerance: 0.6, fetchRank }).placements.map(
         (p) => p.machine.name as string,
       ),
     );
@@ -112,8 +112,8 @@
 test('an empty machine is opened only when nothing in use fits, so gangs find whole ones', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue' });
   const small = job('wk-2', { shards: 4 });
-  const slice = [machine('n-1', []), machine('n-2', [on(busy, 0)])];
-  const place = (jobs: JobRecord[]) => pass(jobs, slice).placements;
+  const shard = [machine('n-1', []), machine('n-2', [on(busy, 0)])];
+  const place = (jobs: JobRecord[]) => pass(jobs, shard).placements;
   assert.deepEqual(
     place([small]).map((p) => p.machine.name),
     ['n-2', 'n-2', 'n-2', 'n-1'],
@@ -130,8 +130,8 @@
 test('the waiting team with the lowest weighted share is served first', () => {
   const red = job('wk-1', { shards: 6, tenant: 'red' });
   const blue = job('wk-2', { shards: 6, tenant: 'blue' });
-  const slice = [machine('n-1', [on(blue, 0)]), machine('n-2', [])];
-  const { placements } = pass([red, blue], slice, {
+  const shard = [machine('n-1', [on(blue, 0)]), machine('n-2', [])];
+  const { placements } = pass([red, blue], shard, {
     maxPlacements: 4,
     preferPartlyUsedMachines: false,
     fitnessTolerance: 0,
@@ -148,15 +148,15 @@
   const running = job('wk-1', { shards: 1 });
   const gang = job('wk-2', { shape: 'ensemble', shards: 4, tier: 'urgent' });
   const small = job('wk-3', { shards: 3, tier: 'low' });
-  const slice = [machine('n-1', [on(running, 0)]), machine('n-2', [])];
+  const shard = [machine('n-1', [on(running, 0)]), machine('n-2', [])];
   const place = (jobs: JobRecord[], machines: MachineRecord[]) => pass(jobs, machines, {}, limited);
-  const held = place([running, gang, small], slice);
+  const held = place([running, gang, small], shard);
   assert.equal(held.placements.length, 0);
   assert.equal(held.waitReasons.get(small.spec.id), 'behind_gang');
   // A job that has waited for long goes all the same; it must not count as neglected beside free room.
   const late = pass(
     [running, gang, small],
-    slice,
+    shard,
     { isStarving: (j) => j.spec.id === small.spec.id },
     limited,
   );
@@ -181,16 +181,16 @@
   });
   const small = job('wk-3', { shards: 8, tenant: 'blue', tier: 'standard' });
   const service = job('wk-4', { shape: 'daemon', shards: 1, tier: 'production', tenant: 'blue' });
-  const slice = [machine('n-1', []), machine('n-2', []), machine('n-3', [], 'b')];
-  assert.equal(pass([gang, small], slice).waitReasons.get(gang.spec.id), 'no_room');
-  const first = pass([gang, later], slice);
+  const shard = [machine('n-1', []), machine('n-2', []), machine('n-3', [], 'b')];
+  assert.equal(pass([gang, small], shard).waitReasons.get(gang.spec.id), 'no_room');
+  const first = pass([gang, later], shard);
   assert.equal(first.placements.length, 0, 'two gangs never take what the first one waits for');
-  const red = pass([gang, job('wk-5', { shards: 8, tier: 'standard' })], slice);
+  const red = pass([gang, job('wk-5', { shards: 8, tier: 'standard' })], shard);
   assert.deepEqual(new Set(red.placements.map((p) => p.machine.name)), new Set(['n-3']));
-  const prod = pass([gang, service], slice).placements;
+  const prod = pass([gang, service], shard).placements;
   assert.equal(prod.length, 1);
   // Once its last machine is there it starts, before anything else.
-  const whole = pass([gang, later], [...slice, machine('n-4', [])]).placements;
+  const whole = pass([gang, later], [...shard, machine('n-4', [])]).placements;
   assert.deepEqual(new Set(whole.map((p) => p.job.id)), new Set([gang.spec.id]));
   assert.equal(whole.length, 3);
 });
@@ -253,10 +253,10 @@
   const array = job('wk-1', { shards: 6, loaner: true });
   const service = job('wk-9', { shape: 'daemon', shards: 9, tier: 'production' });
   const spot = { ...machine('n-3', []), spot: true };
-  const slice = [machine('n-1', []), machine('n-2', [on(service, 0)]), spot];
+  const shard = [machine('n-1', []), machine('n-2', [on(service, 0)]), spot];
   const used = (yields: boolean) =>
     new Set(
-      pass([array], slice, {
+      pass([array], shard, {
         leavesWholeMachinesToGangs: () => yields,
         preferPartlyUsedMachines: false,
       }).placements.map((p) => p.machine.name),
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimiter, REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
-import { ProcessClock, World } from './sim/virtual-time.js';
+import { ProcessClock, VirtualTime } from './sim/virtual-time.js';
 
 /** A process whose part of both budgets does not fall, and which may borrow so many times that part. */
-const fixed = (world: World, spare: number) =>
+const fixed = (world: VirtualTime, spare: number) =>
   new RateLimiter({ high: 60, low: 60 }, { high: 12, low: 12 }, 200, spare, new ProcessClock(world, 1, 0));
 
 test('reads and users never wait behind bulk changes, and nothing goes beyond the budget', async () => {
-  const world = new World(1);
+  const world = new VirtualTime(1);
   const limiter = fixed(world, 1);
   const took = { bulk: 0, users: [] as number[], reads: [] as number[] };
   // A wave: far more changes than the budget has for a minute.
@@ -34,7 +34,7 @@
 });
 
 test('a refusal for changes stops changes and not reads', async () => {
-  const world = new World(1);
+  const world = new VirtualTime(1);
   const limiter = fixed(world, 3);
   await world.runUntil(10_000);
   assert.equal(limiter.isIdle, true);
@@ -55,7 +55,7 @@
 });
 
 test('a rate that falls without notice is noticed by refusals, and nothing lives off bursts', async () => {
-  const world = new World(1);
+  const world = new VirtualTime(1);
   const high = 20;
   const low = 15;
   // A little less than all of it, as the client takes.
--- a/test/reclaim.test.ts
+++ b/test/reclaim.test.ts
@@ -16,20 +16,20 @@
   const wanted = job('wk-1', { shape: 'daemon', tier: 'low', shards: 1 });
   const guest = job('wk-2', { tier: 'urgent', tenant: GUEST, shards: 4 });
   const machines = [machine('n-1', [on(guest, 0, 1, 2, 3)])];
-  const ledger = new AllocationTotals(machines, types, withGuest);
+  const totals = new AllocationTotals(machines, types, withGuest);
   const found = selectVictims({
     job: wanted.spec,
     jobs: new Map([wanted, guest].map((j) => [j.spec.id, j])),
     machines,
-    ledger,
+    totals,
     teams: withGuest,
     isClaimed: () => false,
   });
   assert.equal(found?.victims.length, 1);
   assert.ok(
-    Number.isFinite(ledger.dominantShareOf(teamName(GUEST))) && ledger.dominantShareOf(teamName(GUEST)) > 0,
+    Number.isFinite(totals.dominantShareOf(teamName(GUEST))) && totals.dominantShareOf(teamName(GUEST)) > 0,
   );
-  assert.equal(ledger.dominantShareOf(teamName('red')), 0);
+  assert.equal(totals.dominantShareOf(teamName('red')), 0);
 });
 
 test('low-priority work gives whole machines to a gang of higher priority, the cheapest of one zone', () => {
@@ -42,24 +42,24 @@
       job: wanted.spec,
       jobs: new Map([gang, low, costly, normal].map((j) => [j.spec.id, j])),
       machines,
-      ledger: new AllocationTotals(machines, types, teams),
+      totals: new AllocationTotals(machines, types, teams),
       teams,
       isClaimed: () => false,
     })?.map((p) => [p.machine.name, p.victims.length]);
-  const slice = [
+  const shard = [
     machine('n-1', [on(low, 0, 1)], 'a'),
     machine('n-2', [on(normal, 0)], 'a'),
     machine('n-3', [on(costly, 0, 1)], 'a'),
     machine('n-4', [on(low, 2, 3)], 'b'),
     machine('n-5', [], 'b'),
   ];
-  assert.deepEqual(find(gang, slice), [
+  assert.deepEqual(find(gang, shard), [
     ['n-5', 0],
     ['n-4', 1],
   ]);
-  assert.equal(find(gang, slice.slice(0, 2)), undefined, 'work of normal priority stays');
+  assert.equal(find(gang, shard.slice(0, 2)), undefined, 'work of normal priority stays');
   const standard = job('wk-1', { shape: 'ensemble', shards: 2, tier: 'standard', vcpus: 14 });
-  assert.equal(find(standard, slice), undefined, 'only for what has priority');
+  assert.equal(find(standard, shard), undefined, 'only for what has priority');
 });
 
 test('machines with nothing but low-priority work go to where work of priority finds no room anywhere', () => {
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -59,8 +59,8 @@
     [key.machine(machineName('n-000001'))]: MACHINE_BEFORE,
     [key.shard('c-0')]: '{"holder":"c-0","incarnation":"x"}',
   });
-  const ledger = new AllocationTotals(view.machines.values(), types, new Map());
-  assert.equal(ledger.jobs.get(id)?.tasks.size, 3);
+  const totals = new AllocationTotals(view.machines.values(), types, new Map());
+  assert.equal(totals.jobs.get(id)?.tasks.size, 3);
   const d = resolveDependencies({
     jobs: view.jobs,
     finalState: () => undefined,
@@ -102,8 +102,8 @@
       [[1], true],
     ],
   );
-  const mem = newAgentSession(5 as never, monotonicMs(0));
-  const report = heartbeatFromWire({
+  const session = newAgentSession(5 as never, monotonicMs(0));
+  const heartbeat = heartbeatFromWire({
     teller: 'n-1',
     flavor: 'm',
     vault: 'a',
@@ -115,14 +115,14 @@
       { shard: `${spec.id}/1`, tryNo: 9, standing: 'running' },
     ],
   })!;
-  recordHeartbeat(mem, report, monotonicMs(10), true, 2000);
-  const w = { jobs: new Map([[spec.id, job]]), ledger: new AllocationTotals([m], types, new Map()) };
+  recordHeartbeat(session, heartbeat, monotonicMs(10), true, 2000);
+  const w = { jobs: new Map([[spec.id, job]]), totals: new AllocationTotals([m], types, new Map()) };
   assert.deepEqual(
-    confirmedExits(m, mem, w).map((e) => [e.index, e.reason]),
+    confirmedExits(m, session, w).map((e) => [e.index, e.reason]),
     [[0, 'done']],
   );
   assert.deepEqual(
-    agentCommands(m, mem, w, monotonicMs(10), true).map((c) => [c.op, c.index]),
+    agentCommands(m, session, w, monotonicMs(10), true).map((c) => [c.op, c.index]),
     [
       ['stop', 1],
       ['start', 2],
--- a/test/request-burst.test.ts
+++ b/test/request-burst.test.ts
@@ -6,8 +6,8 @@
 import { ClusterView } from '../src/core/state/cluster-view.js';
 import { StateClient } from '../src/io/state/state-client.js';
 import { StateWatcher } from '../src/io/state/state-watcher.js';
-import type { Reply, Transport } from '../src/io/http-client.js';
-import { ProcessClock, World } from './sim/virtual-time.js';
+import type { HttpResponse, Transport } from '../src/io/http-client.js';
+import { ProcessClock, VirtualTime } from './sim/virtual-time.js';
 
 const JOB = jobId('wk-1');
 
@@ -47,11 +47,11 @@
 });
 
 test('waiting for changes takes a bounded part of the requests, however many changes come', async () => {
-  const world = new World(1);
+  const world = new VirtualTime(1);
   const clock = new ProcessClock(world, 1, 0);
   let rev = 10;
   let follows = 0;
-  const answer = (body: unknown): Promise<Reply> =>
+  const answer = (body: unknown): Promise<HttpResponse> =>
     new Promise((resolve) => {
       world.after(2, () => {
         resolve({ status: 200, body });
--- a/test/sim/agents-and-cloud.ts
+++ b/test/sim/agents-and-cloud.ts
@@ -3,15 +3,15 @@
  * tasks. Tasks count as on their machine from the start command on, which is stricter than the rules are.
  */
 import assert from 'node:assert/strict';
-import type { Reply } from '../../src/io/http-client.js';
+import type { HttpResponse } from '../../src/io/http-client.js';
 import type { Limits } from './sizes.js';
-import type { Submitted } from './submitted-job.js';
-import type { World } from './virtual-time.js';
+import type { SubmittedJob } from './submitted-job.js';
+import type { VirtualTime } from './virtual-time.js';
 
 type Json = Record<string, unknown>;
 
 interface Task {
-  readonly job: Submitted;
+  readonly job: SubmittedJob;
   readonly id: string;
   readonly index: number;
   readonly tryNo: number;
@@ -22,19 +22,19 @@
 
 const CAP = { vcpus: 16, cards: 4, memoryGb: 64 };
 
-export class Worker {
+export class SimulatedAgent {
   token = 0;
-  session = 1;
-  seq = 0;
+  agentEpoch = 1;
+  sequence = 0;
   tasks = new Map<string, Task>();
-  node: string;
-  hung = false;
+  controller: string;
+  isHung = false;
   /** Its reports arrive, but answers and commands do not reach it. */
-  deaf = false;
+  isInboundPartitioned = false;
   /** It reaches no controller, while direct commands reach it. */
-  mute = false;
-  gone = false;
-  cutFrom = new Set<string>();
+  isOutboundPartitioned = false;
+  isTerminated = false;
+  partitionedFrom = new Set<string>();
   private answeredSentAt: number;
   private inFlight = 0;
   private soon = false;
@@ -42,31 +42,31 @@
   private heldDirect: (() => void)[] = [];
 
   constructor(
-    readonly fleet: Fleet,
+    readonly fleet: SimulatedCluster,
     readonly name: string,
     readonly zone: string,
     readonly spot: boolean,
   ) {
-    this.answeredSentAt = fleet.world.now;
-    this.node = fleet.world.pick(fleet.nodes);
+    this.answeredSentAt = fleet.time.now;
+    this.controller = fleet.time.pick(fleet.nodes);
     this.loop();
     const lease = () => {
-      if (this.gone) return;
+      if (this.isTerminated) return;
       this.checkLease();
-      fleet.world.after(fleet.workerTickMs * 2, lease);
+      fleet.time.after(fleet.workerTickMs * 2, lease);
     };
     lease();
   }
 
   private checkLease(): void {
-    if (this.hung || this.gone) return;
-    const { world, limits } = this.fleet;
-    if (world.now - this.answeredSentAt <= limits.leaseS * 1000) return;
-    this.fleet.leasesLost += this.tasks.size;
-    for (const t of [...this.tasks.values()]) this.fleet.leave(this, t, 'lease');
+    if (this.isHung || this.isTerminated) return;
+    const { time, limits } = this.fleet;
+    if (time.now - this.answeredSentAt <= limits.leaseS * 1000) return;
+    this.fleet.tasksLostToLeaseExpiry += this.tasks.size;
+    for (const t of [...this.tasks.values()]) this.fleet.recordTaskExit(this, t, 'lease');
     this.tasks.clear();
-    this.session++;
-    this.answeredSentAt = world.now;
+    this.agentEpoch++;
+    this.answeredSentAt = time.now;
     this.changed();
   }
 
@@ -77,8 +77,8 @@
       flavor: 'm',
       vault: this.zone,
       loaner: this.spot,
-      shift: this.session,
-      tally: ++this.seq,
+      shift: this.agentEpoch,
+      tally: ++this.sequence,
       mandate: this.token,
       recallS: null,
       shards: [...this.tasks.values()].map((t) => ({
@@ -95,29 +95,29 @@
   }
 
   private loop(): void {
-    const { world, limits } = this.fleet;
-    if (this.gone) return;
+    const { time, limits } = this.fleet;
+    if (this.isTerminated) return;
     const due =
-      world.now - this.lastSent >= limits.reportS * 1000 || (this.soon && world.now - this.lastSent >= 500);
-    if (!this.hung && this.inFlight === 0 && due) this.send();
-    world.after(this.fleet.workerTickMs * world.real(0.9, 1.1), () => {
+      time.now - this.lastSent >= limits.reportS * 1000 || (this.soon && time.now - this.lastSent >= 500);
+    if (!this.isHung && this.inFlight === 0 && due) this.send();
+    time.after(this.fleet.workerTickMs * time.real(0.9, 1.1), () => {
       this.loop();
     });
   }
 
   private send(): void {
-    const { world } = this.fleet;
-    this.lastSent = world.now;
+    const { time } = this.fleet;
+    this.lastSent = time.now;
     this.soon = false;
     const n = ++this.inFlight;
-    const sentAt = world.now;
-    const session = this.session;
-    const target = this.node;
+    const sentAt = time.now;
+    const session = this.agentEpoch;
+    const target = this.controller;
     let over = false;
     const next = (node: string, ms: number) => {
       over = true;
-      this.node = node;
-      world.after(ms, () => {
+      this.controller = node;
+      time.after(ms, () => {
         if (this.inFlight === n) this.inFlight = 0;
         this.soon = true;
         this.lastSent = 0;
@@ -125,39 +125,39 @@
     };
     const order = this.fleet.nodes;
     const following = order[(order.indexOf(target) + 1) % order.length]!;
-    world.after(4000, () => {
+    time.after(4000, () => {
       if (!over) next(following, 1000);
     });
     const body = this.body();
     this.fleet.toNode(this, target, body, (r) => {
-      if (over || this.gone || this.hung) return;
+      if (over || this.isTerminated || this.isHung) return;
       if (r.status === 200) {
         over = true;
         this.inFlight = 0;
         const b = r.body as Json;
         const tok = Number(b['mandate'] ?? -1);
-        if (tok < this.token || session !== this.session) return;
+        if (tok < this.token || session !== this.agentEpoch) return;
         this.token = tok;
         this.answeredSentAt = sentAt;
         this.execute((b['orders'] ?? []) as Json[]);
       } else if (r.status === 421) {
         const to = (r.body as Json)['answersTo'] as string | undefined;
-        if (to !== undefined && to !== target && order.includes(to)) next(to, world.int(0, 500));
+        if (to !== undefined && to !== target && order.includes(to)) next(to, time.int(0, 500));
         else next(following, 1000);
       } else next(following, 1000);
     });
   }
 
   direct(body: Json, done: (r: Json) => void): void {
-    if (this.gone) return;
-    if (this.hung) {
+    if (this.isTerminated) return;
+    if (this.isHung) {
       this.heldDirect.push(() => {
         this.direct(body, done);
       });
       return;
     }
     const tok = Number(body['mandate']);
-    if (tok >= this.token && body['shift'] === this.session) {
+    if (tok >= this.token && body['shift'] === this.agentEpoch) {
       if (tok > this.token) this.changed();
       this.token = tok;
       this.execute((body['orders'] ?? []) as Json[]);
@@ -166,7 +166,7 @@
   }
 
   resume(): void {
-    this.hung = false;
+    this.isHung = false;
     this.checkLease();
     const held = this.heldDirect;
     this.heldDirect = [];
@@ -193,7 +193,7 @@
     const { fleet } = this;
     const job = fleet.submitted.get(id);
     assert.ok(job !== undefined, `${id} was never submitted and is started`);
-    const t: Task = { job, id, index, tryNo, state: 'pulling', why: null, since: fleet.world.now };
+    const t: Task = { job, id, index, tryNo, state: 'pulling', why: null, since: fleet.time.now };
     this.tasks.set(k, t);
     this.changed();
     for (const other of this.tasks.values())
@@ -202,16 +202,16 @@
         t.why = 'in_use';
         return;
       }
-    fleet.enter(this, t);
-    fleet.world.after(fleet.world.int(200, 3000), () => {
+    fleet.recordTaskStart(this, t);
+    fleet.time.after(fleet.time.int(200, 3000), () => {
       if (t.state !== 'pulling' || this.tasks.get(k) !== t) return;
-      if (job.broken) this.exit(t, 'error');
+      if (job.alwaysFails) this.exit(t, 'error');
       else if (job.kind === 'ensemble') {
         t.state = 'waiting';
-        t.since = fleet.world.now;
+        t.since = fleet.time.now;
         this.changed();
         fleet.gangReady(t);
-        fleet.world.after(fleet.limits.gangWaitS * 1000, () => {
+        fleet.time.after(fleet.limits.gangWaitS * 1000, () => {
           if (t.state === 'waiting' && this.tasks.get(k) === t) this.exit(t, 'incomplete');
         });
       } else this.runTask(t, k);
@@ -222,10 +222,10 @@
     t.state = 'running';
     this.changed();
     if (t.job.kind === 'daemon') return;
-    const { world } = this.fleet;
+    const { time } = this.fleet;
     const finish = () => {
-      if (t.state !== 'running' || this.tasks.get(k) !== t || this.gone) return;
-      if (this.hung) world.after(500, finish);
+      if (t.state !== 'running' || this.tasks.get(k) !== t || this.isTerminated) return;
+      if (this.isHung) time.after(500, finish);
       else {
         if (t.job.kind === 'ensemble') for (let i = 0; i < t.job.tasks; i++) t.job.doneTasks.add(i);
         else t.job.doneTasks.add(t.index);
@@ -233,36 +233,36 @@
         this.exit(t, 'done');
       }
     };
-    world.after(t.job.runMs + t.job.apartMs * t.index, finish);
+    time.after(t.job.runMs + t.job.staggerMs * t.index, finish);
   }
 
   exit(t: Task, why: string): void {
     t.state = 'ended';
     t.why = why;
-    this.fleet.leave(this, t, why);
+    this.fleet.recordTaskExit(this, t, why);
     this.changed();
   }
 
   remove(): void {
-    this.gone = true;
-    for (const t of [...this.tasks.values()]) this.fleet.leave(this, t, 'gone');
+    this.isTerminated = true;
+    for (const t of [...this.tasks.values()]) this.fleet.recordTaskExit(this, t, 'gone');
     this.tasks.clear();
   }
 }
 
-export class Fleet {
-  readonly submitted = new Map<string, Submitted>();
+export class SimulatedCluster {
+  readonly submitted = new Map<string, SubmittedJob>();
   readonly machines = new Map<
     string,
-    { worker: Worker | null; zone: string; spot: boolean; at: number; upAt: number }
+    { worker: SimulatedAgent | null; zone: string; spot: boolean; at: number; upAt: number }
   >();
-  private readonly placed = new Map<string, Set<Worker>>();
-  private readonly onMachine = new Map<Worker, Set<Task>>();
+  private readonly placed = new Map<string, Set<SimulatedAgent>>();
+  private readonly onMachine = new Map<SimulatedAgent, Set<Task>>();
   private readonly rentals = new Map<string, string[]>();
   private number = 0;
   starts = 0;
   /** Tasks killed since a lease ran out. */
-  leasesLost = 0;
+  tasksLostToLeaseExpiry = 0;
   /** Machines that were returned with tasks on them. */
   busyReturned = 0;
   down = false;
@@ -274,21 +274,23 @@
   lastTaskDone: (id: string) => void = () => undefined;
 
   constructor(
-    readonly world: World,
+    readonly time: VirtualTime,
     readonly nodes: readonly string[],
     readonly limits: Limits,
     private readonly quota: ReadonlyMap<string, number>,
     private readonly perZone: number,
-    readonly toNode: (w: Worker, node: string, body: Json, done: (r: Reply) => void) => void,
+    readonly toNode: (w: SimulatedAgent, node: string, body: Json, done: (r: HttpResponse) => void) => void,
   ) {}
 
-  live(): Worker[] {
-    return [...this.machines.values()].flatMap((m) => (m.worker === null || m.worker.gone ? [] : [m.worker]));
+  liveAgents(): SimulatedAgent[] {
+    return [...this.machines.values()].flatMap((m) =>
+      m.worker === null || m.worker.isTerminated ? [] : [m.worker],
+    );
   }
 
   // Rules.
 
-  enter(w: Worker, t: Task): void {
+  recordTaskStart(w: SimulatedAgent, t: Task): void {
     this.starts++;
     const k = `${t.id}/${t.index}`;
     const on = this.placed.get(k) ?? new Set();
@@ -307,7 +309,7 @@
     if (b['samePlace'] === true) assert.equal(zones.size, 1, `wrong_place: ${t.id} in two zones`);
     if (b['scatter'] === true)
       assert.ok(zones.get(w.zone)! <= Math.ceil(t.job.tasks / 2), `wrong_place: ${t.id} not spread`);
-    assert.equal(t.job.toldCancelledAt, null, `ran_cancelled: ${k} starts on ${w.name} token ${w.token}`);
+    assert.equal(t.job.observedCancelledAt, null, `ran_cancelled: ${k} starts on ${w.name} token ${w.token}`);
     for (const need of t.job.needs) {
       const n = this.submitted.get(need)!;
       assert.equal(n.doneTasks.size, n.tasks, `too_early: ${k} starts and ${need} is not done`);
@@ -334,28 +336,28 @@
     const seen = new Set([id]);
     for (const x of seen) {
       const j = this.submitted.get(x)!;
-      first = Math.min(first, j.toldCancelledAt ?? Number.POSITIVE_INFINITY);
+      first = Math.min(first, j.observedCancelledAt ?? Number.POSITIVE_INFINITY);
       for (const n of j.needs) seen.add(n);
     }
     return first;
   }
 
   /** Whether the user of the job, or of one before it, has asked to call it off. */
-  calledOff(id: string): boolean {
+  isCancellationRequested(id: string): boolean {
     const seen = new Set([id]);
     for (const x of seen) {
-      if (this.submitted.get(x)!.asked) return true;
+      if (this.submitted.get(x)!.isCancellationRequested) return true;
       for (const n of this.submitted.get(x)!.needs) seen.add(n);
     }
     return false;
   }
 
   /** Accepted jobs of which nothing runs though a machine has room for a task and the team is below its limit. */
-  neglected(): string[] {
+  starvedJobs(): string[] {
     const used = new Map<string, number>();
     const running = new Set<string>();
-    const free: { w: Worker; vcpus: number; cards: number; memoryGb: number }[] = [];
-    for (const w of this.live()) {
+    const free: { w: SimulatedAgent; vcpus: number; cards: number; memoryGb: number }[] = [];
+    for (const w of this.liveAgents()) {
       const room = { w, ...CAP };
       for (const t of this.onMachine.get(w) ?? []) {
         const b = t.job.body;
@@ -365,12 +367,20 @@
         room.memoryGb -= Number(b['memoryGb']);
         used.set(String(b['tenant']), (used.get(String(b['tenant'])) ?? 0) + Number(b['cards']));
       }
-      if (!w.hung && !w.deaf && !w.mute && w.cutFrom.size === 0) free.push(room);
+      if (!w.isHung && !w.isInboundPartitioned && !w.isOutboundPartitioned && w.partitionedFrom.size === 0)
+        free.push(room);
     }
     const out: string[] = [];
     for (const [id, j] of this.submitted) {
       const b = j.body;
-      if (!j.accepted || j.asked || j.broken || j.toldFinal !== null || running.has(id)) continue;
+      if (
+        !j.accepted ||
+        j.isCancellationRequested ||
+        j.alwaysFails ||
+        j.observedFinalState !== null ||
+        running.has(id)
+      )
+        continue;
       if (j.doneTasks.size === j.tasks || !j.needs.every((n) => this.isDone(n))) continue;
       const [vcpus, cards, memoryGb] = [Number(b['vcpus']), Number(b['cards']), Number(b['memoryGb'])];
       const n = j.kind === 'ensemble' ? j.tasks : 1;
@@ -392,17 +402,18 @@
     return out;
   }
 
-  leave(w: Worker, t: Task, why: string): void {
+  recordTaskExit(w: SimulatedAgent, t: Task, why: string): void {
     const on = this.onMachine.get(w);
     if (on?.delete(t) !== true) return;
     const k = `${t.id}/${t.index}`;
     if (![...on].some((o) => o.id === t.id && o.index === t.index)) this.placed.get(k)?.delete(w);
     if (t.job.kind === 'ensemble' && why !== 'done' && why !== 'incomplete') {
       const attempt = t.tryNo;
-      this.world.after(this.world.real(0.2, this.limits.gangPeerS) * 1000, () => {
+      this.time.after(this.time.real(0.2, this.limits.gangPeerS) * 1000, () => {
         for (const [m, tasks] of this.onMachine)
           for (const o of [...tasks])
-            if (o.id === t.id && o.tryNo === attempt && o.state === 'running' && !m.gone) m.exit(o, 'peers');
+            if (o.id === t.id && o.tryNo === attempt && o.state === 'running' && !m.isTerminated)
+              m.exit(o, 'peers');
       });
     }
     if (t.job.kind === 'ensemble' && why === 'done')
@@ -412,7 +423,7 @@
   }
 
   gangReady(t: Task): void {
-    const all: [Worker, Task][] = [];
+    const all: [SimulatedAgent, Task][] = [];
     for (const [m, tasks] of this.onMachine)
       for (const o of tasks)
         if (o.id === t.id && o.tryNo === t.tryNo && o.state === 'waiting') all.push([m, o]);
@@ -423,15 +434,15 @@
   checkCancelled(): void {
     for (const [m, tasks] of this.onMachine)
       for (const t of tasks) {
-        const told = t.job.toldCancelledAt;
-        if (told === null || this.world.now - told <= this.limits.cancelS * 1000) continue;
+        const told = t.job.observedCancelledAt;
+        if (told === null || this.time.now - told <= this.limits.cancelS * 1000) continue;
         assert.fail(`ran_cancelled: ${t.id}/${t.index} is on ${m.name}`);
       }
   }
 
   // The cloud.
 
-  handle(url: string, body: unknown): Reply {
+  handle(url: string, body: unknown): HttpResponse {
     if (this.down) return { status: 503, body: { error: 'trouble' } };
     const [path = ''] = url.split('?');
     const b = body as Json;
@@ -455,17 +466,16 @@
       };
     if (path === '/machines/release') {
       for (const n of b['tellers'] as string[]) {
-        const { worker } = this.machines.get(n) ?? {};
-        if (worker != null && [...worker.tasks.values()].some((t) => t.state !== 'ended'))
-          this.busyReturned++;
-        worker?.remove();
+        const { worker: agent } = this.machines.get(n) ?? {};
+        if (agent != null && [...agent.tasks.values()].some((t) => t.state !== 'ended')) this.busyReturned++;
+        agent?.remove();
         this.machines.delete(n);
       }
       return { status: 200, body: {} };
     }
     if (path === '/machines' && body !== undefined) return this.rent(b);
     if (path === '/machines') {
-      const old = this.world.now - this.world.int(1000, 4000);
+      const old = this.time.now - this.time.int(1000, 4000);
       const tellers = [...this.machines]
         .filter(([, m]) => m.at <= old)
         .map(([n, m]) => ({
@@ -481,7 +491,7 @@
     return { status: 400, body: null };
   }
 
-  private rent(b: Json): Reply {
+  private rent(b: Json): HttpResponse {
     const name = String(b['rental']);
     const known = this.rentals.get(name);
     if (known !== undefined) return { status: 200, body: { tellers: known } };
@@ -490,7 +500,7 @@
     const n = Math.min(Number(b['howMany']), this.perZone - used);
     if (n <= 0) return { status: 503, body: { error: 'no capacity' } };
     const names: string[] = [];
-    for (let i = 0; i < n; i++) names.push(this.add(zone, b['loaner'] === true, this.world.int(500, 6000)));
+    for (let i = 0; i < n; i++) names.push(this.add(zone, b['loaner'] === true, this.time.int(500, 6000)));
     this.rentals.set(name, names);
     return { status: 200, body: { tellers: names } };
   }
@@ -498,17 +508,17 @@
   add(zone: string, spot: boolean, bootMs: number): string {
     const n = `n-${String(++this.number).padStart(6, '0')}`;
     const m = {
-      worker: null as Worker | null,
+      worker: null as SimulatedAgent | null,
       zone,
       spot,
-      at: this.world.now,
-      upAt: this.world.now + bootMs,
+      at: this.time.now,
+      upAt: this.time.now + bootMs,
     };
     this.machines.set(n, m);
-    if (this.world.chance(0.1)) m.upAt = Number.POSITIVE_INFINITY;
+    if (this.time.happens(0.1)) m.upAt = Number.POSITIVE_INFINITY;
     else
-      this.world.after(bootMs, () => {
-        if (this.machines.get(n) === m) m.worker = new Worker(this, n, zone, spot);
+      this.time.after(bootMs, () => {
+        if (this.machines.get(n) === m) m.worker = new SimulatedAgent(this, n, zone, spot);
       });
     return n;
   }
--- a/test/sim/digest-cli.ts
+++ b/test/sim/digest-cli.ts
@@ -49,9 +49,9 @@
 /** Plays a run in a thread of its own; a run that breaks a rule is a digest too, with its error in place of the sum. */
 function play(job: Job): Promise<RunDigest> {
   return new Promise((resolve) => {
-    const worker = new Worker(__filename, { workerData: job });
-    worker.once('message', resolve);
-    worker.once('error', (error: Error) => {
+    const agent = new Worker(__filename, { workerData: job });
+    agent.once('message', resolve);
+    agent.once('error', (error: Error) => {
       resolve({ run: nameOf(job.spec), messages: 0, sha256: `failed: ${error.message}` });
     });
   });
--- a/test/sim/digest.ts
+++ b/test/sim/digest.ts
@@ -1,8 +1,8 @@
 /** A digest of all that leaves the controllers of a seeded run: two versions of the code behave alike where it is the same. */
 import { createHash, type Hash } from 'node:crypto';
 import { standby } from '../../packages/warm-standby/test/standbys.js';
-import { Sim } from './simulation.js';
-import { FLEET, GROWN, SMALL, type Size } from './sizes.js';
+import { Simulation } from './simulation.js';
+import { FLEET, GROWN, SMALL, type SimulationSize } from './sizes.js';
 
 /** One seeded run with random faults. */
 export interface RunSpec {
@@ -17,7 +17,7 @@
   readonly sha256: string;
 }
 
-const SIZES: Readonly<Record<RunSpec['kind'], Size>> = {
+const SIZES: Readonly<Record<RunSpec['kind'], SimulationSize>> = {
   small: SMALL,
   grown: GROWN,
   fleet: FLEET,
@@ -53,15 +53,15 @@
   const packages = spec.kind === 'standby' ? standby() : undefined;
   const hash: Hash = createHash('sha256');
   let messages = 0;
-  const sim = new Sim(spec.seed, SIZES[spec.kind], isUpgrade, packages, (from, to, message) => {
-    const line = `${sim.world.now.toFixed(3)} ${from} ${to} ${canonical(message)}\n`;
+  const simulation = new Simulation(spec.seed, SIZES[spec.kind], isUpgrade, packages, (from, to, message) => {
+    const line = `${simulation.time.now.toFixed(3)} ${from} ${to} ${canonical(message)}\n`;
     messages++;
     hash.update(line);
     onMessage?.(line);
   });
-  if (isUpgrade) sim.upgrade(UPGRADE_AT_MS);
-  else sim.pipelines = true;
-  sim.troubles(FAULTS_UNTIL_MS);
-  await sim.world.runUntil(END_MS[spec.kind]);
+  if (isUpgrade) simulation.upgrade(UPGRADE_AT_MS);
+  else simulation.submitsPipelines = true;
+  simulation.injectFaults(FAULTS_UNTIL_MS);
+  await simulation.time.runUntil(END_MS[spec.kind]);
   return { run: nameOf(spec), messages, sha256: hash.digest('hex') };
 }
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,27 +1,34 @@
 /** Troubles of seeded runs: one at random each time. */
-import type { Worker } from './agents-and-cloud.js';
-import type { Node } from './simulated-controller.js';
-import type { Sim } from './simulation.js';
+import type { SimulatedAgent } from './agents-and-cloud.js';
+import type { SimulatedController } from './simulated-controller.js';
+import type { Simulation } from './simulation.js';
 import { NODES, ZONES } from './sizes.js';
 
 /** What a trouble may concern. */
-interface Target {
-  readonly sim: Sim;
-  readonly node: Node;
+interface FaultTarget {
+  readonly sim: Simulation;
+  readonly node: SimulatedController;
   /** Null while no machine is up. */
-  readonly worker: Worker | null;
+  readonly worker: SimulatedAgent | null;
 }
-type Trouble = (target: Target) => void;
+type Fault = (target: FaultTarget) => void;
 
-function during(sim: Sim, ms: number, on: () => void, off: () => void): void {
+function during(simulation: Simulation, ms: number, on: () => void, off: () => void): void {
   on();
-  sim.world.after(ms, off);
+  simulation.time.after(ms, off);
 }
 
 /** A field has another value for so long. */
-function become<T, K extends keyof T>(sim: Sim, ms: number, of: T, field: K, on: T[K], off: T[K]): void {
+function setDuring<T, K extends keyof T>(
+  simulation: Simulation,
+  ms: number,
+  of: T,
+  field: K,
+  on: T[K],
+  off: T[K],
+): void {
   during(
-    sim,
+    simulation,
     ms,
     () => {
       of[field] = on;
@@ -32,32 +39,32 @@
   );
 }
 
-function hang(sim: Sim, worker: Worker): void {
+function hang(simulation: Simulation, agent: SimulatedAgent): void {
   during(
-    sim,
-    sim.world.int(500, 14_000),
+    simulation,
+    simulation.time.int(500, 14_000),
     () => {
-      worker.hung = true;
+      agent.isHung = true;
     },
     () => {
-      if (!worker.gone) worker.resume();
+      if (!agent.isTerminated) agent.resume();
     },
   );
 }
 
-function crash(sim: Sim, node: Node, ms: number): void {
+function crash(simulation: Simulation, node: SimulatedController, ms: number): void {
   if (node.controller === null) return;
   node.crash();
-  sim.world.after(ms, () => {
+  simulation.time.after(ms, () => {
     if (node.controller === null) node.start();
   });
 }
 
 /** The node stands still with its connections open, and then goes on with what it knew before. */
-function pause(sim: Sim, node: Node, ms: number): void {
+function pause(simulation: Simulation, node: SimulatedController, ms: number): void {
   const { clock } = node;
   during(
-    sim,
+    simulation,
     ms,
     () => {
       clock.pause();
@@ -69,118 +76,125 @@
 }
 
 /** The node does not reach these for so long. */
-function cut(sim: Sim, node: Node, ms: number, from: readonly ('state' | 'workers' | 'peers')[]): void {
+function partitionController(
+  simulation: Simulation,
+  node: SimulatedController,
+  ms: number,
+  from: readonly ('state' | 'workers' | 'peers')[],
+): void {
   during(
-    sim,
+    simulation,
     ms,
     () => {
-      for (const x of from) node.cut.add(x);
+      for (const x of from) node.unreachable.add(x);
     },
     () => {
-      for (const x of from) node.cut.delete(x);
+      for (const x of from) node.unreachable.delete(x);
     },
   );
 }
 
-function cutZone(sim: Sim): void {
-  const { world } = sim;
-  const workers = sim.fleet.live();
-  const zone = world.pick(ZONES);
-  const far = [...sim.nodes.values()].filter((n) => n.zone !== zone).map((n) => n.name);
-  const near = workers.filter((x) => x.zone === zone);
+function partitionZone(simulation: Simulation): void {
+  const { time } = simulation;
+  const agents = simulation.cluster.liveAgents();
+  const zone = time.pick(ZONES);
+  const far = [...simulation.controllers.values()].filter((n) => n.zone !== zone).map((n) => n.name);
+  const near = agents.filter((x) => x.zone === zone);
   during(
-    sim,
-    world.int(500, 12_000),
+    simulation,
+    time.int(500, 12_000),
     () => {
-      for (const x of near) for (const n of far) x.cutFrom.add(n);
+      for (const x of near) for (const n of far) x.partitionedFrom.add(n);
     },
     () => {
-      for (const x of near) x.cutFrom.clear();
+      for (const x of near) x.partitionedFrom.clear();
     },
   );
 }
 
-const TROUBLES: readonly Trouble[] = [
-  ({ sim, node }) => {
-    crash(sim, node, sim.world.pick([50, 500, 3000, 8000]));
+const FAULTS: readonly Fault[] = [
+  ({ sim: simulation, node }) => {
+    crash(simulation, node, simulation.time.pick([50, 500, 3000, 8000]));
   },
-  ({ sim }) => {
-    for (const n of sim.nodes.values()) crash(sim, n, sim.world.int(50, 4000));
+  ({ sim: simulation }) => {
+    for (const n of simulation.controllers.values()) crash(simulation, n, simulation.time.int(50, 4000));
   },
-  ({ sim }) => {
+  ({ sim: simulation }) => {
     during(
-      sim,
-      sim.world.int(500, 9000),
+      simulation,
+      simulation.time.int(500, 9000),
       () => {
-        sim.state.setOutage(true);
+        simulation.state.setOutage(true);
       },
       () => {
-        sim.state.setOutage(false);
+        simulation.state.setOutage(false);
       },
     );
   },
-  ({ sim, node }) => {
-    cut(sim, node, sim.world.int(500, 12_000), ['state']);
+  ({ sim: simulation, node }) => {
+    partitionController(simulation, node, simulation.time.int(500, 12_000), ['state']);
   },
-  ({ sim, node }) => {
-    cut(sim, node, sim.world.int(500, 12_000), ['workers']);
+  ({ sim: simulation, node }) => {
+    partitionController(simulation, node, simulation.time.int(500, 12_000), ['workers']);
   },
-  ({ sim, node }) => {
-    become(sim, sim.world.int(500, 9000), node, 'refused', true, false);
+  ({ sim: simulation, node }) => {
+    setDuring(simulation, simulation.time.int(500, 9000), node, 'isRefusedByState', true, false);
   },
-  ({ sim, worker }) => {
-    if (worker !== null) hang(sim, worker);
+  ({ sim: simulation, worker: agent }) => {
+    if (agent !== null) hang(simulation, agent);
   },
-  ({ sim, worker }) => {
-    if (worker === null) return;
-    worker.remove();
-    sim.fleet.machines.delete(worker.name);
+  ({ sim: simulation, worker: agent }) => {
+    if (agent === null) return;
+    agent.remove();
+    simulation.cluster.machines.delete(agent.name);
   },
-  ({ sim }) => {
-    cutZone(sim);
+  ({ sim: simulation }) => {
+    partitionZone(simulation);
   },
-  ({ sim, node }) => {
-    cut(sim, node, sim.world.int(500, 9000), ['peers']);
+  ({ sim: simulation, node }) => {
+    partitionController(simulation, node, simulation.time.int(500, 9000), ['peers']);
   },
-  ({ sim, worker }) => {
-    if (worker !== null) become(sim, sim.world.int(2000, 30_000), worker, 'deaf', true, false);
+  ({ sim: simulation, worker: agent }) => {
+    if (agent !== null)
+      setDuring(simulation, simulation.time.int(2000, 30_000), agent, 'isInboundPartitioned', true, false);
   },
-  ({ sim, node }) => {
-    cut(sim, node, sim.world.int(500, 15_000), ['state', 'peers']);
+  ({ sim: simulation, node }) => {
+    partitionController(simulation, node, simulation.time.int(500, 15_000), ['state', 'peers']);
   },
-  ({ sim }) => {
-    become(sim, sim.world.int(3000, 12_000), sim, 'lateWrites', 0.15, 0);
+  ({ sim: simulation }) => {
+    setDuring(simulation, simulation.time.int(3000, 12_000), simulation, 'lateWriteProbability', 0.15, 0);
   },
-  ({ sim, worker }) => {
-    if (worker !== null) become(sim, sim.world.int(2000, 20_000), worker, 'mute', true, false);
+  ({ sim: simulation, worker: agent }) => {
+    if (agent !== null)
+      setDuring(simulation, simulation.time.int(2000, 20_000), agent, 'isOutboundPartitioned', true, false);
   },
   // The one that leads is refused alone, users call jobs off, and then the service is out for all.
-  ({ sim }) => {
-    sim.refuseThenOut(sim.world.int(200, 4000), sim.world.int(2000, 14_000));
+  ({ sim: simulation }) => {
+    simulation.refuseLeaderThenOutage(simulation.time.int(200, 4000), simulation.time.int(2000, 14_000));
   },
-  ({ sim, worker }) => {
-    for (const id of sim.running().slice(0, sim.world.int(1, 6))) sim.callOff(id);
-    if (worker !== null && sim.world.chance(0.5)) hang(sim, worker);
+  ({ sim: simulation, worker: agent }) => {
+    for (const id of simulation.runningJobs().slice(0, simulation.time.int(1, 6))) simulation.cancel(id);
+    if (agent !== null && simulation.time.happens(0.5)) hang(simulation, agent);
   },
-  ({ sim }) => {
-    become(sim, sim.world.int(2000, 9000), sim, 'stateSlowMs', 1500, 0);
+  ({ sim: simulation }) => {
+    setDuring(simulation, simulation.time.int(2000, 9000), simulation, 'maxStateDelayMs', 1500, 0);
   },
-  ({ sim }) => {
-    become(sim, sim.world.int(4000, 15_000), sim, 'offAtEnd', 0.5, 0);
+  ({ sim: simulation }) => {
+    setDuring(simulation, simulation.time.int(4000, 15_000), simulation, 'cancelAtEndProbability', 0.5, 0);
   },
-  ({ sim }) => {
-    for (let i = 0; i < 5; i++) sim.odd();
+  ({ sim: simulation }) => {
+    for (let i = 0; i < 5; i++) simulation.submitInvalidJob();
   },
-  ({ sim, node }) => {
-    pause(sim, node, sim.world.pick([600, 3000, 9000, 20_000]));
+  ({ sim: simulation, node }) => {
+    pause(simulation, node, simulation.time.pick([600, 3000, 9000, 20_000]));
   },
 ];
 
 /** One trouble, to one controller or machine. */
-export function makeTrouble(sim: Sim): void {
-  const { world } = sim;
-  const node = sim.nodes.get(world.pick(NODES))!;
-  const workers = sim.fleet.live();
-  const worker = workers.length === 0 ? null : world.pick(workers);
-  TROUBLES[world.int(0, TROUBLES.length - 1)]!({ sim, node, worker });
+export function injectRandomFault(simulation: Simulation): void {
+  const { time } = simulation;
+  const node = simulation.controllers.get(time.pick(NODES))!;
+  const agents = simulation.cluster.liveAgents();
+  const agent = agents.length === 0 ? null : time.pick(agents);
+  FAULTS[time.int(0, FAULTS.length - 1)]!({ sim: simulation, node, worker: agent });
 }
--- a/test/sim/simulated-controller.ts
+++ b/test/sim/simulated-controller.ts
@@ -4,17 +4,17 @@
 import type { PlatformSettings } from '../../src/config/platform-settings.js';
 import { Controller, type ControllerDependencies } from '../../src/controller/controller.js';
 import { jobId, nodeName, teamName, zoneName } from '../../src/core/model/ids.js';
-import type { Reply, Transport } from '../../src/io/http-client.js';
+import type { HttpResponse, Transport } from '../../src/io/http-client.js';
 import type { Peer } from '../../src/io/peers/peer-link.js';
 import { directCommandsToWire, heartbeatFromWire } from '../../src/io/agents/agent-messages.js';
 import type { AgentGateway } from '../../src/io/agents/agent-client.js';
-import type { LoadedPackage } from '../../src/plugin-host/api.js';
-import type { Sim } from './simulation.js';
+import type { LoadedPlugin } from '../../src/plugin-host/api.js';
+import type { Simulation } from './simulation.js';
 import { LIMITS, NODES, TEAMS, ZONES, type Json } from './sizes.js';
 import { ProcessClock } from './virtual-time.js';
 
 /** A change as the version before pipelines wrote it. */
-function asBefore(o: Json): void {
+function asPreviousVersion(o: Json): void {
   if (String(o['write']).startsWith('f/')) delete (o['value'] as Json)['at'];
 }
 
@@ -27,39 +27,39 @@
 const OPERATOR =
   '[placement]\nbehind_s = 20\n[fleet]\nidle_boot_factor = 2\nrefused_s = 2\n[sessions]\nttl_s = 2\nrenew_every_s = 0.5\n[slices]\nsettled_s = 2\n';
 
-export class Node {
+export class SimulatedController {
   controller: Controller | null = null;
   clock: ProcessClock;
-  lives = 0;
+  starts = 0;
   /** The packages that the node runs, made anew with each start. */
-  packages: (settings: PlatformSettings) => readonly LoadedPackage[] = () => [];
+  packages: (settings: PlatformSettings) => readonly LoadedPlugin[] = () => [];
   /** Controllers that it does not reach, and that do not reach it. */
-  readonly cutFrom = new Set<string>();
+  readonly partitionedFrom = new Set<string>();
   /** What the node cannot reach now. */
-  readonly cut = new Set<'state' | 'workers' | 'peers'>();
-  refused = false;
+  readonly unreachable = new Set<'state' | 'workers' | 'peers'>();
+  isRefusedByState = false;
   /** How much later than usual the watch tells this node of changes. */
   watchLagMs = 0;
   /** It runs the version before pipelines: it knows nothing of lower limits, and its final states have no time. */
-  old = false;
+  runsPreviousVersion = false;
 
   constructor(
-    private readonly sim: Sim,
+    private readonly simulation: Simulation,
     readonly name: string,
     readonly zone: string,
   ) {
-    this.clock = new ProcessClock(sim.world, 1, 0);
+    this.clock = new ProcessClock(simulation.time, 1, 0);
   }
 
   start(): void {
-    const { sim } = this;
-    const { world } = sim;
-    this.clock = new ProcessClock(world, world.real(1, 1.0005), world.int(-100, 100));
-    this.lives++;
+    const { simulation } = this;
+    const { time } = simulation;
+    this.clock = new ProcessClock(time, time.real(1, 1.0005), time.int(-100, 100));
+    this.starts++;
     const outside: ControllerDependencies = {
       clock: this.clock,
-      identity: `${this.name}-${this.lives}`,
-      random: () => world.real(0, 1),
+      identity: `${this.name}-${this.starts}`,
+      random: () => time.real(0, 1),
       state: this.stateService(this.clock, false),
       watch: this.stateService(this.clock, true),
       cloud: this.cloud(this.clock),
@@ -77,7 +77,7 @@
       packages: this.packages(settings),
     });
     this.controller.run().catch((e: unknown) => {
-      sim.failed ??= asError(e);
+      simulation.failed ??= asError(e);
     });
   }
 
@@ -87,7 +87,7 @@
   }
 
   private settings(): PlatformSettings {
-    const { size, next } = this.sim;
+    const { size, upcomingLimits } = this.simulation;
     return {
       node: nodeName(this.name),
       zone: zoneName(this.zone),
@@ -121,7 +121,7 @@
         write_rps: size.writeRps,
         value_kb: 8,
         txn_ops: size.txnOps,
-        ...(this.old || next === null ? {} : { next }),
+        ...(this.runsPreviousVersion || upcomingLimits === null ? {} : { next: upcomingLimits }),
       },
       cloudLimits: { rps: 5, list_lag_s: 2 },
       limits: { cpu: 1, ram_mb: 100, max_connections: 100 },
@@ -129,13 +129,13 @@
   }
 
   private stateService(clock: ProcessClock, watch: boolean): Transport {
-    const { sim } = this;
+    const { simulation } = this;
     return {
       request: (method, path, body, timeoutMs) =>
-        new Promise<Reply>((resolve, reject) => {
-          const give = (r: Reply) => {
-            sim.world.after(sim.world.int(1, 12) + (watch ? this.watchLagMs : 0), () => {
-              if (this.cut.has('state')) return;
+        new Promise<HttpResponse>((resolve, reject) => {
+          const give = (r: HttpResponse) => {
+            simulation.time.after(simulation.time.int(1, 12) + (watch ? this.watchLagMs : 0), () => {
+              if (this.unreachable.has('state')) return;
               clock.run(() => {
                 resolve(r);
               });
@@ -144,72 +144,73 @@
           clock.after(timeoutMs, () => {
             reject(new Error('no answer'));
           });
-          sim.observe(this.name, watch ? 'state watch' : 'state', { method, path, body });
+          simulation.observe(this.name, watch ? 'state watch' : 'state', { method, path, body });
           const copy: unknown = body === undefined ? undefined : structuredClone(body);
-          if (this.old) for (const o of (copy as { then?: Json[] } | undefined)?.then ?? []) asBefore(o);
+          if (this.runsPreviousVersion)
+            for (const o of (copy as { then?: Json[] } | undefined)?.then ?? []) asPreviousVersion(o);
           const go = () => {
-            if (this.refused && !watch) give({ status: 503, body: null });
-            else if (watch) sim.state.follow(path, give);
-            else give(sim.state.handle(method, path, copy));
+            if (this.isRefusedByState && !watch) give({ status: 503, body: null });
+            else if (watch) simulation.state.follow(path, give);
+            else give(simulation.state.handle(method, path, copy));
           };
           if (watch) this.deliver(go);
-          else this.send(go, () => sim.state.handle(method, path, copy), copy);
+          else this.send(go, () => simulation.state.handle(method, path, copy), copy);
         }),
     };
   }
 
   /** What a cut holds back is delivered when it ends, even if nobody waits any more. */
   private deliver(go: () => void): void {
-    const { world } = this.sim;
+    const { time } = this.simulation;
     const arrive = () => {
-      if (this.cut.has('state')) world.after(700, arrive);
+      if (this.unreachable.has('state')) time.after(700, arrive);
       else go();
     };
-    world.after(world.int(1, 12), arrive);
+    time.after(time.int(1, 12), arrive);
   }
 
   /** A request to the state service that may be lost, slow, or carried out without an answer. */
   private send(go: () => void, carryOut: () => void, body: unknown): void {
-    const { sim } = this;
-    const { world } = sim;
+    const { simulation } = this;
+    const { time } = simulation;
     const arrive = () => {
-      if (this.cut.has('state')) world.after(700, arrive);
+      if (this.unreachable.has('state')) time.after(700, arrive);
       else go();
     };
     // Now and then a request is lost; towards the end no more, so that everything can come to its end.
-    const rough = !sim.smooth && world.now < 90_000;
-    if (rough && world.chance(0.002)) return;
+    const rough = !simulation.isSmooth && time.now < 90_000;
+    if (rough && time.happens(0.002)) return;
     // A change whose answer is lost, and which is carried out after newer ones of the same process.
     const writes = (body as { then?: unknown[] } | undefined)?.then?.length ?? 0;
-    if (writes > 0 && world.chance(sim.lateWrites)) {
-      world.after(world.int(2000, 12_000), () => {
-        sim.lateWritten++;
+    if (writes > 0 && time.happens(simulation.lateWriteProbability)) {
+      time.after(time.int(2000, 12_000), () => {
+        simulation.lateWritesApplied++;
         carryOut();
       });
       return;
     }
-    if (sim.stateSlowMs > 0) {
-      world.after(world.int(0, sim.stateSlowMs), arrive);
+    if (simulation.maxStateDelayMs > 0) {
+      time.after(time.int(0, simulation.maxStateDelayMs), arrive);
       return;
     }
     // Now and then a request is slow, and some of those come after their sender gave up.
-    world.after(rough && world.chance(0.01) ? world.int(200, 6000) : world.int(1, 12), arrive);
+    time.after(rough && time.happens(0.01) ? time.int(200, 6000) : time.int(1, 12), arrive);
   }
 
   private cloud(clock: ProcessClock): Transport {
-    const { sim } = this;
-    const { world } = sim;
+    const { simulation } = this;
+    const { time } = simulation;
     return {
       request: (method, path, body, timeoutMs) =>
-        new Promise<Reply>((resolve, reject) => {
-          sim.observe(this.name, 'cloud', { method, path, body });
+        new Promise<HttpResponse>((resolve, reject) => {
+          simulation.observe(this.name, 'cloud', { method, path, body });
           clock.after(timeoutMs, () => {
             reject(new Error('no answer'));
           });
-          const late = world.chance(0.03);
-          if (late && world.chance(0.3)) return;
-          world.after(late ? world.int(4000, 12_000) : world.int(20, 200), () => {
-            const r = sim.fleet.handle(path, body);
+          const late = time.happens(0.03);
+          if (late && time.happens(0.3)) return;
+          time.after(late ? time.int(4000, 12_000) : time.int(20, 200), () => {
+            const r = simulation.cluster.handle(path, body);
             clock.run(() => {
               resolve(r);
             });
@@ -219,8 +220,8 @@
   }
 
   private workers(clock: ProcessClock): AgentGateway {
-    const { sim } = this;
-    const { world } = sim;
+    const { simulation } = this;
+    const { time } = simulation;
     return {
       sendCommands: (address, tok, session, commands) =>
         new Promise((resolve) => {
@@ -228,12 +229,16 @@
             resolve(null);
           });
           const body = JSON.parse(JSON.stringify(directCommandsToWire(tok, session, commands))) as Json;
-          sim.observe(this.name, `agent ${address}`, body);
+          simulation.observe(this.name, `agent ${address}`, body);
           const arrive = () => {
-            const w = sim.fleet.machines.get(address)?.worker;
-            if (w == null || w.gone) return;
-            if (this.cut.has('workers') || sim.cutOff(w, this.name) || w.deaf) {
-              world.after(900, arrive);
+            const w = simulation.cluster.machines.get(address)?.worker;
+            if (w == null || w.isTerminated) return;
+            if (
+              this.unreachable.has('workers') ||
+              simulation.isPartitioned(w, this.name) ||
+              w.isInboundPartitioned
+            ) {
+              time.after(900, arrive);
               return;
             }
             w.direct(body, (r) => {
@@ -242,7 +247,7 @@
               });
             });
           };
-          world.after(world.int(1, 5), arrive);
+          time.after(time.int(1, 5), arrive);
         }),
     };
   }
@@ -259,18 +264,18 @@
     delayMs: number,
     asked: (controller: Controller) => Promise<T>,
   ): Promise<T | null> {
-    const { world } = this.sim;
+    const { time } = this.simulation;
     return new Promise((resolve, reject) => {
       clock.after(ms, () => {
         resolve(null);
       });
-      world.after(delayMs, () => {
-        const to = this.sim.nodes.get(name)!;
+      time.after(delayMs, () => {
+        const to = this.simulation.controllers.get(name)!;
         if (
-          this.cut.has('peers') ||
-          to.cut.has('peers') ||
-          this.cutFrom.has(name) ||
-          to.cutFrom.has(this.name)
+          this.unreachable.has('peers') ||
+          to.unreachable.has('peers') ||
+          this.partitionedFrom.has(name) ||
+          to.partitionedFrom.has(this.name)
         )
           return;
         const { controller } = to;
@@ -289,10 +294,10 @@
   }
 
   private peer(clock: ProcessClock, name: string): Peer {
-    const { world } = this.sim;
-    const delay = () => world.int(1, 6);
+    const { time } = this.simulation;
+    const delay = () => time.int(1, 6);
     const observe = (message: unknown) => {
-      this.sim.observe(this.name, name, message);
+      this.simulation.observe(this.name, name, message);
     };
     return {
       contact: (ms) => {
--- a/test/sim/sizes.ts
+++ b/test/sim/sizes.ts
@@ -24,7 +24,7 @@
 ]);
 
 /** How large a run is; the teams' limits grow with it. */
-export interface Size extends Budget {
+export interface SimulationSize extends Budget {
   readonly times: number;
   readonly perZone: number;
   /** Users submit a job about this often. */
@@ -37,7 +37,7 @@
   /** The rules are checked after every so many steps. */
   readonly checkEvery?: number;
 }
-export const SMALL: Size = {
+export const SMALL: SimulationSize = {
   times: 1,
   perZone: 6,
   everyMs: 1900,
@@ -47,7 +47,7 @@
   txnOps: 8,
 };
 /** Moves, rentals and starts take several transactions each, and the write budget is often spent. */
-export const GROWN: Size = {
+export const GROWN: SimulationSize = {
   times: 8,
   perZone: 48,
   everyMs: 1900,
@@ -57,7 +57,7 @@
   txnOps: 4,
 };
 /** Room for 900 machines. The budget lets a run come to its end in time, and is spent for most of it all the same. */
-export const FLEET: Size = {
+export const FLEET: SimulationSize = {
   times: 70,
   perZone: 450,
   everyMs: 900,
@@ -67,7 +67,7 @@
   txnOps: 8,
 };
 /** Room for 4,400 machines. */
-export const HUGE: Size = {
+export const HUGE: SimulationSize = {
   times: 2000,
   perZone: 2200,
   everyMs: 4000,
@@ -82,17 +82,17 @@
 export type Json = Record<string, unknown>;
 
 /** What a test says of a job. */
-export interface Given {
+export interface JobOverrides {
   readonly kind?: 'sweep' | 'ensemble' | 'daemon';
   readonly tasks?: number;
   /** How long each task runs. */
   readonly runMs?: number;
   /** How much longer each task runs than the one before it. */
-  readonly apartMs?: number;
+  readonly staggerMs?: number;
   readonly fields?: Json;
   readonly needs?: readonly string[];
   /** It was submitted with a mistake and fails on every machine. */
-  readonly broken?: boolean;
+  readonly alwaysFails?: boolean;
   /** Its user does not call it off by chance. */
-  readonly stays?: boolean;
+  readonly isNeverCancelled?: boolean;
 }
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -1,6 +1,6 @@
 /** A stand-in for the state service, written from PROTOCOL. */
-import type { Reply } from '../../src/io/http-client.js';
-import type { World } from './virtual-time.js';
+import type { HttpResponse } from '../../src/io/http-client.js';
+import type { VirtualTime } from './virtual-time.js';
 
 interface Row {
   value: unknown;
@@ -39,27 +39,27 @@
   tooLarge = 0;
 
   constructor(
-    private readonly world: World,
+    private readonly time: VirtualTime,
     /** May change at any time. */
     public budget: Budget,
   ) {
     this.left = { requests: budget.rps, writes: budget.writeRps, at: 0 };
     const tick = () => {
       this.expire();
-      world.after(50, tick);
+      time.after(50, tick);
     };
     tick();
   }
 
   setOutage(on: boolean): void {
     // After an outage every lease has its full time again.
-    if (this.outage && !on) for (const l of this.leases.values()) l.until = this.world.now + l.ttl;
+    if (this.outage && !on) for (const l of this.leases.values()) l.until = this.time.now + l.ttl;
     this.outage = on;
   }
 
   private expire(): void {
     if (this.outage) return;
-    for (const [id, l] of [...this.leases]) if (l.until < this.world.now) this.end(id);
+    for (const [id, l] of [...this.leases]) if (l.until < this.time.now) this.end(id);
   }
 
   private end(id: number): void {
@@ -81,9 +81,9 @@
 
   /** False where the budget is spent: bursts of one second's worth are allowed. */
   private take(writes: number): boolean {
-    const { left, budget, world } = this;
-    const s = (world.now - left.at) / 1000;
-    left.at = world.now;
+    const { left, budget, time } = this;
+    const s = (time.now - left.at) / 1000;
+    left.at = time.now;
     left.requests = Math.min(budget.rps, left.requests + s * budget.rps);
     left.writes = Math.min(budget.writeRps, left.writes + s * budget.writeRps);
     this.counts.requests++;
@@ -97,7 +97,7 @@
     return true;
   }
 
-  handle(method: string, url: string, body: unknown): Reply {
+  handle(method: string, url: string, body: unknown): HttpResponse {
     if (this.outage) return { status: 503, body: null };
     this.expire();
     if (!this.take(((body as Json | undefined)?.['then'] as unknown[] | undefined)?.length ?? 0))
@@ -117,7 +117,7 @@
     if (path === '/grants') {
       const id = this.nextLease++;
       const ttl = Number((body as Json)['ttlMs']);
-      this.leases.set(id, { ttl, until: this.world.now + ttl + this.world.int(0, 100) });
+      this.leases.set(id, { ttl, until: this.time.now + ttl + this.time.int(0, 100) });
       return { status: 200, body: { hold: id } };
     }
     const m = /^\/grants\/(\d+)(\/touch)?$/.exec(path);
@@ -126,13 +126,13 @@
       const l = this.leases.get(id);
       if (l === undefined) return { status: 404, body: null };
       if (method === 'DELETE') this.end(id);
-      else l.until = this.world.now + l.ttl + this.world.int(0, 100);
+      else l.until = this.time.now + l.ttl + this.time.int(0, 100);
       return { status: 200, body: {} };
     }
     return { status: 400, body: null };
   }
 
-  private list(q: URLSearchParams): Reply {
+  private list(q: URLSearchParams): HttpResponse {
     const prefix = q.get('starts') ?? '';
     const from = q.get('from') ?? '';
     const most = Math.min(Number(q.get('most') ?? 1000), this.pageRows);
@@ -145,7 +145,7 @@
     return { status: 200, body: { rows, hasNext: keys.length > most, ledgerRev: this.rev } };
   }
 
-  private txn(b: Json): Reply {
+  private txn(b: Json): HttpResponse {
     const guards = (b['guards'] ?? []) as { path: string; entryRev: number }[];
     const then = (b['then'] ?? []) as Json[];
     for (const o of then) {
@@ -180,11 +180,11 @@
   }
 
   /** Calls back once, at a change or when the time is over. */
-  follow(url: string, done: (r: Reply) => void): void {
+  follow(url: string, done: (r: HttpResponse) => void): void {
     const q = new URLSearchParams(url.split('?')[1]);
     const prefix = q.get('starts') ?? '';
     const from = Number(q.get('from'));
-    const until = this.world.now + Number(q.get('blockMs') ?? 0);
+    const until = this.time.now + Number(q.get('blockMs') ?? 0);
     if (this.outage) {
       done({ status: 503, body: null });
       return;
@@ -214,7 +214,7 @@
     const onChange = () => void look(false);
     if (look(false)) return;
     this.watchers.add(onChange);
-    this.world.at(until, () => {
+    this.time.at(until, () => {
       if (this.watchers.has(onChange)) look(true);
     });
   }
--- a/test/sim/submitted-job.ts
+++ b/test/sim/submitted-job.ts
@@ -1,41 +1,41 @@
 /** Jobs of the stand-ins: what was submitted, and what was told about it. */
 
 /** A job as its user knows it. */
-export interface Submitted {
+export interface SubmittedJob {
   readonly body: Readonly<Record<string, unknown>>;
   readonly kind: string;
   readonly tasks: number;
   readonly runMs: number;
   /** How much longer each task runs than the one before it. */
-  readonly apartMs: number;
+  readonly staggerMs: number;
   /** Fails on every machine. */
-  readonly broken: boolean;
+  readonly alwaysFails: boolean;
   doneTasks: Set<number>;
-  toldCancelledAt: number | null;
-  toldFinal: string | null;
+  observedCancelledAt: number | null;
+  observedFinalState: string | null;
   /** When its user last got an answer about it. */
   answeredAt: number | null;
   accepted: boolean;
   /** Its user has asked to call it off. */
-  asked: boolean;
+  isCancellationRequested: boolean;
   /** The jobs that it names. */
   readonly needs: readonly string[];
 }
 
-type Known = Pick<Submitted, 'body' | 'kind' | 'tasks' | 'runMs'>;
+type Known = Pick<SubmittedJob, 'body' | 'kind' | 'tasks' | 'runMs'>;
 
 /** A job about which nothing has been told yet. */
 export const newJob = (
-  known: Known & Partial<Pick<Submitted, 'apartMs' | 'broken' | 'needs'>>,
-): Submitted => ({
-  apartMs: 0,
-  broken: false,
+  known: Known & Partial<Pick<SubmittedJob, 'staggerMs' | 'alwaysFails' | 'needs'>>,
+): SubmittedJob => ({
+  staggerMs: 0,
+  alwaysFails: false,
   needs: [],
   ...known,
   doneTasks: new Set(),
-  toldCancelledAt: null,
-  toldFinal: null,
+  observedCancelledAt: null,
+  observedFinalState: null,
   answeredAt: null,
   accepted: false,
-  asked: false,
+  isCancellationRequested: false,
 });
--- a/test/sim/virtual-time.ts
+++ b/test/sim/virtual-time.ts
@@ -9,7 +9,7 @@
   readonly fn: () => void;
 }
 
-export class World {
+export class VirtualTime {
   now = 0;
   private readonly random: RandomGenerator;
   private readonly heap: Event[] = [];
@@ -27,7 +27,7 @@
   real(from: number, to: number): number {
     return from + ((to - from) * this.int(0, 1_000_000)) / 1_000_000;
   }
-  chance(p: number): boolean {
+  happens(p: number): boolean {
     return this.real(0, 1) < p;
   }
   pick<T>(list: readonly T[]): T {
@@ -98,7 +98,7 @@
   private paused = false;
   private held: (() => void)[] = [];
   constructor(
-    private readonly world: World,
+    private readonly time: VirtualTime,
     private readonly rate: number,
     private readonly wallOff: number,
   ) {}
@@ -119,20 +119,20 @@
     const held = this.held;
     this.held = [];
     for (const fn of held)
-      this.world.after(0, () => {
+      this.time.after(0, () => {
         this.run(fn);
       });
   }
 
   now() {
-    return monotonicMs(this.world.now * this.rate);
+    return monotonicMs(this.time.now * this.rate);
   }
   wallClock() {
-    return wallClockMs(1_700_000_000_000 + this.world.now + this.wallOff);
+    return wallClockMs(1_700_000_000_000 + this.time.now + this.wallOff);
   }
   after(ms: number, fn: () => void): () => void {
     let off = false;
-    this.world.after(ms / this.rate, () => {
+    this.time.after(ms / this.rate, () => {
       this.run(() => {
         if (!off) fn();
       });
--- a/test/state-usage.test.ts
+++ b/test/state-usage.test.ts
@@ -1,58 +1,58 @@
 /** What changes of the state service are spent on. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { begun, job, one, submitTo, until, wait } from './sim/pipeline-helpers.js';
-import { GROWN, type Sim } from './sim/simulation.js';
+import { runQuietly, job, submitSmall, submitTo, advanceUntil, advance } from './sim/pipeline-helpers.js';
+import { GROWN, type Simulation } from './sim/simulation.js';
 
 /** Changes written so far for one reason, by all controllers. */
-const written = (sim: Sim, reason: string): number => {
+const written = (simulation: Simulation, reason: string): number => {
   let sum = 0;
-  for (const n of sim.nodes.values())
+  for (const n of simulation.controllers.values())
     sum += n.controller!.context.state.usage.snapshot().written[reason] ?? 0;
   return sum;
 };
 
 test('an array whose tasks end beside one another costs no change for results but that of its end', async () => {
-  const sim = await begun(4);
+  const simulation = await runQuietly(4);
   // Later than its users submit anything by themselves, so that nothing else writes results.
-  await wait(sim, 110_000);
-  const before = { results: written(sim, 'results'), end: written(sim, 'end') };
-  const id = sim.submit({
+  await advance(simulation, 110_000);
+  const before = { results: written(simulation, 'results'), end: written(simulation, 'end') };
+  const id = simulation.submit({
     kind: 'sweep',
-    stays: true,
+    isNeverCancelled: true,
     tasks: 12,
-    apartMs: 500,
+    staggerMs: 500,
     fields: { cards: 0, vcpus: 1, memoryGb: 1, loaner: true, expectedS: 15 },
   });
-  await until(sim, () => job(sim, id).toldFinal === 'done', 60_000);
-  assert.equal(written(sim, 'results') - before.results, 0);
-  assert.equal(written(sim, 'end') - before.end, 2);
+  await advanceUntil(simulation, () => job(simulation, id).observedFinalState === 'done', 60_000);
+  assert.equal(written(simulation, 'results') - before.results, 0);
+  assert.equal(written(simulation, 'end') - before.end, 2);
 });
 
 test('results of a job that runs for long are written all the same', async () => {
-  const sim = await begun(4);
-  await wait(sim, 110_000);
-  const before = written(sim, 'results');
-  const id = one(sim, [], 200, { vcpus: 8, expectedS: 3 });
-  await until(sim, () => job(sim, id).toldFinal === 'done', 400_000);
-  assert.ok(written(sim, 'results') - before >= 3, `${written(sim, 'results') - before}`);
+  const simulation = await runQuietly(4);
+  await advance(simulation, 110_000);
+  const before = written(simulation, 'results');
+  const id = submitSmall(simulation, [], 200, { vcpus: 8, expectedS: 3 });
+  await advanceUntil(simulation, () => job(simulation, id).observedFinalState === 'done', 400_000);
+  assert.ok(written(simulation, 'results') - before >= 3, `${written(simulation, 'results') - before}`);
 });
 
 test('a submission that the budget refuses for a moment is accepted; in an outage it is refused at once', async () => {
-  const sim = await begun(4, GROWN);
-  const { budget } = sim.state;
+  const simulation = await runQuietly(4, GROWN);
+  const { budget } = simulation.state;
   for (let i = 0; i < 5; i++) {
-    sim.state.budget = { ...budget, writeRps: 0.01 };
-    sim.world.after(100, () => {
-      sim.state.budget = budget;
+    simulation.state.budget = { ...budget, writeRps: 0.01 };
+    simulation.time.after(100, () => {
+      simulation.state.budget = budget;
     });
-    const r = await submitTo(sim, 'c-0', { nameId: `wk-moment${i}` });
+    const r = await submitTo(simulation, 'c-0', { nameId: `wk-moment${i}` });
     assert.equal(r.kind, 'accepted');
-    await wait(sim, 2000);
+    await advance(simulation, 2000);
   }
-  sim.state.setOutage(true);
-  const start = sim.world.now;
-  const r = await submitTo(sim, 'c-0', { nameId: 'wk-outage' });
+  simulation.state.setOutage(true);
+  const start = simulation.time.now;
+  const r = await submitTo(simulation, 'c-0', { nameId: 'wk-outage' });
   assert.equal(r.kind, 'later');
-  assert.ok(sim.world.now - start < 200);
+  assert.ok(simulation.time.now - start < 200);
 });
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -220,7 +220,7 @@
   assert.equal((await app.inject({ method: 'GET', url: '/v1/jobs/%20' })).statusCode, 404);
   assert.equal((await post(app, '/v1/jobs', submission())).statusCode, 422);
   assert.equal((await post(app, '/v1/report', { teller: 'n-1' })).statusCode, 400);
-  const report = {
+  const heartbeat = {
     teller: 'n-1',
     flavor: 'm',
     vault: 'a',
@@ -230,6 +230,6 @@
     mandate: 0,
     shards: [],
   };
-  const r = await post(app, '/v1/report', report);
+  const r = await post(app, '/v1/report', heartbeat);
   assert.deepEqual(r.json(), { mandate: 7, orders: [] });
 });
