--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -1,4 +1,5 @@
 /** Planned handover: what a controller holds goes to warm standbys before it is restarted, without waiting for detection. */
+import { LOG_EVENT } from './log-events.js';
 import { Type } from '@sinclair/typebox';
 import { firstSchemaError } from '../../../src/config/platform-settings.js';
 import type { NodeName } from '../../../src/core/model/ids.js';
@@ -66,7 +67,7 @@
       else moves.push(prepared);
     }
     const handedOver = await this.commit(moves, refused);
-    log.info({ handedOver, refused }, 'handover');
+    log.info({ handedOver, refused }, LOG_EVENT.handoverFinished);
     tracer.record({ name: 'handover', startMs, endMs: clock.now(), self: span });
     return { status: refused.length === 0 ? 200 : 409, body: { handedOver, refused } };
   }
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -2,6 +2,7 @@
  * The holder's loop: keeps the log of each slice that this process holds and sends it to the slice's standbys. A standby that
  * is slow or away falls behind; nothing here ever waits for it.
  */
+import { LOG_EVENT } from './log-events.js';
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { MonotonicMs } from '../../../src/core/model/time.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
@@ -207,7 +208,7 @@
       : this.sendEntries(published.log, follower);
     sent
       .catch((e: unknown) => {
-        log.error({ err: e, standby: follower.node }, 'sending to a standby');
+        log.error({ err: e, standby: follower.node }, LOG_EVENT.replicationFailed);
         follower.note(null, clock.now());
       })
       .finally(() => {
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -1,4 +1,5 @@
 /** The standby's side of the messages: follows the logs of slices, answers probes and the question before a handover. */
+import { LOG_EVENT } from './log-events.js';
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
@@ -94,7 +95,7 @@
       return { status, applied: this.replicas.get(message.shard)?.applied ?? 0 };
     } catch (e) {
       if (!(e instanceof MessageError)) throw e;
-      this.service.log.info({ from, code: e.code, why: e.message }, 'standby message rejected');
+      this.service.log.info({ from, code: e.code, why: e.message }, LOG_EVENT.standbyMessageRejected);
       return this.reject(e.code);
     }
   }
--- a/packages/warm-standby/src/takeover.ts
+++ b/packages/warm-standby/src/takeover.ts
@@ -2,6 +2,7 @@
  * The standby's loop: watches the holders of the slices that this controller stands by for, confirms a suspicion with the
  * other controllers, and takes the slice. Suspicion starts a takeover and proves nothing; the state service decides.
  */
+import { LOG_EVENT } from './log-events.js';
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import { Backoff } from './backoff.js';
@@ -121,7 +122,7 @@
       this.suspicions.set(shard.shard, suspicion);
       this.service.log.info(
         { slice: shard.shard, holder: shard.holder, phi: this.monitor.phi(shard.holder, now) },
-        'holder suspected',
+        LOG_EVENT.holderSuspected,
       );
     }
     if (!suspicion.isProbing && now >= suspicion.notBefore) this.investigate(shard, suspicion, rank);
@@ -132,7 +133,7 @@
     suspicion.isProbing = true;
     this.tryTakeover(shard, suspicion, rank)
       .catch((e: unknown) => {
-        log.error({ err: e, slice: shard.shard }, 'takeover');
+        log.error({ err: e, slice: shard.shard }, LOG_EVENT.takeoverFailed);
       })
       .finally(() => {
         suspicion.isProbing = false;
@@ -165,7 +166,7 @@
       if (suspicion.why !== decision.why) {
         if (decision.why === 'holder_answers' || decision.why === 'holder_reached_by_another')
           this.counts.refuted++;
-        log.info({ slice: shard.shard, holder: shard.holder, why: decision.why }, 'takeover waits');
+        log.info({ slice: shard.shard, holder: shard.holder, why: decision.why }, LOG_EVENT.takeoverDeferred);
       }
       suspicion.why = decision.why;
       return;
@@ -178,7 +179,7 @@
     // Counted before the outcome is known: a change without an answer may be applied yet.
     this.backoffOf(shard.shard).note(clock.now());
     const outcome = await shardControl.takeOver(shard);
-    log.info({ slice: shard.shard, from: shard.holder, outcome: outcome.kind }, 'takeover tried');
+    log.info({ slice: shard.shard, from: shard.holder, outcome: outcome.kind }, LOG_EVENT.takeoverAttempted);
   }
 
   private async probe(shard: ShardFact): Promise<{ holderAnswers: boolean; witnesses: Witness[] }> {
@@ -226,7 +227,7 @@
     this.history.add(takeover);
     const { from, cause, wasWarm } = takeover;
     if (cause === 'suspicion') this.counts.taken++;
-    log.info({ slice: shard, from, cause, epoch: fact.epoch, warm: wasWarm }, 'slice came here');
+    log.info({ slice: shard, from, cause, epoch: fact.epoch, warm: wasWarm }, LOG_EVENT.shardReceived);
     this.receiver.forget(shard);
     this.suspicions.delete(shard);
     this.prepared.delete(shard);
--- a/src/controller/api/job-service.ts
+++ b/src/controller/api/job-service.ts
@@ -1,4 +1,5 @@
 /** Submitting, showing and cancelling jobs: what users are told, and only after it is committed. */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { NO_TASKS_DONE } from '../../core/jobs/done-tasks.js';
 import { checkFeasibility } from '../../core/jobs/feasibility.js';
 import { toStoredJob } from '../../core/records/stored-records.js';
@@ -108,7 +109,7 @@
     const result = await this.submissions.commit(id, { guards, operations: [op] });
     if (result.kind === 'ok') {
       context.watcher.applyCommitted([op], result.revision);
-      context.log.info({ job: id, team, kind, tasks, class: spec.class }, 'accepted');
+      context.log.info({ job: id, team, kind, tasks, class: spec.class }, LOG_EVENT.jobAccepted);
       if (context.events.isActive) context.events.emit({ kind: 'job_accepted', job: id, team, since });
       return { kind: 'accepted', state };
     }
@@ -218,7 +219,10 @@
       if (r.kind === 'ok') context.watcher.applyCommitted([op], r.revision);
     }
     await wait;
-    context.log.debug({ job: id, ms: this.context.clock.now() - start, taken }, 'cancel forwarded');
+    context.log.debug(
+      { job: id, ms: this.context.clock.now() - start, taken },
+      LOG_EVENT.cancellationForwarded,
+    );
     return this.cancellationResult(id);
   }
 
--- a/src/controller/controller-context.ts
+++ b/src/controller/controller-context.ts
@@ -1,4 +1,5 @@
 /** What the modules of one controller share: its settings, its view of the cluster and access to the state service. */
+import { LOG_EVENT } from '../core/log-events.js';
 import type { Logger } from 'pino';
 import type { OperatorSettings } from '../config/operator-settings.js';
 import type { PlatformSettings } from '../config/platform-settings.js';
@@ -120,7 +121,7 @@
       stateTransport,
       watchTransport,
       (operations, answer) => {
-        log.error({ keys: operations.map((o) => o.key), answer }, 'transaction rejected');
+        log.error({ keys: operations.map((o) => o.key), answer }, LOG_EVENT.transactionRejected);
       },
       (operations, outcome, since) => {
         if (events.isActive)
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,5 @@
 /** One controller: constructs its modules in order of their dependencies and runs their loops. */
+import { LOG_EVENT } from '../core/log-events.js';
 import type { Logger } from 'pino';
 import type { OperatorSettings } from '../config/operator-settings.js';
 import type { PlatformSettings } from '../config/platform-settings.js';
@@ -141,7 +142,7 @@
     const { clock, log, state } = this.context;
     for (;;) {
       await clock.sleep(USAGE_LOG_INTERVAL_MS);
-      log.info(state.usage.snapshot(), 'state service usage');
+      log.info(state.usage.snapshot(), LOG_EVENT.stateServiceUsage);
     }
   }
 }
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,4 +1,5 @@
 /** Keeps the records in step with the cloud: machine types, machines that failed, are unknown, or are to be returned. */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { key } from '../../core/records/keys.js';
 import { splitBySize } from '../../core/records/stored-records.js';
 import type { MachineName, NodeName } from '../../core/model/ids.js';
@@ -51,7 +52,7 @@
         const list = await this.cloud.list();
         if (list !== null) await this.compare(list, askedAt);
       } catch (e) {
-        context.log.error({ err: e }, 'list loop');
+        context.log.error({ err: e }, LOG_EVENT.cloudInventoryFailed);
       }
     }
   }
@@ -86,13 +87,13 @@
         withoutRecord.add(l.name);
         this.unknown.noteListed(l);
       } else if (l.state === 'failed' && machine.phase !== 'releasing') {
-        context.log.info({ machine: l.name }, 'failed');
+        context.log.info({ machine: l.name }, LOG_EVENT.machineFailed);
         failed.push(markForReturn(machine));
       }
     }
     this.unknown.keepListed(withoutRecord);
     for (const machine of this.takenBack(list, askedAt)) {
-      context.log.info({ machine: machine.name }, 'not listed any more');
+      context.log.info({ machine: machine.name }, LOG_EVENT.machineDelisted);
       failed.push(markForReturn(machine));
     }
     if (failed.length > 0) await this.transactions.commitEach(failed, REQUEST_PRIORITY.starts);
@@ -130,7 +131,7 @@
       const owner = [...shards].sort((a, b) => (count.get(a) ?? 0) - (count.get(b) ?? 0))[0]!;
       count.set(owner, (count.get(owner) ?? 0) + 1);
       const value = newMachine(context, name, known, owner);
-      context.log.info({ machine: name, to: owner, floor: value.floor }, 'machine adopted');
+      context.log.info({ machine: name, to: owner, floor: value.floor }, LOG_EVENT.machineRegistered);
       operations.push({ key: key.machine(name), value, reason: 'machine_state' });
     }
     await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
@@ -147,7 +148,7 @@
     this.releasing = true;
     void this.release(names.slice(0, MOST_RELEASED))
       .catch((e: unknown) => {
-        context.log.error({ err: e }, 'release');
+        context.log.error({ err: e }, LOG_EVENT.machineReleaseFailed);
       })
       .finally(() => {
         this.releasing = false;
@@ -160,7 +161,7 @@
     this.unknown.noteReleased(names);
     // The cloud has said that they and everything on them are gone: their tasks are free.
     const there = names.filter((n) => context.view.machines.has(n));
-    context.log.info({ machines: there }, 'machines released');
+    context.log.info({ machines: there }, LOG_EVENT.machinesReleased);
     await this.transactions.commitEach(
       there.map((n) => ({ key: key.machine(n), value: undefined, reason: 'return' })),
       REQUEST_PRIORITY.results,
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -2,6 +2,7 @@
  * What only the leader does: who owns which team and machine, what is rented and returned. Every commit is guarded on the
  * leadership; what is asked of the cloud was committed before.
  */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { key } from '../../core/records/keys.js';
 import {
   assignShardHolders,
@@ -97,7 +98,7 @@
         await this.step();
         pauseMs = Math.max(pauseMs, this.planMs * PLAN_PART);
       } catch (e) {
-        context.log.error({ err: e }, 'leader loop');
+        context.log.error({ err: e }, LOG_EVENT.leaderLoopFailed);
         pauseMs = ERROR_MS;
       }
     }
@@ -147,7 +148,7 @@
       [...context.teams.values()],
       context.view.teams,
     )) {
-      context.log.info({ team, slice: owner }, 'team assigned');
+      context.log.info({ team, slice: owner }, LOG_EVENT.teamAssigned);
       operations.push({ key: key.team(team), value: { owner } satisfies TeamRecord, reason: 'membership' });
     }
     return operations.length === 0 || this.transactions.commitEach(operations, REQUEST_PRIORITY.session);
@@ -165,7 +166,10 @@
       context.operator.slices.settled_s,
     )) {
       if (early && !view.shards.has(shard)) continue;
-      context.log.info({ slice: shard, from: view.shards.get(shard)?.holder, to: to.node }, 'slice assigned');
+      context.log.info(
+        { slice: shard, from: view.shards.get(shard)?.holder, to: to.node },
+        LOG_EVENT.shardAssigned,
+      );
       const value: ShardRecord = { holder: to.node, incarnation: to.incarnation };
       operations.push({ key: key.shard(shard), value, reason: 'membership' });
     }
@@ -182,7 +186,10 @@
     );
     for (const machine of plan.releases) {
       const { name, phase } = machine;
-      context.log.info({ machine: name, phase, ageS: this.planner.ageS(machine) }, 'to be returned');
+      context.log.info(
+        { machine: name, phase, ageS: this.planner.ageS(machine) },
+        LOG_EVENT.machineReleaseDecided,
+      );
       operations.push(markForReturn(machine));
     }
     if (operations.length > 0) await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
@@ -198,7 +205,7 @@
     };
     this.context.log.info(
       { machine: machine.name, from: machine.owner, to, floor: value.floor, why },
-      'machine assigned',
+      LOG_EVENT.machineAssigned,
     );
     return { key: key.machine(machine.name), value, reason: 'move' };
   }
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -1,4 +1,5 @@
 /** Rents machines: each request is committed before the cloud is asked, so that nothing is ever rented twice. */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { key } from '../../core/records/keys.js';
 import type { RentalRequest } from '../../core/scaling/scaling-types.js';
 import { jsonBytes } from '../../core/records/stored-records.js';
@@ -75,7 +76,7 @@
     this.busy = true;
     void this.rent(needs, shards)
       .catch((e: unknown) => {
-        this.context.log.error({ err: e }, 'rent');
+        this.context.log.error({ err: e }, LOG_EVENT.machineRentalFailed);
       })
       .finally(() => {
         this.busy = false;
@@ -119,7 +120,7 @@
     if (answer.kind === 'unknown') return;
     const got = answer.kind === 'rented' ? answer.machines : [];
     const { name, type, zone, spot, owners } = rental;
-    context.log.info({ rental: name, type, zone, spot, asked: owners.length, got }, 'rented');
+    context.log.info({ rental: name, type, zone, spot, asked: owners.length, got }, LOG_EVENT.machinesRented);
     if (got.length < owners.length)
       this.refusedUntil.set(
         kindOf(rental),
--- a/src/controller/membership/membership.ts
+++ b/src/controller/membership/membership.ts
@@ -1,4 +1,5 @@
 /** This process's session and, if it gets it, the leadership; both hang on one lease of the state service. */
+import { LOG_EVENT } from '../../core/log-events.js';
 import type { MonotonicMs } from '../../core/model/time.js';
 import type { SessionRecord, LeaderRecord, ShardRecord } from '../../core/model/cluster.js';
 import { key } from '../../core/records/keys.js';
@@ -90,7 +91,7 @@
     if (this.lease !== null) {
       if (await context.state.renewLease(this.lease)) this.validUntil = sent + ttl * DRIFT;
       else {
-        context.log.info({ lease: this.lease }, 'session lease is over');
+        context.log.info({ lease: this.lease }, LOG_EVENT.sessionLeaseExpired);
         this.lease = null;
       }
     }
@@ -106,7 +107,8 @@
         incarnation: context.incarnation,
         lease: this.lease,
       };
-      if (await this.putWithLease(key.leader, value)) context.log.info({ lease: this.lease }, 'leads');
+      if (await this.putWithLease(key.leader, value))
+        context.log.info({ lease: this.lease }, LOG_EVENT.leadershipAcquired);
     }
   }
 
@@ -145,7 +147,7 @@
     const r = await context.state.transact([context.guards.forKey(k)], [op], REQUEST_PRIORITY.session);
     if (r.kind === 'ok') {
       context.watcher.applyCommitted([op], r.revision);
-      context.log.info({ slice: context.settings.node, token: r.revision }, 'slice taken');
+      context.log.info({ slice: context.settings.node, token: r.revision }, LOG_EVENT.shardAcquired);
     } else if (r.kind === 'conflict') await context.watcher.waitForRevision(r.revision, 1000);
   }
 
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -1,4 +1,5 @@
 /** Runs a controller on real sockets and clocks. */
+import { LOG_EVENT } from '../core/log-events.js';
 import { randomBytes } from 'node:crypto';
 import type { Logger } from 'pino';
 import type { OperatorSettings } from '../config/operator-settings.js';
@@ -98,6 +99,6 @@
   await listenForPeers(controller, settings);
   await listenForHttp(controller, settings, operator, log);
   const { incarnation } = controller.context;
-  log.info({ node: settings.node, incarnation, bind: settings.bind }, 'controller serving');
+  log.info({ node: settings.node, incarnation, bind: settings.bind }, LOG_EVENT.controllerServing);
   await controller.run();
 }
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -3,6 +3,7 @@
  * to reports, and direct messages that carry fencing tokens and stops. All of it may be lost at any time; losing it costs
  * time, never a rule.
  */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { taskId } from '../../core/model/ids.js';
 import {
   agentCommands,
@@ -103,7 +104,10 @@
     const { context } = this;
     for (const command of sent) {
       const { op, job, index, attempt } = command;
-      context.log.debug({ op, task: taskId(job, index), attempt, machine, token }, 'command');
+      context.log.debug(
+        { op, task: taskId(job, index), attempt, machine, token },
+        LOG_EVENT.agentCommandSent,
+      );
       if (context.events.isActive) context.events.emit({ kind: 'command_sent', machine, command });
     }
   }
--- a/src/controller/shard/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -1,4 +1,5 @@
 /** Works out which changes the records of jobs need: ends, cancellations and the withdrawal of dependent jobs. */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { key } from '../../core/records/keys.js';
 import { NO_VERSION, type JobId } from '../../core/model/ids.js';
 import type { DoneSet, JobFailureRecord, FinalRecord, JobRecord } from '../../core/model/jobs.js';
@@ -68,7 +69,7 @@
         machines: [...failures.machines].slice(-MAX_FAILED_MACHINES_RECORDED),
         until: (clock.wallClock() + Math.max(0, failures.until - clock.now())) as WallClockMs,
       };
-      context.log.info({ job: id, ...failing }, 'job fails wherever it runs');
+      context.log.info({ job: id, ...failing }, LOG_EVENT.jobFailing);
       const value = context.recordBudget.storedJob({ ...job, failing });
       groups.push({
         operations: [{ key: key.job(id), value, reason: 'failing' }],
@@ -147,7 +148,7 @@
   private beginCancellation(job: JobRecord, done = job.done): ChangeSet {
     const { context } = this;
     const { id, team } = job.spec;
-    context.log.info({ job: id }, 'cancelling');
+    context.log.info({ job: id }, LOG_EVENT.jobCancelling);
     return {
       operations: [
         {
@@ -163,7 +164,7 @@
   private finish(job: JobRecord, final: FinalRecord): ChangeSet {
     const { context } = this;
     const { id, team } = job.spec;
-    context.log.info({ job: id, state: final.state, done: final.done }, 'job is over');
+    context.log.info({ job: id, state: final.state, done: final.done }, LOG_EVENT.jobFinished);
     const operations: WriteOperation[] = [
       { key: key.job(id), value: undefined, reason: 'end' },
       {
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -2,6 +2,7 @@
  * Works out which changes a machine's record needs: tasks proved to be gone, machines that came up, drain or are out of
  * reach, tasks that leave on a spot notice.
  */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { taskId } from '../../core/model/ids.js';
 import { key } from '../../core/records/keys.js';
 import {
@@ -97,7 +98,7 @@
         token: memory.token,
         why: reason ?? 'absent',
       },
-      'task left its machine',
+      LOG_EVENT.taskExited,
     );
   }
 
@@ -194,7 +195,7 @@
         token: memory.token,
         heardMs: this.context.clock.now() - memory.lastContactAt,
       },
-      'machine unreachable: given up',
+      LOG_EVENT.machineUnreachable,
     );
   }
 }
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -1,4 +1,5 @@
 /** Plans which waiting tasks start on which of this controller's machines, and commits the starts. */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { taskId } from '../../core/model/ids.js';
 import { allocationFor, addAllocation } from '../../core/state/allocations.js';
 import {
@@ -181,7 +182,10 @@
       if (why === undefined || wall - since < LOG_WAIT_MS) continue;
       this.pendingLoggedAt.set(spec.id, wall);
       const waitsS = Math.round((wall - submitted) / 1000);
-      this.context.log.info({ job: spec.id, team: spec.team, priority: spec.priority, waitsS, why }, 'waits');
+      this.context.log.info(
+        { job: spec.id, team: spec.team, priority: spec.priority, waitsS, why },
+        LOG_EVENT.jobPending,
+      );
     }
   }
 
@@ -251,7 +255,7 @@
         h: Number(p.fitness.toPrecision(5)),
         fetch: p.fetchRank,
       },
-      'place',
+      LOG_EVENT.taskPlaced,
     );
   }
 }
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -2,6 +2,7 @@
  * Makes room for jobs that have found none for a while: services that are wanted all the time, and jobs within their
  * team's guarantee, and gangs that low-priority work keeps from whole machines. At most one job a pass, so that the next pass sees what came of it.
  */
+import { LOG_EVENT } from '../../core/log-events.js';
 import { key } from '../../core/records/keys.js';
 import type { WaitReason } from '../../core/placement/placement.js';
 import {
@@ -147,7 +148,7 @@
           for: job.spec.id,
           entitled,
         },
-        'preempt',
+        LOG_EVENT.taskPreempted,
       );
     }
     const value: MachineRecord = { ...machine, placed: markStopping(machine.placed, victims) };
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -2,6 +2,7 @@
  * The loop of a controller over its own machines and teams: it turns what reports prove into changes and places waiting
  * tasks. All changes to machine records leave through this one loop, one transaction at a time.
  */
+import { LOG_EVENT } from '../../core/log-events.js';
 import type { ViewChanges } from '../../core/state/view-changes.js';
 import type { WaitReason } from '../../core/placement/placement.js';
 import type { Heartbeat } from '../../core/model/heartbeats.js';
@@ -96,7 +97,7 @@
         if (!ok) for (const name of work) this.dirty.add(name);
         await context.clock.sleep(ok ? PAUSE_MS : RETRY_MS);
       } catch (e) {
-        context.log.error({ err: e }, 'owner loop');
+        context.log.error({ err: e }, LOG_EVENT.reconcileLoopFailed);
         await context.clock.sleep(ERROR_MS);
       }
     }
--- a/src/io/users/http-server.ts
+++ b/src/io/users/http-server.ts
@@ -1,4 +1,5 @@
 /** The HTTP side towards users, workers and the load balancer. */
+import { LOG_EVENT } from '../../core/log-events.js';
 import fastify, { type FastifyInstance } from 'fastify';
 import type { Logger } from 'pino';
 import { ConcurrencyLimit } from '../../core/concurrency-limit.js';
@@ -64,7 +65,7 @@
       e.validation !== undefined ||
       (e.statusCode !== undefined && e.statusCode < 500);
     if (malformed) return reply.code(400).send({ error: e.message });
-    o.log.error({ err: e }, 'request');
+    o.log.error({ err: e }, LOG_EVENT.requestFailed);
     return reply.code(503).header('retry-after', '1').send({ error: 'internal' });
   });
 
--- a/src/plugin-host/plugin-host.ts
+++ b/src/plugin-host/plugin-host.ts
@@ -1,4 +1,5 @@
 /** Runs packages: gives each its part of the service, and keeps a failing one from the others. */
+import { LOG_EVENT } from '../core/log-events.js';
 import type { Logger } from 'pino';
 import type {
   CommandReply,
@@ -63,7 +64,7 @@
 
   private noteFailure(name: string, e: unknown): void {
     this.failed.set(name, e instanceof Error ? e.message : String(e));
-    this.log.error({ err: e, package: name }, 'package failed');
+    this.log.error({ err: e, package: name }, LOG_EVENT.packageFailed);
   }
 
   status(): Record<string, object> {
