--- a/eslint.config.js
+++ b/eslint.config.js
@@ -28,7 +28,6 @@
   'src/core/agents/agent-session.ts': { complexity: 29 },
   'src/core/jobs/dependencies.ts': { complexity: 22 },
   'src/core/placement/preemption.ts': { complexity: 21 },
-  'src/core/state/cluster-view.ts': { complexity: 18 },
   'src/controller/heartbeats/heartbeat-router.ts': { complexity: 21 },
   'src/controller/health-tracker.ts': { complexity: 17 },
   'src/controller/api/job-service.ts': { complexity: 18 },
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -100,7 +100,7 @@
     const ended = this.endedTasks();
     const totals = context.allocations.current();
     for (const { machine, allocation, isDurable } of ended)
-      totals.vacate(machine, allocation, false, isDurable);
+      totals.releaseProvisionally(machine, allocation, { includesQuota: isDurable });
     const { placements, waitReasons } = placeTasks({
       jobs: mine.filter((j) => !this.health.isBackingOff(j)),
       machines: this.availableMachines(),
@@ -122,7 +122,7 @@
       fitnessTolerance: placement.h_slack,
     });
     for (const { machine, allocation, isDurable } of ended)
-      totals.vacate(machine, allocation, true, isDurable);
+      totals.restoreAllocation(machine, allocation, { includesQuota: isDurable });
     const backedOff = mine.filter((j) => this.health.isBackingOff(j));
     this.waitReasons = new Map([...waitReasons, ...backedOff.map((j) => [j.spec.id, 'failing'] as const)]);
     this.logPendingJobs(mine);
--- a/src/core/state/allocation-totals.ts
+++ b/src/core/state/allocation-totals.ts
@@ -1,49 +1,52 @@
 /**
- * Sums over the machine records: what every team uses, where each job's tasks are, and what is free. All of
- * it counts each placed task that is not yet proved gone. The sums follow the records one by one, so that the
- * work goes with what changed and not with the size of the fleet.
+ * Totals over the machine records: what every team uses, where each job's tasks are, and what is free. They include
+ * each allocated task until its exit is confirmed. The totals follow the records one by one, so that the cost of an
+ * update depends on what changed and not on the size of the fleet.
  */
-import { dominantShare, teamWeight } from '../model/dominant-share.js';
 import type { Team } from '../model/cluster.js';
+import { dominantShare, teamWeight } from '../model/dominant-share.js';
 import type { Attempt, JobId, MachineName, TaskIndex, TeamName, TypeName, Zone } from '../model/ids.js';
-import type { MachineRecord, MachineType, Allocation } from '../model/machines.js';
+import type { Allocation, MachineRecord, MachineType } from '../model/machines.js';
 import { CPU, GPU, NO_RESOURCES, addResources, type ResourceVector } from '../model/resources.js';
 
-/** Where a job's tasks are placed. */
+/** Where a job's tasks are allocated. */
 export interface JobAllocations {
   readonly tasks: Map<TaskIndex, { machine: MachineName; attempt: Attempt }>;
   readonly tasksPerZone: Map<Zone, number>;
   readonly tasksPerAttempt: Map<Attempt, number>;
-  /** Entries whose tasks are to go. */
+  /** Number of allocations whose tasks are being stopped. */
   stoppingAllocations: number;
-  /** A task stood in two records at once: who takes one of them out must look for the other. */
+  /** A task was in two records at once: removing one of them requires a search for the other. */
   hasDuplicates: boolean;
 }
 
+/** What of a task whose exit is confirmed is released ahead of its machine's record. */
+export interface ProvisionalRelease {
+  /** Whether the task's part of its team's quota is included; its part of the machine always is. */
+  readonly includesQuota: boolean;
+}
+
+type MachineId = Pick<MachineRecord, 'name'>;
+type MachineLocation = Pick<MachineRecord, 'name' | 'zone'>;
+
 interface TeamTotals {
   used: ResourceVector;
-  /** The part of it that does not end by itself. */
+  /** The part of `used` that does not end by itself. */
   usedByServices: ResourceVector;
   /** Sum of the dominant shares of the team's tasks, not yet divided by its weight. */
   dominantShare: number;
   tasks: number;
 }
 
-const addCount = <K>(map: Map<K, number>, k: K, n: number): void => {
-  const sum = (map.get(k) ?? 0) + n;
-  if (sum === 0) map.delete(k);
-  else map.set(k, sum);
-};
-
-/** Sums over the machine records, kept up to date record by record. */
+/** Totals over the machine records, kept up to date record by record. */
 export class AllocationTotals {
   readonly jobs = new Map<JobId, JobAllocations>();
   readonly freeByMachine = new Map<MachineName, ResourceVector>();
   private readonly machines = new Map<MachineName, MachineRecord>();
   private readonly teamTotals = new Map<TeamName, TeamTotals>();
-  private capacitySum: ResourceVector = NO_RESOURCES;
-  private capacityNow: ResourceVector = NO_RESOURCES;
-  /** The dominant shares were added up for another total. */
+  private summedCapacity: ResourceVector = NO_RESOURCES;
+  private effectiveCapacity: ResourceVector = NO_RESOURCES;
+  /** The dominant shares were summed for another fleet capacity. */
   private areSharesStale = false;
 
   constructor(
@@ -51,171 +54,207 @@
     private readonly types: ReadonlyMap<TypeName, MachineType>,
     private readonly teams: ReadonlyMap<TeamName, Team>,
   ) {
-    this.recomputeCapacity();
-    for (const m of machines) this.setMachine(m.name, m);
+    this.updateEffectiveCapacity();
+    for (const machine of machines) this.setMachine(machine.name, machine);
   }
 
+  /** Capacity of all machines that are not being released; never zero, so that shares can be taken of it. */
   get fleetCapacity(): ResourceVector {
-    return this.capacityNow;
+    return this.effectiveCapacity;
   }
 
+  /** What the team's tasks use. */
   usedBy(team: TeamName): ResourceVector {
     return this.teamTotals.get(team)?.used ?? NO_RESOURCES;
   }
 
-  /** Takes in the present record of a machine, or that it has none. */
-  setMachine(name: MachineName, m: MachineRecord | undefined): void {
+  /** Takes over the present record of a machine; undefined where it has none. */
+  setMachine(name: MachineName, machine: MachineRecord | undefined): void {
     const before = this.machines.get(name);
     if (before !== undefined) {
       this.machines.delete(name);
-      for (const p of before.placed) this.removeAllocation(before, p);
+      for (const allocation of before.placed) this.removeAllocation(before, allocation);
       this.freeByMachine.delete(name);
-      this.countCapacity(before, -1);
+      this.addCapacity(before, -1);
     }
-    if (m === undefined) return;
-    this.machines.set(name, m);
-    this.freeByMachine.set(name, this.types.get(m.type)?.capacity ?? NO_RESOURCES);
-    this.countCapacity(m, 1);
-    for (const p of m.placed) this.addAllocation(m, p);
-  }
-
-  private countCapacity(m: MachineRecord, times: number): void {
-    const t = this.types.get(m.type);
-    if (t === undefined || m.phase === 'releasing') return;
-    this.capacitySum = addResources(this.capacitySum, t.capacity, times);
-    this.recomputeCapacity();
+    if (machine === undefined) return;
+    this.machines.set(name, machine);
+    this.freeByMachine.set(name, this.types.get(machine.type)?.capacity ?? NO_RESOURCES);
+    this.addCapacity(machine, 1);
+    for (const allocation of machine.placed) this.addAllocation(machine, allocation);
   }
 
-  private recomputeCapacity(): void {
-    this.capacityNow = this.capacitySum;
-    this.areSharesStale = true;
-    if (this.capacitySum.some((x) => x > 0)) return;
-    // An empty fleet counts as one machine's room.
-    for (const t of this.types.values())
-      if (this.capacityNow[CPU] < t.capacity[CPU]) this.capacityNow = t.capacity;
-  }
-
-  addAllocation(m: { name: MachineName; zone: Zone }, p: Allocation): void {
-    this.apply(m, p, 1);
-    let job = this.jobs.get(p.job);
-    if (job === undefined) {
-      job = {
-        tasks: new Map(),
-        tasksPerZone: new Map(),
-        tasksPerAttempt: new Map(),
-        stoppingAllocations: 0,
-        hasDuplicates: false,
-      };
-      this.jobs.set(p.job, job);
+  /** Adds the tasks of an allocation on a machine. */
+  addAllocation(machine: MachineLocation, allocation: Allocation): void {
+    const { tasks, attempt } = allocation;
+    this.addToMachine(machine, allocation, tasks.length);
+    this.addToTeam(allocation, tasks.length);
+    const job = this.allocationsOf(allocation.job);
+    for (const index of tasks) {
+      if (job.tasks.has(index)) job.hasDuplicates = true;
+      job.tasks.set(index, { machine: machine.name, attempt });
     }
-    for (const i of p.tasks) {
-      if (job.tasks.has(i)) job.hasDuplicates = true;
-      job.tasks.set(i, { machine: m.name, attempt: p.attempt });
-    }
-    addCount(job.tasksPerZone, m.zone, p.tasks.length);
-    addCount(job.tasksPerAttempt, p.attempt, p.tasks.length);
-    if (p.stop === true) job.stoppingAllocations++;
+    addCount(job.tasksPerZone, machine.zone, tasks.length);
+    addCount(job.tasksPerAttempt, attempt, tasks.length);
+    if (allocation.stop === true) job.stoppingAllocations++;
   }
 
-  /** Takes back what `add` did. */
-  removeAllocation(m: { name: MachineName; zone: Zone }, p: Allocation): void {
-    this.apply(m, p, -1);
-    const job = this.jobs.get(p.job);
+  /** Reverses `addAllocation`. */
+  removeAllocation(machine: MachineLocation, allocation: Allocation): void {
+    const { tasks, attempt } = allocation;
+    this.addToMachine(machine, allocation, -tasks.length);
+    this.addToTeam(allocation, -tasks.length);
+    const job = this.jobs.get(allocation.job);
     if (job === undefined) return;
-    for (const i of p.tasks) {
-      const at = job.tasks.get(i);
-      if (at?.machine === m.name && at.attempt === p.attempt) job.tasks.delete(i);
+    for (const index of tasks) {
+      const known = job.tasks.get(index);
+      if (known?.machine === machine.name && known.attempt === attempt) job.tasks.delete(index);
     }
-    addCount(job.tasksPerZone, m.zone, -p.tasks.length);
-    addCount(job.tasksPerAttempt, p.attempt, -p.tasks.length);
-    if (p.stop === true) job.stoppingAllocations--;
-    if (job.hasDuplicates)
-      for (const o of this.machines.values())
-        for (const q of o.placed)
-          if (q.job === p.job)
-            for (const i of q.tasks) job.tasks.set(i, { machine: o.name, attempt: q.attempt });
-    if (job.tasks.size === 0) this.jobs.delete(p.job);
+    addCount(job.tasksPerZone, machine.zone, -tasks.length);
+    addCount(job.tasksPerAttempt, attempt, -tasks.length);
+    if (allocation.stop === true) job.stoppingAllocations--;
+    if (job.hasDuplicates) this.findTasksAgain(allocation.job, job);
+    if (job.tasks.size === 0) this.jobs.delete(allocation.job);
   }
 
   /**
-   * Counts a task that is proved gone, but still stands in its machine's record, as not there; or as there again. Its part
-   * of the team's limit is free only once its result is durable: until then a new owner may have to start it again.
+   * Releases what tasks use whose exit is confirmed, while they still stand in their machine's record. Their part of
+   * the quota may be included only where their results are durable: until then a new owner may start them again.
    */
-  vacate(m: { name: MachineName }, p: Allocation, there: boolean, isDurable: boolean): void {
-    const n = p.tasks.length * (there ? 1 : -1);
-    this.applyToMachine(m, p, n);
-    if (isDurable) this.applyToTeam(p, n);
-  }
-
-  private apply(m: { name: MachineName }, p: Allocation, times: number): void {
-    const n = p.tasks.length * times;
-    this.applyToMachine(m, p, n);
-    this.applyToTeam(p, n);
+  releaseProvisionally(machine: MachineId, allocation: Allocation, release: ProvisionalRelease): void {
+    this.addToMachine(machine, allocation, -allocation.tasks.length);
+    if (release.includesQuota) this.addToTeam(allocation, -allocation.tasks.length);
   }
 
-  private applyToMachine(m: { name: MachineName }, p: Allocation, n: number): void {
-    this.freeByMachine.set(
-      m.name,
-      addResources(this.freeByMachine.get(m.name) ?? NO_RESOURCES, p.demand, -n),
-    );
-  }
-
-  private applyToTeam(p: Allocation, n: number): void {
-    let t = this.teamTotals.get(p.team);
-    if (t === undefined) {
-      t = { used: NO_RESOURCES, usedByServices: NO_RESOURCES, dominantShare: 0, tasks: 0 };
-      this.teamTotals.set(p.team, t);
-    }
-    t.used = addResources(t.used, p.demand, n);
-    if (p.kind === 'service') t.usedByServices = addResources(t.usedByServices, p.demand, n);
-    t.tasks += n;
-    t.dominantShare = t.tasks === 0 ? 0 : t.dominantShare + dominantShare(p.demand, this.fleetCapacity) * n;
+  /** Reverses `releaseProvisionally`, called with the same arguments. */
+  restoreAllocation(machine: MachineId, allocation: Allocation, release: ProvisionalRelease): void {
+    this.addToMachine(machine, allocation, allocation.tasks.length);
+    if (release.includesQuota) this.addToTeam(allocation, allocation.tasks.length);
   }
 
+  /** The team's weight in fair sharing; 1 for an unknown team. */
   weightOf(team: TeamName): number {
-    const t = this.teams.get(team);
-    return t === undefined ? 1 : teamWeight(t);
+    const known = this.teams.get(team);
+    return known === undefined ? 1 : teamWeight(known);
   }
 
-  /** The team's global dominant share divided by its weight. */
+  /** The team's dominant share of the whole fleet, divided by its weight. */
   dominantShareOf(team: TeamName): number {
-    if (this.areSharesStale) {
-      this.areSharesStale = false;
-      for (const s of this.teamTotals.values()) s.dominantShare = 0;
-      for (const m of this.machines.values())
-        for (const p of m.placed)
-          this.teamTotals.get(p.team)!.dominantShare +=
-            dominantShare(p.demand, this.fleetCapacity) * p.tasks.length;
-    }
+    if (this.areSharesStale) this.recomputeShares();
     return (this.teamTotals.get(team)?.dominantShare ?? 0) / this.weightOf(team);
   }
 
-  isWithinQuota(team: TeamName, demand: ResourceVector, times: number): boolean {
-    return this.fitsQuota(team, this.usedBy(team), demand, times);
+  /** Whether so many more tasks of the demand stay within the team's quota. */
+  isWithinQuota(team: TeamName, demand: ResourceVector, tasks: number): boolean {
+    return this.fitsQuota(team, this.usedBy(team), demand, tasks);
   }
 
-  /** Whether so much will fit into the team's limit once its work that ends by itself has ended. */
-  willFitQuota(team: TeamName, demand: ResourceVector, times: number): boolean {
-    return this.fitsQuota(team, this.teamTotals.get(team)?.usedByServices ?? NO_RESOURCES, demand, times);
+  /** Whether so many tasks will fit into the team's quota once its work that ends by itself has ended. */
+  willFitQuota(team: TeamName, demand: ResourceVector, tasks: number): boolean {
+    return this.fitsQuota(team, this.teamTotals.get(team)?.usedByServices ?? NO_RESOURCES, demand, tasks);
   }
 
-  /** How many more tasks the team's limit allows beside what it uses and `extra`. */
+  /** How many more tasks the team's quota allows beside what it uses and `extra`; may be infinite. */
   tasksWithinQuota(team: TeamName, demand: ResourceVector, extra: ResourceVector): number {
-    const t = this.teams.get(team);
-    if (t === undefined) return 0;
+    const known = this.teams.get(team);
+    if (known === undefined) return 0;
     const used = addResources(this.usedBy(team), extra);
-    const times = (limit: number | null, r: typeof CPU | typeof GPU) =>
-      limit === null || demand[r] <= 0
-        ? Number.POSITIVE_INFINITY
-        : Math.max(0, Math.floor((limit - used[r]) / demand[r]));
-    return Math.min(times(t.limitCpu, CPU), times(t.limitGpu, GPU));
+    return Math.min(
+      tasksWithinLimit(known.limitCpu, used[CPU], demand[CPU]),
+      tasksWithinLimit(known.limitGpu, used[GPU], demand[GPU]),
+    );
+  }
+
+  private fitsQuota(team: TeamName, used: ResourceVector, demand: ResourceVector, tasks: number): boolean {
+    const known = this.teams.get(team);
+    if (known === undefined) return false;
+    const after = addResources(used, demand, tasks);
+    if (known.limitCpu !== null && demand[CPU] > 0 && after[CPU] > known.limitCpu) return false;
+    return !(known.limitGpu !== null && demand[GPU] > 0 && after[GPU] > known.limitGpu);
   }
 
-  private fitsQuota(team: TeamName, used: ResourceVector, demand: ResourceVector, times: number): boolean {
-    const t = this.teams.get(team);
-    if (t === undefined) return false;
-    const after = addResources(used, demand, times);
-    if (t.limitCpu !== null && demand[CPU] > 0 && after[CPU] > t.limitCpu) return false;
-    return !(t.limitGpu !== null && demand[GPU] > 0 && after[GPU] > t.limitGpu);
+  private addCapacity(machine: MachineRecord, times: number): void {
+    const type = this.types.get(machine.type);
+    if (type === undefined || machine.phase === 'releasing') return;
+    this.summedCapacity = addResources(this.summedCapacity, type.capacity, times);
+    this.updateEffectiveCapacity();
   }
+
+  /** An empty fleet counts as one machine of the type with the most CPUs. */
+  private updateEffectiveCapacity(): void {
+    this.effectiveCapacity = this.summedCapacity;
+    this.areSharesStale = true;
+    if (this.summedCapacity.some((amount) => amount > 0)) return;
+    for (const type of this.types.values())
+      if (this.effectiveCapacity[CPU] < type.capacity[CPU]) this.effectiveCapacity = type.capacity;
+  }
+
+  private addToMachine(machine: MachineId, { demand }: Allocation, tasks: number): void {
+    const free = this.freeByMachine.get(machine.name) ?? NO_RESOURCES;
+    this.freeByMachine.set(machine.name, addResources(free, demand, -tasks));
+  }
+
+  private addToTeam({ team, kind, demand }: Allocation, tasks: number): void {
+    const totals = this.totalsOf(team);
+    totals.used = addResources(totals.used, demand, tasks);
+    if (kind === 'service') totals.usedByServices = addResources(totals.usedByServices, demand, tasks);
+    totals.tasks += tasks;
+    // Exactly zero without tasks, whatever rounding has left.
+    if (totals.tasks === 0) totals.dominantShare = 0;
+    else totals.dominantShare += dominantShare(demand, this.fleetCapacity) * tasks;
+  }
+
+  private totalsOf(team: TeamName): TeamTotals {
+    let totals = this.teamTotals.get(team);
+    if (totals === undefined) {
+      totals = { used: NO_RESOURCES, usedByServices: NO_RESOURCES, dominantShare: 0, tasks: 0 };
+      this.teamTotals.set(team, totals);
+    }
+    return totals;
+  }
+
+  private allocationsOf(id: JobId): JobAllocations {
+    let job = this.jobs.get(id);
+    if (job === undefined) {
+      job = {
+        tasks: new Map(),
+        tasksPerZone: new Map(),
+        tasksPerAttempt: new Map(),
+        stoppingAllocations: 0,
+        hasDuplicates: false,
+      };
+      this.jobs.set(id, job);
+    }
+    return job;
+  }
+
+  /** Finds the remaining records of a job of which a task was in two at once. */
+  private findTasksAgain(id: JobId, job: JobAllocations): void {
+    for (const machine of this.machines.values())
+      for (const { job: owner, tasks, attempt } of machine.placed) {
+        if (owner !== id) continue;
+        for (const index of tasks) job.tasks.set(index, { machine: machine.name, attempt });
+      }
+  }
+
+  private recomputeShares(): void {
+    this.areSharesStale = false;
+    for (const totals of this.teamTotals.values()) totals.dominantShare = 0;
+    for (const machine of this.machines.values())
+      for (const { team, demand, tasks } of machine.placed)
+        this.teamTotals.get(team)!.dominantShare += dominantShare(demand, this.fleetCapacity) * tasks.length;
+  }
+}
+
+/** Adds to a count; a count of zero is removed. */
+function addCount<Key>(counts: Map<Key, number>, key: Key, added: number): void {
+  const count = (counts.get(key) ?? 0) + added;
+  if (count === 0) counts.delete(key);
+  else counts.set(key, count);
+}
+
+/** How many tasks of the demand the limit allows beside what is used. */
+function tasksWithinLimit(limit: number | null, used: number, demand: number): number {
+  if (limit === null || demand <= 0) return Number.POSITIVE_INFINITY;
+  return Math.max(0, Math.floor((limit - used) / demand));
 }
--- a/src/core/state/allocations.ts
+++ b/src/core/state/allocations.ts
@@ -1,9 +1,9 @@
-/** Entries of machine records: tasks of one job and one attempt. */
+/** Allocations in machine records: tasks of one job that share one attempt. */
 import type { Attempt, TaskIndex } from '../model/ids.js';
 import type { JobSpec } from '../model/jobs.js';
 import type { Allocation } from '../model/machines.js';
 
-/** The entry of a machine's record for tasks of a job. */
+/** The allocation of a machine's record for tasks of a job. */
 export function allocationFor(spec: JobSpec, attempt: Attempt, tasks: readonly TaskIndex[]): Allocation {
   return {
     job: spec.id,
@@ -16,11 +16,18 @@
   };
 }
 
-/** Adds tasks to what a machine holds; those of one job and attempt stand together. */
-export function addAllocation(placed: readonly Allocation[], add: Allocation): Allocation[] {
-  const out = [...placed];
-  const at = out.findIndex((p) => p.job === add.job && p.attempt === add.attempt && p.stop === add.stop);
-  if (at < 0) out.push(add);
-  else out[at] = { ...out[at]!, tasks: [...out[at]!.tasks, ...add.tasks] };
-  return out;
+/** The allocations of a machine with one added; tasks of the same job and attempt share an allocation. */
+export function addAllocation(allocations: readonly Allocation[], added: Allocation): Allocation[] {
+  const result = [...allocations];
+  const position = result.findIndex((allocation) => isSameEntry(allocation, added));
+  if (position < 0) {
+    result.push(added);
+    return result;
+  }
+  const existing = result[position]!;
+  result[position] = { ...existing, tasks: [...existing.tasks, ...added.tasks] };
+  return result;
 }
+
+const isSameEntry = (a: Allocation, b: Allocation): boolean =>
+  a.job === b.job && a.attempt === b.attempt && a.stop === b.stop;
--- a/src/core/state/view-changes.ts
+++ b/src/core/state/view-changes.ts
@@ -1,6 +1,6 @@
-/** Which records of the shared state have changed, by kind: what loops and caches are told of. */
-import { parseKey } from '../records/keys.js';
+/** Which records of the shared state have changed, by kind: what loops and caches are notified of. */
 import type { JobId, MachineName, NodeName, TeamName } from '../model/ids.js';
+import { parseKey } from '../records/keys.js';
 
 /** The records that one batch of changes concerned; the view holds their present state already. */
 export interface ViewChanges {
@@ -9,56 +9,58 @@
   readonly teams: ReadonlySet<TeamName>;
   readonly shards: ReadonlySet<NodeName>;
   readonly sessions: ReadonlySet<NodeName>;
+  /** Jobs whose cancellation was requested or is complete. */
   readonly cancellations: ReadonlySet<JobId>;
+  /** Whether the leader's record changed. */
   readonly leader: boolean;
+  /** Whether the list of machine types changed. */
   readonly types: boolean;
 }
 
 /** Changes to jobs alone. */
 export const viewChangesOfJobs = (jobs: ReadonlySet<JobId>): ViewChanges => ({ ...viewChangesOf([]), jobs });
 
-/** Sorts changed keys by the kind of their records. */
+/** Sorts changed keys by the kind of their records; rentals, proxied machines and final states notify nobody. */
 export function viewChangesOf(keys: Iterable<string>): ViewChanges {
-  const jobs = new Set<JobId>();
-  const machines = new Set<MachineName>();
-  const teams = new Set<TeamName>();
-  const shards = new Set<NodeName>();
-  const sessions = new Set<NodeName>();
-  const cancellations = new Set<JobId>();
-  let leader = false;
-  let types = false;
-  for (const text of keys) {
-    const parsed = parseKey(text);
+  const changes = {
+    jobs: new Set<JobId>(),
+    machines: new Set<MachineName>(),
+    teams: new Set<TeamName>(),
+    shards: new Set<NodeName>(),
+    sessions: new Set<NodeName>(),
+    cancellations: new Set<JobId>(),
+    leader: false,
+    types: false,
+  };
+  for (const key of keys) {
+    const parsed = parseKey(key);
     switch (parsed.kind) {
       case 'job':
-        jobs.add(parsed.job);
+        changes.jobs.add(parsed.job);
         break;
       case 'machine':
-        machines.add(parsed.machine);
+        changes.machines.add(parsed.machine);
         break;
       case 'team':
-        teams.add(parsed.team);
+        changes.teams.add(parsed.team);
         break;
       case 'shard':
-        shards.add(parsed.shard);
+        changes.shards.add(parsed.shard);
         break;
       case 'session':
-        sessions.add(parsed.node);
+        changes.sessions.add(parsed.node);
         break;
       case 'cancellation':
-        cancellations.add(parsed.job);
+        changes.cancellations.add(parsed.job);
         break;
       case 'leader':
-        leader = true;
+        changes.leader = true;
         break;
       case 'types':
-        types = true;
+        changes.types = true;
         break;
-      case 'rental':
-      case 'proxied_machines':
-      case 'final':
-      case 'unknown':
+      default:
     }
   }
-  return { jobs, machines, teams, shards, sessions, cancellations, leader, types };
+  return changes;
 }
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -195,13 +195,13 @@
   const totals = new AllocationTotals([m], types, new Map());
   const used = totals.usedBy(team);
   const free = totals.freeByMachine.get(m.name)!;
-  totals.vacate(m, placed([0]), false, false);
+  totals.releaseProvisionally(m, placed([0]), { includesQuota: false });
   assert.deepEqual(totals.usedBy(team), used);
   assert.notDeepEqual(totals.freeByMachine.get(m.name), free);
-  totals.vacate(m, placed([0]), true, false);
-  totals.vacate(m, placed([0]), false, true);
+  totals.restoreAllocation(m, placed([0]), { includesQuota: false });
+  totals.releaseProvisionally(m, placed([0]), { includesQuota: true });
   assert.equal(totals.usedBy(team)[0], used[0] / 2);
-  totals.vacate(m, placed([0]), true, true);
+  totals.restoreAllocation(m, placed([0]), { includesQuota: true });
   assert.deepEqual([totals.usedBy(team), totals.freeByMachine.get(m.name)], [used, free]);
 });
 
