--- a/eslint.config.js
+++ b/eslint.config.js
@@ -56,7 +56,11 @@
       ],
       '@typescript-eslint/no-floating-promises': [
         'error',
-        { allowForKnownSafeCalls: [{ from: 'package', name: 'test', package: 'node:test' }] },
+        {
+          allowForKnownSafeCalls: [
+            { from: 'package', name: ['test', 'it', 'describe', 'suite'], package: 'node:test' },
+          ],
+        },
       ],
       '@typescript-eslint/no-unused-vars': ['error', { ignoreRestSiblings: true }],
       eqeqeq: ['error', 'always', { null: 'ignore' }],
