--- a/eslint.config.js
+++ b/eslint.config.js
@@ -18,13 +18,11 @@
 };
 
 /**
- * Files that do not meet a limit yet, with what they reach. The two planners share their working state among closures;
+ * Files that do not meet a limit yet, with what they reach. Placement shares its working state among closures;
  * the stand-ins of the tests grew with the troubles that they play.
  */
 const EXCEPTIONS = {
   'src/core/placement/placement.ts': { 'max-lines-per-function': 265, complexity: 37 },
-  'src/core/scaling/scaling-plan.ts': { 'max-lines-per-function': 235, complexity: 35 },
-  'src/core/scaling/shard-rebalancing.ts': { 'max-lines-per-function': 61, complexity: 33 },
   'src/core/agents/agent-session.ts': { complexity: 29 },
   'src/core/jobs/dependencies.ts': { complexity: 22 },
   'src/core/placement/preemption.ts': { complexity: 21 },
--- a/src/controller/leader/scaling-planner.ts
+++ b/src/controller/leader/scaling-planner.ts
@@ -132,7 +132,11 @@
         (t) => allowsMachineType(spec, t.name) && fitsWithin(spec.demand, t.capacity),
       );
     return [
-      ...this.forecast.headroom(context.clock.wallClock() / 1000, underWay, typeOf),
+      ...this.forecast.headroom({
+        nowS: context.clock.wallClock() / 1000,
+        unfinishedTasks: underWay,
+        machineTypeFor: typeOf,
+      }),
       ...this.serviceHeadroom(),
     ];
   }
--- a/src/core/jobs/feasibility.ts
+++ b/src/core/jobs/feasibility.ts
@@ -1,6 +1,6 @@
-/** What a job's own constraints allow: machine types, zones, and whether it could ever run. */
+/** What a job's own constraints allow: machines, zones, and whether it could ever run. */
 import type { Team } from '../model/cluster.js';
-import type { TypeName, TeamName } from '../model/ids.js';
+import type { TypeName, TeamName, Zone } from '../model/ids.js';
 import type { JobSpec } from '../model/jobs.js';
 import type { MachineType } from '../model/machines.js';
 import { fitsWithin, CPU, GPU } from '../model/resources.js';
@@ -10,6 +10,32 @@
   return spec.types === null || spec.types.includes(type);
 }
 
+/** What a job's constraints are checked against: a machine, a packing bin or a kind of machine to rent. */
+export interface MachineTraits {
+  readonly type: TypeName;
+  readonly zone: Zone;
+  readonly spot: boolean;
+}
+
+/** Whether the job's constraints allow the machine's type, zone and billing kind (spot or on demand). */
+export function allowsMachine(spec: JobSpec, machine: MachineTraits): boolean {
+  if (!allowsMachineType(spec, machine.type)) return false;
+  if (machine.spot && !spec.spot) return false;
+  return spec.zone === null || spec.zone === machine.zone;
+}
+
+/** The zones to try one after the other, in a stable order; null stands for all of them together. */
+export function zoneChoices(spec: JobSpec, zones: Iterable<Zone>): (Zone | null)[] {
+  return spec.oneZone ? [...new Set(zones)].sort() : [null];
+}
+
+/** The zone that the job's further tasks must share with those already allocated; null if they are free to choose. */
+export function requiredZone(spec: JobSpec, tasksPerZone: ReadonlyMap<Zone, number>): Zone | null {
+  if (!spec.oneZone) return null;
+  for (const [zone, tasks] of tasksPerZone) if (tasks > 0) return zone;
+  return null;
+}
+
 /** Whether a job could ever run, or why not. */
 export type Feasibility = 'ok' | 'unknown_team' | 'fits_no_type' | 'over_limit';
 
--- a/src/core/scaling/machine-reclaim.ts
+++ b/src/core/scaling/machine-reclaim.ts
@@ -1,56 +1,81 @@
-/** Which machines change slice with low-priority work on them, for work of higher priority that the cloud has no room for. */
-import type { PackingBin, ScalingInput, UnmetDemand } from './scaling-types.js';
-import { allowsMachineType } from '../jobs/feasibility.js';
-import type { NodeName, Zone } from '../model/ids.js';
+/**
+ * Reclaims machines for work of higher priority: while the cloud has none, machines that run nothing but low-priority
+ * arrays are moved to the shard that needs them. Only the owner of a machine may stop tasks on it.
+ */
+import { addToCount } from '../collections.js';
+import { allowsMachine } from '../jobs/feasibility.js';
+import type { TypeName, Zone } from '../model/ids.js';
 import { PRIORITY_RANK } from '../model/jobs.js';
-import type { Allocation } from '../model/machines.js';
+import type { Allocation, MachineType } from '../model/machines.js';
 import { tasksThatFit } from '../model/resources.js';
+import { isUp } from './packing-bins.js';
+import type { BinMove, PackingBin, PendingDemand, ScalingInput, UnmetDemand } from './scaling-types.js';
 
-/** Moves cost changes of the state service, and a plan is made every second or so. */
+/** Bounds the changes that one plan makes in the state service; plans follow each other about every second. */
 const MAX_RECLAIMED_PER_PLAN = 6;
 
-/** Whether the machine runs nothing but low-priority tasks that end by themselves: whoever owns it may stop them. */
-const isReclaimable = (placed: readonly Allocation[]): boolean =>
-  placed.length > 0 && placed.every((p) => p.kind === 'array' && p.priority === 'low');
-
-/**
- * Machines to move so that their new owner can stop what is on them, which only an owner may. Without it the background
- * work of a team without a guarantee kept whole machines for minutes that gangs of high priority waited for.
- */
+/** The machines to move to the shards of unmet demands above normal priority. */
 export function reclaimMachines(
   input: ScalingInput,
   bins: readonly PackingBin[],
-  refused: readonly UnmetDemand[],
-): { bin: PackingBin; to: NodeName }[] {
-  const types = new Map(input.types.map((t) => [t.name, t]));
-  const out: { bin: PackingBin; to: NodeName }[] = [];
-  for (const { demand, tasks } of refused) {
-    const { spec, shard } = demand;
-    if (PRIORITY_RANK[spec.priority] >= PRIORITY_RANK.normal) continue;
-    const places = (b: PackingBin): number => {
-      if (b.shard === shard || b.machine?.phase !== 'up' || !input.isMovable(b.machine)) return 0;
-      if (!isReclaimable(b.machine.placed) || out.some((x) => x.bin === b)) return 0;
-      if (!allowsMachineType(spec, b.type) || (b.spot && !spec.spot) || (spec.zone ?? b.zone) !== b.zone)
-        return 0;
-      return tasksThatFit(spec.demand, types.get(b.type)!.capacity);
-    };
-    const zone = demand.zone ?? (spec.oneZone ? zoneWithMost(bins, places) : null);
+  unmet: readonly UnmetDemand[],
+): BinMove[] {
+  const reclaim = new MachineReclaim(input, bins);
+  for (const { demand, tasks } of unmet) {
+    if (PRIORITY_RANK[demand.spec.priority] >= PRIORITY_RANK.normal) continue;
+    reclaim.reclaimFor(demand, tasks);
+  }
+  return reclaim.moves;
+}
+
+/** The machines that one plan reclaims. */
+class MachineReclaim {
+  readonly moves: BinMove[] = [];
+  private readonly types: ReadonlyMap<TypeName, MachineType>;
+
+  constructor(
+    private readonly input: ScalingInput,
+    private readonly bins: readonly PackingBin[],
+  ) {
+    this.types = new Map(input.types.map((type) => [type.name, type]));
+  }
+
+  /** Reclaims machines for so many tasks of the demand, as far as there are any. */
+  reclaimFor(demand: PendingDemand, tasks: number): void {
+    const zone = demand.zone ?? (demand.spec.oneZone ? this.zoneWithMostPlaces(demand) : null);
     let left = tasks;
-    for (const bin of bins) {
-      if (left <= 0 || out.length >= MAX_RECLAIMED_PER_PLAN) break;
-      const n = zone === null || bin.zone === zone ? places(bin) : 0;
-      if (n === 0) continue;
-      out.push({ bin, to: shard });
-      left -= n;
+    for (const bin of this.bins) {
+      if (left <= 0 || this.moves.length >= MAX_RECLAIMED_PER_PLAN) return;
+      if (zone !== null && bin.zone !== zone) continue;
+      const places = this.placesOn(bin, demand);
+      if (places === 0) continue;
+      this.moves.push({ bin, to: demand.shard });
+      left -= places;
     }
   }
-  return out;
+
+  private zoneWithMostPlaces(demand: PendingDemand): Zone | null {
+    const placesPerZone = new Map<Zone, number>();
+    for (const bin of this.bins) addToCount(placesPerZone, bin.zone, this.placesOn(bin, demand));
+    let best: Zone | null = null;
+    for (const [zone, places] of placesPerZone)
+      if (best === null || places > placesPerZone.get(best)!) best = zone;
+    return best;
+  }
+
+  /** How many tasks of the demand the machine can take once its own are stopped; 0 where it can't be reclaimed. */
+  private placesOn(bin: PackingBin, { spec, shard }: PendingDemand): number {
+    if (bin.shard === shard || !isUp(bin) || !this.input.isMovable(bin.machine)) return 0;
+    if (!runsOnlyLowPriorityArrays(bin.machine.placed) || this.isReclaimed(bin)) return 0;
+    if (!allowsMachine(spec, bin)) return 0;
+    return tasksThatFit(spec.demand, this.types.get(bin.type)!.capacity);
+  }
+
+  private isReclaimed(bin: PackingBin): boolean {
+    return this.moves.some((move) => move.bin === bin);
+  }
 }
 
-function zoneWithMost(bins: readonly PackingBin[], places: (b: PackingBin) => number): Zone | null {
-  const sums = new Map<Zone, number>();
-  for (const b of bins) sums.set(b.zone, (sums.get(b.zone) ?? 0) + places(b));
-  let best: Zone | null = null;
-  for (const [zone, sum] of sums) if (best === null || sum > sums.get(best)!) best = zone;
-  return best;
+function runsOnlyLowPriorityArrays(allocations: readonly Allocation[]): boolean {
+  return allocations.length > 0 && allocations.every((a) => a.kind === 'array' && a.priority === 'low');
 }
--- /dev/null
+++ b/src/core/scaling/pending-demand.ts
@@ -0,0 +1,66 @@
+/** What pending jobs still need: tasks that could start now, within the quotas of their teams. */
+import { TASK_WINDOW } from '../jobs/done-tasks.js';
+import { requiredZone } from '../jobs/feasibility.js';
+import type { NodeName, TeamName, Zone } from '../model/ids.js';
+import type { JobRecord, JobSpec } from '../model/jobs.js';
+import { NO_RESOURCES, addResources, type ResourceVector } from '../model/resources.js';
+import type { AllocationTotals, JobAllocations } from '../state/allocation-totals.js';
+import type { Headroom, PendingDemand, ScalingInput } from './scaling-types.js';
+
+/** The demand of a job whose team belongs to the shard. */
+export function demandOfJob(job: JobRecord, shard: NodeName, input: ScalingInput): PendingDemand {
+  const { spec } = job;
+  const allocations = input.totals.jobs.get(spec.id);
+  const tasksPerZone = new Map<Zone, number>(allocations?.tasksPerZone);
+  return {
+    spec,
+    shard,
+    tasks: startableTasks(job, allocations),
+    zone: requiredZone(spec, tasksPerZone),
+    tasksPerZone,
+    leavesWholeMachinesToGangs: input.leavesWholeMachinesToGangs(job),
+  };
+}
+
+/** The demand of headroom for a shard: tasks without allocations that may use whole machines. */
+export function demandOfHeadroom({ spec, tasks }: Headroom, shard: NodeName): PendingDemand {
+  return {
+    spec,
+    shard,
+    tasks,
+    zone: null,
+    tasksPerZone: new Map(),
+    leavesWholeMachinesToGangs: false,
+  };
+}
+
+/** Quotas of the teams, with the tasks counted that the plan has accepted so far. */
+export class PlannedQuota {
+  private readonly acceptedByTeam = new Map<TeamName, ResourceVector>();
+
+  constructor(private readonly totals: AllocationTotals) {}
+
+  /** How many tasks of this shape the team's quota allows beside what it uses and what the plan has accepted. */
+  tasksWithinQuota({ team, demand }: JobSpec): number {
+    return this.totals.tasksWithinQuota(team, demand, this.acceptedBy(team));
+  }
+
+  /** Counts tasks of this shape as used by the team. */
+  accept({ team, demand }: JobSpec, tasks: number): void {
+    this.acceptedByTeam.set(team, addResources(this.acceptedBy(team), demand, tasks));
+  }
+
+  private acceptedBy(team: TeamName): ResourceVector {
+    return this.acceptedByTeam.get(team) ?? NO_RESOURCES;
+  }
+}
+
+/** Tasks that could start now, as far as the job itself tells; of a job that fails everywhere, one at a time. */
+function startableTasks(job: JobRecord, allocations: JobAllocations | undefined): number {
+  const { spec, done, failing } = job;
+  const allocated = allocations?.tasks.size ?? 0;
+  const withinWindow = Math.min(spec.tasks, done.base + TASK_WINDOW);
+  const pending = Math.max(0, withinWindow - done.count - allocated);
+  if (failing === undefined) return pending;
+  return Math.min(pending, Math.max(0, 1 - allocated));
+}
--- a/src/core/scaling/scaling-types.ts
+++ b/src/core/scaling/scaling-types.ts
@@ -1,4 +1,5 @@
-/** Inputs, results and working state of the leader's scaling plan. */
+/** Input, result and working records of the leader's scaling plan. */
+import type { MachineTraits } from '../jobs/feasibility.js';
 import type { JobOrderContext } from '../jobs/job-order.js';
 import type { TypeName, Zone, NodeName, TeamName } from '../model/ids.js';
 import type { JobRecord, JobSpec } from '../model/jobs.js';
@@ -6,76 +7,101 @@
 import type { ResourceVector } from '../model/resources.js';
 import type { AllocationTotals } from '../state/allocation-totals.js';
 
-/** A machine to rent, and the slice that it is for. */
-export interface RentalRequest {
-  readonly type: TypeName;
-  readonly zone: Zone;
-  readonly spot: boolean;
+/** A machine to rent, and the shard that it is for. */
+export interface RentalRequest extends MachineTraits {
   readonly shard: NodeName;
 }
 
 /** What the plan is made from. */
 export interface ScalingInput {
+  /** Jobs that may be given machines; those that are not active, or whose team has no shard, are skipped. */
   readonly jobs: Iterable<JobRecord>;
+  /** All machines that have a record. */
   readonly machines: readonly MachineRecord[];
+  /** Rentals that were decided and whose machines have no records yet. */
   readonly rentals: Iterable<RentalRecord>;
+  /** Totals over the same machine records. */
   readonly totals: AllocationTotals;
+  /** The machine types that the cloud offers. */
   readonly types: readonly MachineType[];
+  /** The shard that schedules each team. */
   readonly shardByTeam: ReadonlyMap<TeamName, NodeName>;
+  /** What the order of jobs depends on, except what the totals tell. */
   readonly order: Omit<JobOrderContext, 'hasTasks'>;
-  /** Up, reporting and not draining; or booting and not overdue. */
-  readonly isUsable: (m: MachineRecord) => boolean;
-  /** Its owner has shown it its token: one that hears nobody must not go from slice to slice, each time anew. */
-  readonly isMovable: (m: MachineRecord) => boolean;
+  /** The machine can take tasks: it is up, reachable and not draining, or it is booting and not overdue. */
+  readonly isUsable: (machine: MachineRecord) => boolean;
+  /**
+   * The machine has confirmed its owner's fencing token. One that cannot hear its owner must not be moved from shard to
+   * shard, where each new owner would judge it anew.
+   */
+  readonly isMovable: (machine: MachineRecord) => boolean;
+  /** The job must leave empty on-demand machines to the gangs that wait for them. */
   readonly leavesWholeMachinesToGangs: (job: JobRecord) => boolean;
-  /** A gang that has waited so long that its owner keeps room for it. */
+  /** The gang has waited so long that its shard controller reserves machines for it. */
   readonly mayReserve: (job: JobRecord) => boolean;
-  /** Room to keep beside what waits, as tasks of a class's usual shape. */
+  /** Capacity to keep free beside the pending jobs. */
   readonly headroom: readonly Headroom[];
-  /** False while the cloud refuses this type, zone and kind. */
+  /** False while the cloud refuses machines of this type, zone and billing kind. */
   readonly isAvailable: (type: TypeName, zone: Zone, spot: boolean) => boolean;
-  /** Empty machines idle long enough to be returned. */
-  readonly isIdle: (m: MachineRecord) => boolean;
+  /** The machine has been empty long enough to be released. */
+  readonly isIdle: (machine: MachineRecord) => boolean;
 }
 
-/** Room to keep for so many tasks of this shape. */
+/** Capacity to keep free for a number of tasks of one shape. */
 export interface Headroom {
   readonly spec: JobSpec;
   readonly tasks: number;
 }
 
+/** A machine that is to change its shard. */
+export interface MachineMove {
+  readonly machine: MachineRecord;
+  readonly to: NodeName;
+}
+
 /** What the leader is to do now. */
 export interface ScalingPlan {
-  readonly moves: readonly { readonly machine: MachineRecord; readonly to: NodeName }[];
+  readonly moves: readonly MachineMove[];
   readonly rentals: readonly RentalRequest[];
   readonly releases: readonly MachineRecord[];
 }
 
-/** Tasks of one job that want room. */
+/** Tasks of one job that need machines. */
 export interface PendingDemand {
   readonly spec: JobSpec;
+  /** The shard that schedules the job's team. */
   readonly shard: NodeName;
+  /** Tasks that are not packed yet. */
   tasks: number;
-  /** The only zone that they may go to. */
+  /** The only zone that they may go to; null if they may go to any. */
   zone: Zone | null;
+  /** Tasks of the job by zone: those allocated and those packed by this plan. */
   readonly tasksPerZone: Map<Zone, number>;
-  /** It leaves empty ordinary machines to gangs. */
+  /** Empty on-demand machines are left to gangs. */
   readonly leavesWholeMachinesToGangs: boolean;
 }
 
-/** A machine that is there, boots, is being rented or is to be rented, with the room that the plan leaves on it. */
-export interface PackingBin {
+/** A machine that exists, is being rented or is to be rented, with the resources that the plan leaves free on it. */
+export interface PackingBin extends MachineTraits {
+  /** The machine's record; null for a machine that is not rented yet. */
   readonly machine: MachineRecord | null;
-  readonly type: TypeName;
-  readonly zone: Zone;
-  readonly spot: boolean;
+  /** The machine has a record and nothing is allocated on it. */
   readonly isEmpty: boolean;
+  /** The shard that the machine belongs to once the plan is carried out. */
   shard: NodeName;
+  /** Resources left free by the allocated tasks and by those that the plan packs. */
   free: ResourceVector;
+  /** Number of tasks that the plan packs on it. */
   plannedTasks: number;
 }
 
-/** Tasks for which neither a slice nor the cloud has room. */
+/** A machine in use that is to change its shard. */
+export interface BinMove {
+  readonly bin: PackingBin;
+  readonly to: NodeName;
+}
+
+/** Tasks for which neither the fleet nor the cloud has machines now. */
 export interface UnmetDemand {
   readonly demand: PendingDemand;
   readonly tasks: number;
--- a/src/core/scaling/shard-rebalancing.ts
+++ b/src/core/scaling/shard-rebalancing.ts
@@ -1,76 +1,146 @@
-/** Which machines change slice so that weighted shares stay level while there is not room for all. */
+/**
+ * Rebalances shards while there are not machines for all: without it, a shard that has more than its teams' weights give
+ * them keeps its machines busy with its own pending work for as long as it has any. What counts is the capacity that
+ * shards have, since the use by their teams follows only as tasks end.
+ */
+import { addToCount } from '../collections.js';
+import { allowsMachine } from '../jobs/feasibility.js';
 import { dominantShare } from '../model/dominant-share.js';
-import type { PackingBin, ScalingInput, PendingDemand } from './scaling-types.js';
-import { allowsMachineType } from '../jobs/feasibility.js';
-import type { NodeName, TeamName } from '../model/ids.js';
+import type { NodeName, TeamName, TypeName } from '../model/ids.js';
 import type { ResourceVector } from '../model/resources.js';
+import { isUp, type MachineBin } from './packing-bins.js';
+import type { BinMove, PackingBin, PendingDemand, ScalingInput } from './scaling-types.js';
 
-/** Moves cost changes of the state service, and a plan is made every second or so. */
+/** Bounds the changes that one plan makes in the state service; plans follow each other about every second. */
 const MAX_REBALANCED_PER_PLAN = 2;
+/** Differences up to so many average machines are left as they are. */
+const TOLERANCE_MACHINES = 1.5;
 
-/**
- * Machines to move so that weighted shares stay level when there is not room for all. A slice that has much keeps it
- * busy for ever with its own waiting work: a team had three times its guarantee while another waited at little more than
- * its own. Counted is what the slices have, and not what their teams use: the shares follow only as tasks end.
- */
+/** The machines to move to the shards of unplaced array jobs; their `shard` is changed. */
 export function rebalanceShards(
   input: ScalingInput,
   bins: readonly PackingBin[],
-  rest: readonly PendingDemand[],
-): { bin: PackingBin; to: NodeName }[] {
-  const { totals, shardByTeam } = input;
-  const size = (a: ResourceVector) => dominantShare(a, totals.fleetCapacity);
-  const has = new Map<NodeName, number>();
-  let all = 0;
-  let machines = 0;
-  const sizeOf = new Map(input.types.map((t) => [t.name, size(t.capacity)]));
-  for (const b of bins) {
-    if (b.machine?.phase !== 'up') continue;
-    const n = sizeOf.get(b.type) ?? 0;
-    has.set(b.shard, (has.get(b.shard) ?? 0) + n);
-    all += n;
-    machines++;
+  unplaced: readonly PendingDemand[],
+): BinMove[] {
+  const machines = bins.filter(isUp);
+  if (machines.length === 0) return [];
+  const shares = new CapacityShares(input, machines);
+  const entitlements = entitledShares(input, shares.total, wantedShares(input, unplaced));
+  // With capacity left over everyone gets what they want, and nothing has to be rebalanced.
+  if (entitlements.left > 0) return [];
+  const rebalancing = new Rebalancing(input, machines, shares, entitlements.byShard);
+  for (const demand of unplaced) if (demand.spec.kind === 'array') rebalancing.moveMachinesTo(demand);
+  return rebalancing.moves;
+}
+
+/** The capacity that each shard has, as a dominant share of the fleet. */
+class CapacityShares {
+  readonly total: number;
+  private readonly byShard = new Map<NodeName, number>();
+  private readonly byType: ReadonlyMap<TypeName, number>;
+
+  constructor(input: ScalingInput, machines: readonly MachineBin[]) {
+    this.byType = new Map(input.types.map((type) => [type.name, shareOfFleet(type.capacity, input)]));
+    let total = 0;
+    for (const bin of machines) {
+      const share = this.shareOf(bin);
+      addToCount(this.byShard, bin.shard, share);
+      total += share;
+    }
+    this.total = total;
   }
-  const wants = new Map<TeamName, number>();
-  for (const team of shardByTeam.keys())
-    wants.set(team, totals.dominantShareOf(team) * totals.weightOf(team));
-  for (const { spec, tasks } of rest)
-    wants.set(spec.team, (wants.get(spec.team) ?? 0) + size(spec.demand) * tasks);
-  // The level up to which everybody gets what it wants: those who want less than that leave the rest to the others.
-  const teams = [...wants]
-    .map(([team, want]) => ({ team, want, weight: totals.weightOf(team) }))
-    .sort((a, b) => a.want / a.weight - b.want / b.weight);
-  let left = all;
-  let weights = teams.reduce((n, t) => n + t.weight, 0);
-  const due = new Map<NodeName, number>();
-  for (const { team, want, weight } of teams) {
-    const gets = Math.min(want, (left * weight) / weights);
-    left -= gets;
-    weights -= weight;
-    const node = shardByTeam.get(team)!;
-    due.set(node, (due.get(node) ?? 0) + gets);
+
+  ofShard(shard: NodeName): number {
+    return this.byShard.get(shard) ?? 0;
   }
-  // With room left for all of it nothing has to be levelled.
-  if (machines === 0 || left > 0) return [];
-  const slack = (all / machines) * 1.5;
-  const over = (node: NodeName) => (has.get(node) ?? 0) - (due.get(node) ?? 0);
-  const out: { bin: PackingBin; to: NodeName }[] = [];
-  for (const { spec, shard: to } of rest) {
-    if (spec.kind !== 'array') continue;
-    for (const b of bins) {
-      if (out.length >= MAX_REBALANCED_PER_PLAN || over(to) > -slack) break;
-      const m = b.machine;
-      if (m?.phase !== 'up' || b.shard === to || over(b.shard) < slack || !input.isMovable(m)) continue;
-      // Work that ends by itself, so that its places come free.
-      if (!allowsMachineType(spec, b.type) || (b.spot && !spec.spot) || (spec.zone ?? b.zone) !== b.zone)
-        continue;
-      if (m.placed.some((p) => p.kind !== 'array') || out.some((x) => x.bin === b)) continue;
-      const n = sizeOf.get(b.type) ?? 0;
-      has.set(b.shard, (has.get(b.shard) ?? 0) - n);
-      has.set(to, (has.get(to) ?? 0) + n);
-      b.shard = to;
-      out.push({ bin: b, to });
+
+  /** Gives the machine and its share to another shard. */
+  move(bin: MachineBin, to: NodeName): void {
+    const share = this.shareOf(bin);
+    addToCount(this.byShard, bin.shard, -share);
+    addToCount(this.byShard, to, share);
+    bin.shard = to;
+  }
+
+  private shareOf(bin: MachineBin): number {
+    return this.byType.get(bin.type) ?? 0;
+  }
+}
+
+/** Moves machines from shards that have more than they are entitled to. */
+class Rebalancing {
+  readonly moves: BinMove[] = [];
+  private readonly tolerance: number;
+
+  constructor(
+    private readonly input: ScalingInput,
+    private readonly machines: readonly MachineBin[],
+    private readonly shares: CapacityShares,
+    private readonly entitledByShard: ReadonlyMap<NodeName, number>,
+  ) {
+    this.tolerance = (shares.total / machines.length) * TOLERANCE_MACHINES;
+  }
+
+  /** Moves machines to the demand's shard until it has what it is entitled to, within the tolerance. */
+  moveMachinesTo(demand: PendingDemand): void {
+    const to = demand.shard;
+    for (const bin of this.machines) {
+      if (this.moves.length >= MAX_REBALANCED_PER_PLAN || this.surplusOf(to) > -this.tolerance) return;
+      if (!this.canMove(bin, demand)) continue;
+      this.shares.move(bin, to);
+      this.moves.push({ bin, to });
     }
   }
-  return out;
+
+  /** The machine's shard can give it away, and the demand's tasks can use it once the tasks on it have ended. */
+  private canMove(bin: MachineBin, { spec, shard }: PendingDemand): boolean {
+    if (bin.shard === shard || this.surplusOf(bin.shard) < this.tolerance) return false;
+    if (!this.input.isMovable(bin.machine) || !allowsMachine(spec, bin)) return false;
+    // Only arrays end by themselves, task by task.
+    if (bin.machine.placed.some((allocation) => allocation.kind !== 'array')) return false;
+    return !this.moves.some((move) => move.bin === bin);
+  }
+
+  private surplusOf(shard: NodeName): number {
+    return this.shares.ofShard(shard) - (this.entitledByShard.get(shard) ?? 0);
+  }
+}
+
+function shareOfFleet(resources: ResourceVector, { totals }: ScalingInput): number {
+  return dominantShare(resources, totals.fleetCapacity);
+}
+
+/** What each team uses and what its unplaced tasks would use, as dominant shares. */
+function wantedShares(input: ScalingInput, unplaced: readonly PendingDemand[]): Map<TeamName, number> {
+  const { totals, shardByTeam } = input;
+  const wanted = new Map<TeamName, number>();
+  for (const team of shardByTeam.keys())
+    wanted.set(team, totals.dominantShareOf(team) * totals.weightOf(team));
+  for (const { spec, tasks } of unplaced)
+    addToCount(wanted, spec.team, shareOfFleet(spec.demand, input) * tasks);
+  return wanted;
+}
+
+/**
+ * Weighted max-min fairness: teams that want less than their part leave the rest to the others. Returns what the teams of
+ * each shard are entitled to, and what nobody wants.
+ */
+function entitledShares(
+  { totals, shardByTeam }: ScalingInput,
+  total: number,
+  wantedByTeam: ReadonlyMap<TeamName, number>,
+): { byShard: ReadonlyMap<NodeName, number>; left: number } {
+  const teams = [...wantedByTeam]
+    .map(([team, wanted]) => ({ team, wanted, weight: totals.weightOf(team) }))
+    .sort((a, b) => a.wanted / a.weight - b.wanted / b.weight);
+  let left = total;
+  let weightLeft = teams.reduce((sum, { weight }) => sum + weight, 0);
+  const byShard = new Map<NodeName, number>();
+  for (const { team, wanted, weight } of teams) {
+    const entitled = Math.min(wanted, (left * weight) / weightLeft);
+    left -= entitled;
+    weightLeft -= weight;
+    addToCount(byShard, shardByTeam.get(team)!, entitled);
+  }
+  return { byShard, left };
 }
