--- a/src/controller/health-tracker.ts
+++ b/src/controller/health-tracker.ts
@@ -9,7 +9,8 @@
 import type { Hint } from '../plugin-host/api.js';
 import { jsonBytes } from '../core/records/stored-records.js';
 import { SlowMachineDetector, type TaskRun } from '../core/health/slow-machine-detector.js';
-import { isNewer, taskKey } from '../core/agents/agent-session.js';
+import { isNewer } from '../core/agents/agent-session.js';
+import { taskKey } from '../core/agents/task-key.js';
 import type { ControllerContext } from './controller-context.js';
 
 /** So many reports, and pauses between a job and a machine, are remembered at least; for larger fleets more. */
--- a/src/controller/heartbeats/heartbeat-router.ts
+++ b/src/controller/heartbeats/heartbeat-router.ts
@@ -15,7 +15,8 @@
 import type { HealthTracker } from '../health-tracker.js';
 import { leaderOf, type Leader } from '../leader/leader.js';
 import type { Membership } from '../membership/membership.js';
-import type { ShardController, ReportAnswer } from '../shard/shard-controller.js';
+import type { HeartbeatReply } from '../shard/agent-sessions.js';
+import type { ShardController } from '../shard/shard-controller.js';
 import type { Availability } from '../membership/availability.js';
 import { ProxiedMachineList } from './proxied-machine-list.js';
 
@@ -76,7 +77,7 @@
     if (this.tokens.get(name)?.token !== token) this.tokens.set(name, { token, since: clock.now() });
   }
 
-  answer(r: Heartbeat): ReportAnswer {
+  answer(r: Heartbeat): HeartbeatReply {
     const { context } = this;
     if (!context.watcher.isReady) return { kind: 'busy' };
     this.health.observeHeartbeat(r);
@@ -110,7 +111,7 @@
    * it does for substitutes. After a lease it is sent on again: another controller may wait for it, and would give its
    * machine up.
    */
-  private answerIsolated(m: MachineRecord, r: Heartbeat): ReportAnswer {
+  private answerIsolated(m: MachineRecord, r: Heartbeat): HeartbeatReply {
     const { context } = this;
     if (!this.availability.isIsolated)
       return { kind: 'elsewhere', node: context.ownership.owns(m) ? null : context.ownership.holderOf(m) };
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -1,49 +1,52 @@
 /**
- * What the owner of a machine remembers of it under one fencing token, and how it talks to the machine's worker: answers
- * to reports, and direct messages that carry fencing tokens and stops. All of it may be lost at any time; losing it costs
- * time, never a rule.
+ * The sessions of this controller with the agents of its machines: replies to heartbeats, and direct messages that carry
+ * fencing tokens and stop commands. Losing the sessions costs time, never correctness.
  */
+import { agentCommands } from '../../core/agents/agent-commands.js';
+import { newAgentSession, recordHeartbeat, type AgentSession } from '../../core/agents/agent-session.js';
+import { confirmedExits } from '../../core/agents/confirmed-exits.js';
+import type { DesiredState } from '../../core/agents/desired-state.js';
 import { LOG_EVENT } from '../../core/log-events.js';
-import { taskId } from '../../core/model/ids.js';
-import {
-  agentCommands,
-  confirmedExits,
-  newAgentSession,
-  recordHeartbeat,
-  type AgentSession,
-  type DesiredState,
-} from '../../core/agents/agent-session.js';
 import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
-import type { MachineName, NodeName, FencingToken } from '../../core/model/ids.js';
+import { taskId, type FencingToken, type MachineName, type NodeName } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import type { MonotonicMs } from '../../core/model/time.js';
 import type { AgentGateway } from '../../io/agents/agent-client.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health-tracker.js';
 
-/** What a worker that has reported is answered. */
+/** How long a stop that was sent directly is not sent again: the next heartbeat shows what became of it. */
+const STOP_RESEND_INTERVAL_MS = 4000;
+/** Pause between direct messages to one agent after an answer. */
+const MESSAGE_INTERVAL_MS = 100;
+/** Pause between direct messages to one agent after a failure. */
+const MESSAGE_RETRY_INTERVAL_MS = 1500;
+/** Epoch of a newly started agent, assumed where no heartbeat has told it. */
+const FIRST_AGENT_EPOCH = 1;
+
+/** Reply to an agent's heartbeat. */
 export type HeartbeatReply =
   | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly AgentCommand[] }
+  /** Another controller answers: the named one, or any other where null. */
   | { readonly kind: 'elsewhere'; readonly node: NodeName | null }
   | { readonly kind: 'busy' };
 
-/** Told of a machine about which something was learned, and whether tasks may now be placed that could not before. */
-export type MachineListener = (name: MachineName, mayPlace: boolean) => void;
+/** Something new is known about a machine. */
+export interface MachineObservation {
+  readonly machine: MachineName;
+  /** Its first heartbeat in this session: tasks may now be placed on it. */
+  readonly isNewlyAvailable: boolean;
+}
 
-/** A stop that was sent directly is not sent again for so long: the worker's next report shows what became of it. */
-const STOP_AGAIN_MS = 4000;
-/** From the answer to a direct message, or from its failure, to the next one to the same machine. */
-const NEXT_MESSAGE_MS = 100;
-const RETRY_MESSAGE_MS = 1500;
-/** A new worker's first session: the guess where no report has told it. */
-const FIRST_SESSION = 1;
+/** Receives observations that a reconcile pass should look at. */
+export type MachineObservationListener = (observation: MachineObservation) => void;
 
-/** Remembers the machines of this owner, answers their reports and sends them direct messages. */
+/** Owns the agent sessions of this controller's machines. */
 export class AgentSessions {
   private readonly sessions = new Map<MachineName, AgentSession>();
-  /** Machines to which a direct message is under way. */
+  /** Machines with a direct message in flight, or in the pause after one. */
   private readonly inFlight = new Set<MachineName>();
-  /** When a stop was last sent directly, the latest last. */
+  /** When stops were last sent directly, by machine and task; the latest last. */
   private readonly stopSentAt = new Map<string, MonotonicMs>();
   private readonly heartbeatIntervalMs: number;
 
@@ -51,126 +54,153 @@
     private readonly context: ControllerContext,
     private readonly agents: AgentGateway,
     private readonly health: HealthTracker,
-    private readonly learned: MachineListener,
+    private readonly onObservation: MachineObservationListener,
   ) {
     this.heartbeatIntervalMs = context.settings.workers.report_s * 1000;
   }
 
+  /** Machines with a session. */
   names(): Iterable<MachineName> {
     return this.sessions.keys();
   }
 
-  /** What is remembered under the machine's present token; nothing yet where that is new. */
-  of(machine: MachineRecord): AgentSession {
+  /** The session under the machine's present fencing token; a new one where the token has changed. */
+  current(machine: MachineRecord): AgentSession {
     const token = this.context.view.fencingTokenOf(machine);
-    let memory = this.sessions.get(machine.name);
-    if (memory?.token !== token) {
-      memory = newAgentSession(token, this.context.clock.now());
-      this.sessions.set(machine.name, memory);
+    let session = this.sessions.get(machine.name);
+    if (session?.token !== token) {
+      session = newAgentSession(token, this.context.clock.now());
+      this.sessions.set(machine.name, session);
     }
-    return memory;
+    return session;
   }
 
-  /** As `of`, without beginning anything. */
-  get(name: MachineName): AgentSession | undefined {
+  /** The machine's session, if any, under whichever token it began. */
+  find(name: MachineName): AgentSession | undefined {
     return this.sessions.get(name);
   }
 
+  /** Ends the session of a machine that this controller does not own any more. */
   forget(name: MachineName): void {
     this.sessions.delete(name);
   }
 
-  /** Takes in a report of one of this controller's machines and says what the worker is to do. */
+  /** Records a heartbeat of an owned machine and returns the reply to its agent. */
   answerHeartbeat(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
     const { context } = this;
-    const memory = this.of(machine);
-    const { token } = memory;
+    const session = this.current(machine);
+    const { token } = session;
     if (heartbeat.token > token) return { kind: 'elsewhere', node: null };
-    const first = memory.heartbeat === null;
+    const isFirst = session.heartbeat === null;
     const now = context.clock.now();
-    // Overtaken by the answer to a direct command, or late: the worker is kept, and told nothing.
-    if (!recordHeartbeat(memory, heartbeat, now, true, this.heartbeatIntervalMs))
-      return { kind: 'ok', token, commands: [] };
+    const arrival = { now, isPushed: true, heartbeatIntervalMs: this.heartbeatIntervalMs };
+    // Late, or overtaken by the answer to a direct message: the agent keeps its lease and gets no commands.
+    if (!recordHeartbeat(session, heartbeat, arrival)) return { kind: 'ok', token, commands: [] };
     if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat });
-    const wanted = this.desiredState();
-    const tells = first || machine.phase === 'booting' || heartbeat.preemptionNoticeS !== null;
-    if (tells || confirmedExits(machine, memory, wanted).length > 0) this.learned(machine.name, first);
-    const answer = agentCommands(machine, memory, wanted, now, machine.phase !== 'releasing');
-    this.noteCommands(machine.name, token, answer);
-    return { kind: 'ok', token, commands: answer };
-  }
-
-  private noteCommands(machine: MachineName, token: FencingToken, sent: readonly AgentCommand[]): void {
-    const { context } = this;
-    for (const command of sent) {
-      const { op, job, index, attempt } = command;
-      context.log.debug(
-        { op, task: taskId(job, index), attempt, machine, token },
-        LOG_EVENT.agentCommandSent,
-      );
-      if (context.events.isActive) context.events.emit({ kind: 'command_sent', machine, command });
-    }
+    const desired = this.desiredState();
+    const isNews = isFirst || machine.phase === 'booting' || heartbeat.preemptionNoticeS !== null;
+    if (isNews || confirmedExits(machine, session, desired).length > 0)
+      this.onObservation({ machine: machine.name, isNewlyAvailable: isFirst });
+    const mayStart = machine.phase !== 'releasing';
+    const commands = agentCommands({ machine, session, desired, now, mayStart });
+    this.logCommands(machine.name, token, commands);
+    return { kind: 'ok', token, commands };
   }
 
-  /** Direct messages: fencing tokens for machines that have not shown theirs, stops that cannot wait. */
+  /** Sends fencing tokens to agents that have not shown theirs, and stop commands. */
   sendDirectCommands(names: readonly MachineName[]): void {
-    const wanted = this.desiredState();
+    const desired = this.desiredState();
     for (const name of names) {
       const machine = this.context.view.machines.get(name);
-      if (machine !== undefined && this.context.ownership.owns(machine)) this.sendTo(machine, wanted);
+      if (machine !== undefined && this.context.ownership.owns(machine)) this.sendMessage(machine, desired);
     }
   }
 
-  private sendTo(machine: MachineRecord, wanted: DesiredState): void {
-    const { context } = this;
+  private sendMessage(machine: MachineRecord, desired: DesiredState): void {
     const { name } = machine;
-    const memory = this.of(machine);
-    const heartbeat = memory.heartbeat ?? this.health.lastHeartbeat(name);
+    const session = this.current(machine);
+    const heartbeat = session.heartbeat ?? this.health.lastHeartbeat(name);
     const address = heartbeat?.address ?? machine.address;
     if (address === undefined || machine.phase === 'releasing' || this.inFlight.has(name)) return;
-    let stops: AgentCommand[] = [];
-    if (heartbeat?.token === memory.token && memory.heartbeat !== null) {
-      stops = agentCommands(machine, memory, wanted, context.clock.now(), false).filter(
-        (c) => c.op === 'stop' && !this.stopSentOfLate(name, c),
-      );
-      if (stops.length === 0) return;
-    } else if (heartbeat !== null && heartbeat.token > memory.token) return;
+    const stops = this.messageFor(machine, session, heartbeat, desired);
+    if (stops === null) return;
     this.inFlight.add(name);
-    this.noteCommands(name, memory.token, stops);
-    // Without any report the session is a guess: the refusal brings the report, and the next try has it.
-    const session = heartbeat?.agentEpoch ?? FIRST_SESSION;
-    void this.agents.sendCommands(address, memory.token, session, stops).then((answer) => {
+    this.logCommands(name, session.token, stops);
+    // A wrong epoch is refused with a heartbeat, which tells the next message the right one.
+    const agentEpoch = heartbeat?.agentEpoch ?? FIRST_AGENT_EPOCH;
+    void this.agents.sendCommands(address, session.token, agentEpoch, stops).then((answer) => {
       if (answer?.machine === name) this.recordAnswer(answer);
-      context.clock.after(answer === null ? RETRY_MESSAGE_MS : NEXT_MESSAGE_MS, () =>
-        this.inFlight.delete(name),
-      );
+      const pauseMs = answer === null ? MESSAGE_RETRY_INTERVAL_MS : MESSAGE_INTERVAL_MS;
+      this.context.clock.after(pauseMs, () => this.inFlight.delete(name));
     });
   }
 
-  private recordAnswer(answer: Heartbeat): void {
+  /** The stops to send: none where only the token is sent, null where there is nothing to send. */
+  private messageFor(
+    machine: MachineRecord,
+    session: AgentSession,
+    heartbeat: Heartbeat | null,
+    desired: DesiredState,
+  ): AgentCommand[] | null {
+    if (session.heartbeat?.token === session.token) {
+      const stops = this.dueStops(machine, session, desired);
+      return stops.length === 0 ? null : stops;
+    }
+    const hasNewerOwner = heartbeat !== null && heartbeat.token > session.token;
+    return hasNewerOwner ? null : [];
+  }
+
+  private dueStops(machine: MachineRecord, session: AgentSession, desired: DesiredState): AgentCommand[] {
+    const now = this.context.clock.now();
+    const commands = agentCommands({ machine, session, desired, now, mayStart: false });
+    return commands.filter((command) => command.op === 'stop' && this.takeStopTurn(machine.name, command));
+  }
+
+  /** Whether the stop has not been sent directly within the resend interval; if so, it counts as sent now. */
+  private takeStopTurn(machine: MachineName, stop: AgentCommand): boolean {
+    const key = `${machine} ${stop.job}/${stop.index}@${stop.attempt}`;
+    const sentAt = this.stopSentAt.get(key);
+    const now = this.context.clock.now();
+    if (sentAt !== undefined && now - sentAt < STOP_RESEND_INTERVAL_MS) return false;
+    this.forgetOldStops(now);
+    this.stopSentAt.delete(key);
+    this.stopSentAt.set(key, now);
+    return true;
+  }
+
+  private forgetOldStops(now: MonotonicMs): void {
+    for (const [key, sentAt] of this.stopSentAt) {
+      if (now - sentAt < STOP_RESEND_INTERVAL_MS) break;
+      this.stopSentAt.delete(key);
+    }
+  }
+
+  private recordAnswer(heartbeat: Heartbeat): void {
     const { context } = this;
-    this.health.observeHeartbeat(answer);
-    const machine = context.view.machines.get(answer.machine);
+    this.health.observeHeartbeat(heartbeat);
+    const machine = context.view.machines.get(heartbeat.machine);
     if (machine === undefined || !context.ownership.owns(machine)) return;
-    if (answer.token > context.view.fencingTokenOf(machine)) return;
-    const memory = this.of(machine);
-    if (!recordHeartbeat(memory, answer, context.clock.now(), false, this.heartbeatIntervalMs)) return;
-    if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat: answer });
-    this.learned(machine.name, false);
+    if (heartbeat.token > context.view.fencingTokenOf(machine)) return;
+    const arrival = {
+      now: context.clock.now(),
+      isPushed: false,
+      heartbeatIntervalMs: this.heartbeatIntervalMs,
+    };
+    if (!recordHeartbeat(this.current(machine), heartbeat, arrival)) return;
+    if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat });
+    this.onObservation({ machine: machine.name, isNewlyAvailable: false });
   }
 
-  private stopSentOfLate(machine: MachineName, stop: AgentCommand): boolean {
-    const k = `${machine} ${stop.job}/${stop.index}@${stop.attempt}`;
-    const before = this.stopSentAt.get(k);
-    const now = this.context.clock.now();
-    if (before !== undefined && now - before < STOP_AGAIN_MS) return true;
-    for (const [old, at] of this.stopSentAt) {
-      if (now - at < STOP_AGAIN_MS) break;
-      this.stopSentAt.delete(old);
+  private logCommands(machine: MachineName, token: FencingToken, commands: readonly AgentCommand[]): void {
+    const { context } = this;
+    for (const command of commands) {
+      const { op, job, index, attempt } = command;
+      context.log.debug(
+        { op, task: taskId(job, index), attempt, machine, token },
+        LOG_EVENT.agentCommandSent,
+      );
+      if (context.events.isActive) context.events.emit({ kind: 'command_sent', machine, command });
     }
-    this.stopSentAt.delete(k);
-    this.stopSentAt.set(k, now);
-    return false;
   }
 
   private desiredState(): DesiredState {
--- a/src/controller/shard/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -1,26 +1,32 @@
-/** Works out which changes the records of jobs need: ends, cancellations and the withdrawal of dependent jobs. */
+/** Decides which changes the records of jobs need: completion, cancellation, failures and cancellation of dependents. */
 import { LOG_EVENT } from '../../core/log-events.js';
-import { key } from '../../core/records/keys.js';
 import { NO_VERSION, type JobId } from '../../core/model/ids.js';
-import type { DoneSet, JobFailureRecord, FinalRecord, JobRecord } from '../../core/model/jobs.js';
+import type { DoneSet, FinalRecord, JobFailureRecord, JobRecord } from '../../core/model/jobs.js';
 import type { WallClockMs } from '../../core/model/time.js';
-import type { ChangeSet } from '../../io/state/transactions.js';
+import { key } from '../../core/records/keys.js';
 import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
+import type { ChangeSet } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health-tracker.js';
 import type { PreparedResults } from './task-exits.js';
 
-type ResultsByJob = ReadonlyMap<JobId, DoneSet>;
-
-/** So many jobs are withdrawn in one pass after one that they need: the rest of the work must not wait for hundreds. */
+/** Dependents of a cancelled job that one pass cancels; hundreds at once would delay all other changes. */
 const MAX_DEPENDENTS_PER_PASS = 16;
-
-/** A record names so many of the machines on which its job failed, the latest. */
+/** Machines that a job's failure record names, the latest ones. */
 const MAX_FAILED_MACHINES_RECORDED = 3;
 
-/** Makes the changes that records of jobs need. */
+type ResultsByJob = ReadonlyMap<JobId, DoneSet>;
+
+/** Changes of one pass to records of jobs. */
+export interface JobChanges {
+  /** Jobs all of whose tasks are done. */
+  readonly finished: readonly ChangeSet[];
+  readonly cancellations: readonly ChangeSet[];
+}
+
+/** Reconciles the records of jobs of owned teams with results, failures and requests of users. */
 export class JobReconciler {
-  /** Jobs whose users have asked this controller to cancel them. */
+  /** Jobs whose cancellation was requested from this controller directly. */
   private readonly requested = new Set<JobId>();
 
   constructor(
@@ -28,41 +34,38 @@
     private readonly health: HealthTracker,
   ) {}
 
+  /** Begins the cancellation of a job of an owned team with the next pass. */
   requestCancellation(id: JobId): void {
     this.requested.add(id);
   }
 
-  /** Results go before a cancellation, or with it: what is done stays done. */
-  reconcile({ finishedJobs, unfinishedJobs }: PreparedResults): {
-    ends: ChangeSet[];
-    cancellations: ChangeSet[];
-  } {
+  /** The changes of this pass. Results precede a cancellation or are written with it: a finished task stays finished. */
+  reconcile(results: PreparedResults): JobChanges {
     const { jobs } = this.context.view;
-    const ends = [...finishedJobs].map(([id, done]) =>
+    const finished = [...results.finishedJobs].map(([id, done]) =>
       this.finish(jobs.get(id)!, { state: 'done', done: done.count }),
     );
-    return {
-      ends,
-      cancellations: [
-        ...this.takeStoredCancellations(finishedJobs, unfinishedJobs),
-        ...this.takeCancellationRequests(finishedJobs, unfinishedJobs),
-        ...this.cancelDependents(),
-        ...this.finishCancelled(finishedJobs, unfinishedJobs),
-      ],
-    };
+    const cancellations = [
+      ...this.takeStoredCancellations(results),
+      ...this.takeCancellationRequests(results),
+      ...this.cancelDependents(),
+      ...this.finishCancelled(results),
+    ];
+    return { finished, cancellations };
   }
 
   /**
-   * Notes in their records which jobs fail wherever they run: another owner goes on with their waits, the leader rents
-   * nothing for them, and users see it. One change for each try that failed, and those grow rare.
+   * Writes to their records which jobs fail on every machine: a later owner of the team continues their backoff, the leader
+   * rents no machines for them, and users see it. One change for each failed round; the backoff makes rounds rare.
    */
-  recordFailingJobs(open: ResultsByJob): ChangeSet[] {
+  recordFailingJobs(unfinishedJobs: ResultsByJob): ChangeSet[] {
     const { context } = this;
     const { clock, view } = context;
-    const groups: ChangeSet[] = [];
+    const changes: ChangeSet[] = [];
     for (const [id, failures] of this.health.failures.failingJobs()) {
       const job = view.jobs.get(id);
-      if (job?.phase !== 'active' || open.has(id) || failures.rounds <= (job.failing?.rounds ?? 0)) continue;
+      if (job?.phase !== 'active' || unfinishedJobs.has(id)) continue;
+      if (failures.rounds <= (job.failing?.rounds ?? 0)) continue;
       const failing: JobFailureRecord = {
         rounds: failures.rounds,
         why: failures.why,
@@ -71,117 +74,112 @@
       };
       context.log.info({ job: id, ...failing }, LOG_EVENT.jobFailing);
       const value = context.recordBudget.storedJob({ ...job, failing });
-      groups.push({
+      changes.push({
         operations: [{ key: key.job(id), value, reason: 'failing' }],
         guards: [context.guards.forKey(key.job(id))],
       });
     }
-    return groups;
+    return changes;
   }
 
-  /** Requests that other controllers have left in the state service. */
-  private takeStoredCancellations(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
+  /** Cancellation requests that other controllers have left in the state service. */
+  private takeStoredCancellations({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
     const { context } = this;
     const { view } = context;
-    const groups: ChangeSet[] = [];
+    const changes: ChangeSet[] = [];
     for (const id of view.cancellations) {
       const job = view.jobs.get(id);
-      if (job !== undefined) {
-        if (context.ownership.ownsTeam(job.spec.team) && job.phase === 'active' && !ended.has(id))
-          groups.push(this.beginCancellation(job, open.get(id)));
-      } else if (view.leader?.incarnation === context.incarnation) {
-        const k = key.cancellation(id);
-        groups.push({
-          operations: [{ key: k, value: undefined, reason: 'cancellation' }],
-          guards: [context.guards.forKey(k)],
-        });
+      if (job === undefined) {
+        if (view.leader?.incarnation === context.incarnation) changes.push(this.removeCancellation(id));
+        continue;
       }
+      if (context.ownership.ownsTeam(job.spec.team) && job.phase === 'active' && !finishedJobs.has(id))
+        changes.push(this.beginCancellation(job, unfinishedJobs.get(id)));
     }
-    return groups;
+    return changes;
   }
 
-  private takeCancellationRequests(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
-    const { context } = this;
-    const groups: ChangeSet[] = [];
+  /** Removes a stored request whose job is over. */
+  private removeCancellation(id: JobId): ChangeSet {
+    const cancellationKey = key.cancellation(id);
+    return {
+      operations: [{ key: cancellationKey, value: undefined, reason: 'cancellation' }],
+      guards: [this.context.guards.forKey(cancellationKey)],
+    };
+  }
+
+  private takeCancellationRequests({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
+    const { view, ownership } = this.context;
+    const changes: ChangeSet[] = [];
     for (const id of this.requested) {
-      if (ended.has(id)) continue;
-      const job = context.view.jobs.get(id);
-      const mine = job?.phase === 'active' && context.ownership.ownsTeam(job.spec.team);
-      if (mine && !context.view.cancellations.has(id)) groups.push(this.beginCancellation(job, open.get(id)));
+      if (finishedJobs.has(id)) continue;
+      const job = view.jobs.get(id);
+      const mayCancel = job?.phase === 'active' && ownership.ownsTeam(job.spec.team);
+      if (mayCancel && !view.cancellations.has(id))
+        changes.push(this.beginCancellation(job, unfinishedJobs.get(id)));
       else this.requested.delete(id);
     }
-    return groups;
+    return changes;
   }
 
+  /** Jobs that need a cancelled job. They have never started, so that there is nothing but their records. */
   private cancelDependents(): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations.current();
-    const groups: ChangeSet[] = [];
+    const changes: ChangeSet[] = [];
     for (const [id, dependency] of context.dependencies.current().byJob) {
-      if (groups.length >= MAX_DEPENDENTS_PER_PASS) break;
+      if (changes.length >= MAX_DEPENDENTS_PER_PASS) break;
       if (dependency.kind !== 'withdrawn') continue;
       const job = context.view.jobs.get(id);
-      // It never started, so that there is nothing but its record. Its users are told already (`Jobs.find`).
       if (job === undefined || !context.ownership.ownsTeam(job.spec.team) || totals.jobs.has(id)) continue;
-      groups.push(this.finish(job, { state: 'cancelled', done: 0, because: dependency.because }));
+      changes.push(this.finish(job, { state: 'cancelled', done: 0, because: dependency.because }));
     }
-    return groups;
+    return changes;
   }
 
-  private finishCancelled(ended: ResultsByJob, open: ResultsByJob): ChangeSet[] {
+  /** Jobs being cancelled of which no task is on any machine any more: nothing of them can run on. */
+  private finishCancelled({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations.current();
     const dependencies = context.dependencies.current().byJob;
-    const groups: ChangeSet[] = [];
+    const changes: ChangeSet[] = [];
     for (const job of context.view.jobs.values()) {
       const { id, team } = job.spec;
-      if (job.phase !== 'cancelling' || ended.has(id) || !context.ownership.ownsTeam(team)) continue;
-      if (dependencies.get(id)?.kind === 'withdrawn') continue;
-      // Said only once nothing of the job is on any machine: then there is nothing left that could run on.
-      if (totals.jobs.has(id)) continue;
-      const { count } = open.get(id) ?? job.done;
-      groups.push(this.finish(job, { state: 'cancelled', done: count }));
+      if (job.phase !== 'cancelling' || finishedJobs.has(id) || !context.ownership.ownsTeam(team)) continue;
+      if (dependencies.get(id)?.kind === 'withdrawn' || totals.jobs.has(id)) continue;
+      const { count } = unfinishedJobs.get(id) ?? job.done;
+      changes.push(this.finish(job, { state: 'cancelled', done: count }));
     }
-    return groups;
+    return changes;
   }
 
   private beginCancellation(job: JobRecord, done = job.done): ChangeSet {
-    const { context } = this;
+    const { log, guards, recordBudget } = this.context;
     const { id, team } = job.spec;
-    context.log.info({ job: id }, LOG_EVENT.jobCancelling);
+    log.info({ job: id }, LOG_EVENT.jobCancelling);
+    const value = recordBudget.storedJob({ ...job, done, phase: 'cancelling' });
     return {
-      operations: [
-        {
-          key: key.job(id),
-          value: context.recordBudget.storedJob({ ...job, done, phase: 'cancelling' }),
-          reason: 'cancellation',
-        },
-      ],
-      guards: [context.guards.forKey(key.job(id)), ...context.guards.forTeam(team)],
+      operations: [{ key: key.job(id), value, reason: 'cancellation' }],
+      guards: [guards.forKey(key.job(id)), ...guards.forTeam(team)],
     };
   }
 
+  /** Replaces the job's record by its final state. */
   private finish(job: JobRecord, final: FinalRecord): ChangeSet {
-    const { context } = this;
+    const { clock, guards: guardsOf, log, state, view } = this.context;
     const { id, team } = job.spec;
-    context.log.info({ job: id, state: final.state, done: final.done }, LOG_EVENT.jobFinished);
+    log.info({ job: id, state: final.state, done: final.done }, LOG_EVENT.jobFinished);
+    const value: FinalRecord = { ...final, at: clock.wallClock() };
     const operations: WriteOperation[] = [
       { key: key.job(id), value: undefined, reason: 'end' },
-      {
-        key: key.final(id),
-        value: { ...final, at: context.clock.wallClock() } satisfies FinalRecord,
-        reason: 'end',
-      },
+      { key: key.final(id), value, reason: 'end' },
     ];
-    const guards: Guard[] = [context.guards.forKey(key.job(id)), { key: key.final(id), version: NO_VERSION }];
-    if (final.state === 'cancelled') guards.push(...context.guards.forTeam(team));
-    // Where a transaction takes fewer changes, the leader removes what is left of the request.
-    if (
-      context.view.cancellations.has(id) &&
-      operations.length < context.state.limits.operationsPerTransaction
-    ) {
+    const guards: Guard[] = [guardsOf.forKey(key.job(id)), { key: key.final(id), version: NO_VERSION }];
+    if (final.state === 'cancelled') guards.push(...guardsOf.forTeam(team));
+    // Where the limit of a transaction leaves no room for it, the leader removes the request later.
+    if (view.cancellations.has(id) && operations.length < state.limits.operationsPerTransaction) {
       operations.push({ key: key.cancellation(id), value: undefined, reason: 'cancellation' });
-      guards.push(context.guards.forKey(key.cancellation(id)));
+      guards.push(guardsOf.forKey(key.cancellation(id)));
     }
     return { operations, guards };
   }
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -1,89 +1,116 @@
 /**
- * Works out which changes a machine's record needs: tasks proved to be gone, machines that came up, drain or are out of
- * reach, tasks that leave on a spot notice.
+ * Decides which change a machine's record needs: tasks that have exited, machines that have booted, drain or are
+ * unreachable, tasks that stop on a preemption notice of a spot machine.
  */
+import type { AgentSession } from '../../core/agents/agent-session.js';
+import { confirmedExits, type TaskExit } from '../../core/agents/confirmed-exits.js';
+import type { DesiredState } from '../../core/agents/desired-state.js';
+import { taskKey } from '../../core/agents/task-key.js';
 import { LOG_EVENT } from '../../core/log-events.js';
-import { taskId } from '../../core/model/ids.js';
+import { taskId, type MachineName } from '../../core/model/ids.js';
+import type { Allocation, MachinePhase, MachineRecord } from '../../core/model/machines.js';
 import { key } from '../../core/records/keys.js';
-import {
-  confirmedExits,
-  taskKey,
-  removeExits,
-  type TaskExit,
-  type AgentSession,
-  type DesiredState,
-} from '../../core/agents/agent-session.js';
-import type { MachineName, Zone } from '../../core/model/ids.js';
-import type { MachineRecord, Allocation } from '../../core/model/machines.js';
+import { removeExits } from '../../core/state/allocations.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health-tracker.js';
 import type { AgentSessions } from './agent-sessions.js';
-import type { UncommittedResults, TaskExits } from './task-exits.js';
+import { MachineReachability } from './machine-reachability.js';
+import type { TaskExits, UncommittedResults } from './task-exits.js';
 import {
   CLEANUP_DELAY_EMPTY_MS,
-  MAX_CLEANUP_DELAY_MS,
   CLEANUP_DELAY_SPARE_MS,
   FULL_RECONCILE_INTERVAL_MS,
+  MAX_CLEANUP_DELAY_MS,
 } from './timing.js';
-import { isUnreachable, zoneReachability, type ZoneReachability } from './machine-reachability.js';
 
-/** A change to a machine's record; what only tidies up can wait for starts. */
+/** A change to a machine's record. */
 export interface MachineChange {
   readonly changeSet: ChangeSet;
+  /** False: it may wait for starts. */
   readonly isUrgent: boolean;
 }
 
-/** Makes the changes that records of machines need. */
+/** What a pass sees of a machine beside its record. */
+interface MachineCondition {
+  /** The cloud has announced that it takes the machine back. */
+  readonly hasPreemptionNotice: boolean;
+  readonly isDraining: boolean;
+  readonly isUnreachable: boolean;
+  /** The first heartbeat of a booting machine has arrived. */
+  readonly hasBooted: boolean;
+}
+
+/** The allocations of a machine after a pass. */
+interface ReconciledAllocations {
+  /** Exits whose tasks are removed from the record. */
+  readonly removableExits: readonly TaskExit[];
+  /** The record's allocations without them. */
+  readonly remaining: readonly Allocation[];
+  /** The same, with those marked that stop on a preemption notice. */
+  readonly updated: readonly Allocation[];
+}
+
+/** Reconciles records of owned machines with the heartbeats of their agents. */
 export class MachineReconciler {
+  private readonly reachability: MachineReachability;
+
   constructor(
     private readonly context: ControllerContext,
     private readonly sessions: AgentSessions,
     private readonly health: HealthTracker,
-    private readonly results: TaskExits,
-    /** Told when a task has left its machine, so that its room is used again. */
+    private readonly taskExits: TaskExits,
+    /** Called when a task has left its machine, so that its room is used again. */
     private readonly onTaskExit: () => void,
-  ) {}
-
-  /** What is heard of each zone, worked out when it is first asked for in a pass. */
-  private zones: ReadonlyMap<Zone, ZoneReachability> | null = null;
-
-  /** Another pass begins: what was heard may have changed. */
-  beginPass(): void {
-    this.zones = null;
+  ) {
+    this.reachability = new MachineReachability(context, sessions);
   }
 
-  private presence(): ReadonlyMap<Zone, ZoneReachability> {
-    return (this.zones ??= zoneReachability(this.context, this.sessions));
+  /** Discards what earlier passes found out about the reachability of zones. */
+  beginPass(): void {
+    this.reachability.beginPass();
   }
 
-  /** The change that the machine's record needs now, if any; results of its tasks are added to `found`. */
-  reconcile(name: MachineName, wanted: DesiredState, found: UncommittedResults): MachineChange | null {
+  /** The change that the machine's record needs now, if any; results of its tasks are added to `results`. */
+  reconcile(name: MachineName, desired: DesiredState, results: UncommittedResults): MachineChange | null {
     const { context } = this;
     const machine = context.view.machines.get(name);
     if (machine === undefined || !context.ownership.owns(machine)) {
       this.sessions.forget(name);
-      this.results.forget(name);
+      this.taskExits.forget(name);
       return null;
     }
-    const memory = this.sessions.of(machine);
-    const left = confirmedExits(machine, memory, wanted);
-    this.results.recordExits(machine, memory.token, left);
-    for (const exit of left) {
-      this.results.collectResult(exit, found);
-      this.noteExit(machine, memory, exit);
+    const session = this.sessions.current(machine);
+    const exits = confirmedExits(machine, session, desired);
+    this.taskExits.recordExits(machine, session.token, exits);
+    for (const exit of exits) {
+      this.taskExits.collectResult(exit, results);
+      this.recordExit(machine, session, exit);
     }
-    return this.changeFor(machine, memory, left);
+    return this.changeFor(machine, session, exits);
   }
 
-  private noteExit(machine: MachineRecord, memory: AgentSession, { placed, index, reason }: TaskExit): void {
+  /** Fields of the record that heartbeats tell; written along with any change of the record. */
+  observedFields(machine: MachineRecord, session: AgentSession): Partial<MachineRecord> {
+    const address = session.heartbeat?.address ?? machine.address;
+    const images = this.health.cachedImages(machine);
+    return {
+      ...(address === undefined ? {} : { address }),
+      ...(images.length === 0 ? {} : { images }),
+      ...(session.heartbeat?.token === session.token ? { heard: session.token } : {}),
+    };
+  }
+
+  /** Remembers, logs and publishes an exit once, and lets the health tracker evaluate it. */
+  private recordExit(machine: MachineRecord, session: AgentSession, exit: TaskExit): void {
     const { context } = this;
-    const k = taskKey(placed.job, index, placed.attempt);
-    if (memory.exitedTasks.has(k)) return;
-    memory.exitedTasks.set(k, { exitedAt: context.clock.now(), why: reason });
+    const { allocation, index, reason } = exit;
+    const { job, attempt } = allocation;
+    const exitedKey = taskKey(job, index, attempt);
+    if (session.exitedTasks.has(exitedKey)) return;
+    session.exitedTasks.set(exitedKey, { exitedAt: context.clock.now(), reason });
     this.onTaskExit();
-    this.health.recordExit(machine, placed, reason);
-    const { job, attempt } = placed;
+    this.health.recordExit(machine, allocation, reason);
     if (context.events.isActive)
       context.events.emit({
         kind: 'task_exited',
@@ -92,11 +119,11 @@
       });
     context.log.info(
       {
-        task: taskId(placed.job, index),
-        attempt: placed.attempt,
+        task: taskId(job, index),
+        attempt,
         machine: machine.name,
-        token: memory.token,
-        why: reason ?? 'absent',
+        token: session.token,
+        reason: reason ?? 'absent',
       },
       LOG_EVENT.taskExited,
     );
@@ -104,98 +131,121 @@
 
   private changeFor(
     machine: MachineRecord,
-    memory: AgentSession,
-    left: readonly TaskExit[],
+    session: AgentSession,
+    exits: readonly TaskExit[],
   ): MachineChange | null {
-    const { context } = this;
-    const noticed = memory.heartbeat?.preemptionNoticeS != null;
-    const drain = machine.drain === true || noticed || this.health.isQuarantined(machine);
-    const unreachable = isUnreachable(context, machine, memory, () => this.presence());
-    const cameUp = machine.phase === 'booting' && memory.heartbeat !== null;
-    const gone = left.filter((e) => !this.results.mayKeepAllocation(e) || this.results.isDurable(e));
-    const kept = removeExits(machine.placed, gone);
-    const placed = noticed ? this.stopOnNotice(kept) : kept;
-    const isUrgent =
-      unreachable ||
-      gone.some((e) => !this.results.mayKeepAllocation(e) || drain) ||
-      placed.some((p, i) => p !== kept[i]) ||
-      drain !== (machine.drain === true);
-    if (!isUrgent && !this.isCleanupDue(machine, memory, gone, kept, cameUp)) return null;
-    if (unreachable) this.logUnreachable(machine, memory);
+    const condition = this.conditionOf(machine, session);
+    const allocations = this.reconcileAllocations(machine, exits, condition);
+    const isUrgent = this.isUrgent(machine, condition, allocations);
+    if (!isUrgent && !this.isCleanupDue(machine, session, condition, allocations)) return null;
+    if (condition.isUnreachable) this.logUnreachable(machine, session);
+    const { isDraining } = condition;
     const value: MachineRecord = {
       ...machine,
-      phase: unreachable ? 'releasing' : cameUp ? 'up' : machine.phase,
-      placed,
-      ...this.observedFields(machine, memory),
-      ...(drain ? { drain } : {}),
+      phase: nextPhase(machine, condition),
+      placed: allocations.updated,
+      ...this.observedFields(machine, session),
+      ...(isDraining ? { drain: isDraining } : {}),
     };
-    const changeSet: ChangeSet = {
-      operations: [{ key: key.machine(machine.name), value, reason: isUrgent ? 'machine_state' : 'tidying' }],
-      // The slice is guarded too: whoever has lost it must not write its machines any more.
-      guards: [
-        context.guards.forKey(key.machine(machine.name)),
-        context.guards.forKey(key.shard(machine.owner)),
-      ],
+    return { changeSet: this.changeSetFor(value, isUrgent), isUrgent };
+  }
+
+  private conditionOf(machine: MachineRecord, session: AgentSession): MachineCondition {
+    const hasPreemptionNotice = session.heartbeat?.preemptionNoticeS != null;
+    return {
+      hasPreemptionNotice,
+      isDraining: machine.drain === true || hasPreemptionNotice || this.health.isQuarantined(machine),
+      isUnreachable: this.reachability.isUnreachable(machine, session),
+      hasBooted: machine.phase === 'booting' && session.heartbeat !== null,
     };
-    return { changeSet, isUrgent };
   }
 
-  /** What need not be written by itself goes along with the machine's next start, or is written a little later. */
-  private isCleanupDue(
+  private reconcileAllocations(
     machine: MachineRecord,
-    memory: AgentSession,
-    gone: readonly TaskExit[],
-    kept: readonly Allocation[],
-    cameUp: boolean,
-  ): boolean {
-    const { clock, state } = this.context;
-    const now = clock.now();
-    const { hasSpareBudget } = state;
-    const stayMs = hasSpareBudget
-      ? CLEANUP_DELAY_SPARE_MS
-      : kept.length === 0
-        ? CLEANUP_DELAY_EMPTY_MS
-        : MAX_CLEANUP_DELAY_MS;
-    const leftAt = (e: TaskExit) =>
-      memory.exitedTasks.get(taskKey(e.placed.job, e.index, e.placed.attempt))!.exitedAt;
-    if (gone.some((e) => now - leftAt(e) > stayMs)) return true;
-    const hears = memory.heartbeat?.token === memory.token;
-    const showsToken = hears && machine.placed.length === 0 && (machine.heard ?? 0) < memory.token;
-    return (
-      (showsToken || cameUp) &&
-      now - memory.firstHeartbeatAt! > (hasSpareBudget ? FULL_RECONCILE_INTERVAL_MS : CLEANUP_DELAY_EMPTY_MS)
+    exits: readonly TaskExit[],
+    { hasPreemptionNotice }: MachineCondition,
+  ): ReconciledAllocations {
+    const removableExits = exits.filter(
+      (exit) => !this.taskExits.mayKeepAllocation(exit) || this.taskExits.isDurable(exit),
     );
+    const remaining = removeExits(machine.placed, removableExits);
+    const updated = hasPreemptionNotice ? this.stopOnPreemptionNotice(remaining) : remaining;
+    return { removableExits, remaining, updated };
   }
 
-  /** What can save, or is wanted all the time, goes elsewhere before the cloud takes the machine. */
-  private stopOnNotice(placed: readonly Allocation[]): Allocation[] {
-    return placed.map((p) => (p.stop === true || !this.leavesOnNotice(p) ? p : { ...p, stop: true }));
+  /** Stops services and tasks with checkpoints, so that they move on before the cloud takes the machine. */
+  private stopOnPreemptionNotice(allocations: readonly Allocation[]): Allocation[] {
+    return allocations.map((allocation) =>
+      allocation.stop === true || !this.stopsOnPreemptionNotice(allocation)
+        ? allocation
+        : { ...allocation, stop: true },
+    );
   }
 
-  private leavesOnNotice(placed: Allocation): boolean {
-    const job = this.context.view.jobs.get(placed.job);
+  private stopsOnPreemptionNotice(allocation: Allocation): boolean {
+    const job = this.context.view.jobs.get(allocation.job);
     return job !== undefined && (job.spec.kind === 'service' || job.spec.checkpointS > 0);
   }
 
-  /** What its reports taught of the machine; written along with whatever is written of it. */
-  observedFields(machine: MachineRecord, memory: AgentSession): Partial<MachineRecord> {
-    const address = memory.heartbeat?.address ?? machine.address;
-    const images = this.health.cachedImages(machine);
+  private isUrgent(
+    machine: MachineRecord,
+    { isUnreachable, isDraining }: MachineCondition,
+    { removableExits, remaining, updated }: ReconciledAllocations,
+  ): boolean {
+    if (isUnreachable || isDraining !== (machine.drain === true)) return true;
+    if (removableExits.some((exit) => isDraining || !this.taskExits.mayKeepAllocation(exit))) return true;
+    return updated.some((allocation, position) => allocation !== remaining[position]);
+  }
+
+  /** Whether a change that is not urgent has waited long enough for a start on the same machine to carry it. */
+  private isCleanupDue(
+    machine: MachineRecord,
+    session: AgentSession,
+    { hasBooted }: MachineCondition,
+    { removableExits, remaining }: ReconciledAllocations,
+  ): boolean {
+    const { clock, state } = this.context;
+    const now = clock.now();
+    const { hasSpareBudget } = state;
+    const delayMs = cleanupDelayMs(hasSpareBudget, remaining.length === 0);
+    if (removableExits.some((exit) => now - exitedAt(session, exit) > delayMs)) return true;
+    const hasShownToken = session.heartbeat?.token === session.token;
+    const isTokenUnrecorded =
+      hasShownToken && machine.placed.length === 0 && (machine.heard ?? 0) < session.token;
+    if (!isTokenUnrecorded && !hasBooted) return false;
+    const observationDelayMs = hasSpareBudget ? FULL_RECONCILE_INTERVAL_MS : CLEANUP_DELAY_EMPTY_MS;
+    return now - session.firstHeartbeatAt! > observationDelayMs;
+  }
+
+  private changeSetFor(value: MachineRecord, isUrgent: boolean): ChangeSet {
+    const { guards } = this.context;
+    const machineKey = key.machine(value.name);
     return {
-      ...(address === undefined ? {} : { address }),
-      ...(images.length === 0 ? {} : { images }),
-      ...(memory.heartbeat?.token === memory.token ? { heard: memory.token } : {}),
+      operations: [{ key: machineKey, value, reason: isUrgent ? 'machine_state' : 'tidying' }],
+      // Guarded on the shard, too: a controller that has lost it must not write the records of its machines.
+      guards: [guards.forKey(machineKey), guards.forKey(key.shard(value.owner))],
     };
   }
 
-  private logUnreachable(machine: MachineRecord, memory: AgentSession): void {
+  private logUnreachable(machine: MachineRecord, session: AgentSession): void {
+    const silentMs = this.context.clock.now() - session.lastContactAt;
     this.context.log.info(
-      {
-        machine: machine.name,
-        token: memory.token,
-        heardMs: this.context.clock.now() - memory.lastContactAt,
-      },
+      { machine: machine.name, token: session.token, silentMs },
       LOG_EVENT.machineUnreachable,
     );
   }
 }
+
+function nextPhase(machine: MachineRecord, { isUnreachable, hasBooted }: MachineCondition): MachinePhase {
+  if (isUnreachable) return 'releasing';
+  return hasBooted ? 'up' : machine.phase;
+}
+
+function cleanupDelayMs(hasSpareBudget: boolean, isEmpty: boolean): number {
+  if (hasSpareBudget) return CLEANUP_DELAY_SPARE_MS;
+  return isEmpty ? CLEANUP_DELAY_EMPTY_MS : MAX_CLEANUP_DELAY_MS;
+}
+
+function exitedAt(session: AgentSession, { allocation, index }: TaskExit): number {
+  return session.exitedTasks.get(taskKey(allocation.job, index, allocation.attempt))!.exitedAt;
+}
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -1,274 +1,188 @@
-/** Plans which waiting tasks start on which of this controller's machines, and commits the starts. */
-import { LOG_EVENT } from '../../core/log-events.js';
-import { taskId } from '../../core/model/ids.js';
-import { allocationFor, addAllocation } from '../../core/state/allocations.js';
+/** Decides which pending tasks start on which of this controller's machines, and commits the starts. */
+import { attempt, type JobId } from '../../core/model/ids.js';
+import type { JobRecord } from '../../core/model/jobs.js';
+import type { Allocation, MachineRecord } from '../../core/model/machines.js';
 import {
   FETCH_RANK_BUSY,
   placeTasks,
-  type WaitReason,
   type Placement,
+  type PlacementInput,
+  type WaitReason,
 } from '../../core/placement/placement.js';
-import { key } from '../../core/records/keys.js';
-import { removeExits } from '../../core/agents/agent-session.js';
-import { attempt, type JobId, type MachineName, type TeamName } from '../../core/model/ids.js';
-import type { JobRecord, JobSpec } from '../../core/model/jobs.js';
-import type { MachineRecord, Allocation } from '../../core/model/machines.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import {
-  GUARDS_PER_OPERATION,
-  GuardSet,
-  commitChangeSets,
-  type ChangeSet,
-} from '../../io/state/transactions.js';
+import { commitChangeSets } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health-tracker.js';
-import type { MachineReconciler } from './machine-reconciler.js';
 import type { AgentSessions } from './agent-sessions.js';
+import type { MachineReconciler } from './machine-reconciler.js';
+import { FRESH_HEARTBEAT_INTERVALS } from './machine-reachability.js';
+import { PendingJobLog } from './pending-job-log.js';
 import { Preemptor } from './preemptor.js';
+import { StartTransactions, type PlacementPlan } from './start-transactions.js';
 import type { TaskExits } from './task-exits.js';
-import { FRESH_HEARTBEAT_INTERVALS } from './machine-reachability.js';
 
-/** Gangs seen so long ago still have empty machines kept for them. */
+/** Partly used machines are preferred for this long after the last gang, so that empty ones are left for gangs. */
 const GANG_MEMORY_MS = 600_000;
-/** So long a job waits before the reason is logged, and from then to the next time. */
-const LOG_WAIT_MS = 30_000;
-/** Starts planned in one pass at most: a plan takes processor time with each. */
-const MOST_PLANNED = 256;
+/** Starts planned in one pass; each costs processor time. */
+const MAX_PLACEMENTS = 256;
 /**
- * Bounds of the machines that one pass puts them on, each of which is a change; between them as many as can be written in
- * about the time below. Tasks that share a machine share its change, and those of a vast array of small ones are many.
+ * Bounds of the machines that one pass places tasks on. Each costs a write, so that between the bounds the pass is limited
+ * to what can be written within `MAX_COMMIT_MS`.
  */
-const LEAST_MACHINES = 16;
-const MOST_MACHINES = 64;
-const PASS_MS = 2500;
-/** An attempt is made of the revision at which the team's slice got its holder and a counter below this. */
-const ATTEMPT_COUNTER = 2 ** 22;
+const MIN_MACHINES_PER_PASS = 16;
+const MAX_MACHINES_PER_PASS = 64;
+const MAX_COMMIT_MS = 2500;
 
-const rankOfKind = (job: JobSpec): number => (job.kind === 'gang' ? 0 : 1);
+/** Fetch ranks of machines without the image: fetching it already, and fetching none. */
+const FETCH_RANK_IN_PROGRESS = 1;
+const FETCH_RANK_IDLE = 2;
 
-/** Plans and commits the starts of one pass. */
+/** An exited task whose allocation is still in its machine's record. */
+interface ExitedAllocation {
+  readonly machine: MachineRecord;
+  readonly allocation: Allocation;
+  readonly isDurable: boolean;
+}
+
+/** Plans and commits the starts of one pass after the other. */
 export class PlacementPass {
-  /** Why waiting jobs of this controller's teams were passed over last time. */
+  /** Why the last pass left jobs of this controller's teams pending. */
   waitReasons: ReadonlyMap<JobId, WaitReason> = new Map();
-  private counter = 0;
+  private attemptCounter = 0;
   private lastGangSeenAt = Number.NEGATIVE_INFINITY;
-  private readonly pendingLoggedAt = new Map<JobId, number>();
   private readonly preemptor: Preemptor;
+  private readonly startTransactions: StartTransactions;
+  private readonly pendingJobLog: PendingJobLog;
 
   constructor(
     private readonly context: ControllerContext,
     private readonly sessions: AgentSessions,
     private readonly health: HealthTracker,
-    private readonly results: TaskExits,
-    private readonly machines: MachineReconciler,
+    private readonly taskExits: TaskExits,
+    machines: MachineReconciler,
   ) {
     this.preemptor = new Preemptor(context);
+    this.startTransactions = new StartTransactions(context, sessions, taskExits, machines);
+    this.pendingJobLog = new PendingJobLog(context);
   }
 
-  /** Places waiting tasks; where none can be placed, makes room for one. */
+  /** Places pending tasks; where none can be placed, preempts tasks for one job. */
   plan(): PlacementPlan {
     const placements = this.place();
-    if (placements.length > 0) return this.transactionsFor(placements);
+    if (placements.length > 0) return this.startTransactions.build(placements);
     return { gangs: [], nonGangs: this.preemptor.preempt(this.waitReasons, this.availableMachines()) };
   }
 
-  /** False: not all were committed. */
+  /** Commits a plan, gangs first: a gang that is committed in part would have to stop again. False: not all was committed. */
   async commit({ gangs, nonGangs }: PlacementPlan): Promise<boolean> {
     const { state, watcher } = this.context;
-    // Of a gang all tasks are committed, however long that takes: a part of it would only have to go again.
-    const ok = await commitChangeSets(state, watcher, gangs, REQUEST_PRIORITY.starts);
-    return (await commitChangeSets(state, watcher, nonGangs, REQUEST_PRIORITY.starts)) && ok;
+    const areGangsCommitted = await commitChangeSets(state, watcher, gangs, REQUEST_PRIORITY.starts);
+    const areOthersCommitted = await commitChangeSets(state, watcher, nonGangs, REQUEST_PRIORITY.starts);
+    return areGangsCommitted && areOthersCommitted;
   }
 
-  /** Machines that may be given work now. */
-  private availableMachines(): MachineRecord[] {
-    const { context } = this;
-    const heardMs = context.settings.workers.report_s * 1000 * FRESH_HEARTBEAT_INTERVALS;
-    return context.ownership.ownedMachines().filter((m) => {
-      const memory = this.sessions.get(m.name);
-      if (m.phase === 'releasing' || m.drain === true || memory?.heartbeat == null) return false;
-      return context.clock.now() - memory.lastContactAt < heardMs && !this.health.isQuarantined(m);
-    });
+  private place(): readonly Placement[] {
+    const { ownership, dependencies } = this.context;
+    const { startable } = dependencies.current();
+    const jobs = startable.filter((job) => ownership.ownsTeam(job.spec.team));
+    const { placements, waitReasons } = this.placeBesideExits(jobs);
+    const backingOff = jobs.filter((job) => this.health.isBackingOff(job));
+    this.waitReasons = new Map([
+      ...waitReasons,
+      ...backingOff.map((job) => [job.spec.id, 'failing'] as const),
+    ]);
+    this.pendingJobLog.log(jobs, this.waitReasons);
+    for (const { machine } of placements) this.preemptor.releaseClaim(machine.name);
+    return placements;
   }
 
-  private place(): readonly Placement[] {
-    const { context } = this;
-    const { placement } = context.operator;
-    const mine = context.dependencies
-      .current()
-      .startable.filter((j) => context.ownership.ownsTeam(j.spec.team));
-    const ended = this.endedTasks();
-    const totals = context.allocations.current();
-    for (const { machine, allocation, isDurable } of ended)
+  /** Places tasks with the room of exited tasks counted as free, although their allocations are still recorded. */
+  private placeBesideExits(jobs: readonly JobRecord[]): ReturnType<typeof placeTasks> {
+    const exited = this.exitedAllocations();
+    const totals = this.context.allocations.current();
+    for (const { machine, allocation, isDurable } of exited)
       totals.releaseProvisionally(machine, allocation, { includesQuota: isDurable });
-    const { placements, waitReasons } = placeTasks({
-      jobs: mine.filter((j) => !this.health.isBackingOff(j)),
+    const result = placeTasks(this.placementInput(jobs));
+    for (const { machine, allocation, isDurable } of exited)
+      totals.restoreAllocation(machine, allocation, { includesQuota: isDurable });
+    return result;
+  }
+
+  private placementInput(jobs: readonly JobRecord[]): PlacementInput {
+    const { allocations, clock, operator, policy, recordBudget, view } = this.context;
+    const { placement } = operator;
+    return {
+      jobs: jobs.filter((job) => !this.health.isBackingOff(job)),
       machines: this.availableMachines(),
-      totals,
-      // A number for each start; the revision at which the team's slice got its holder is put before it below,
-      // so that no attempt is ever used twice.
-      newAttempt: () => attempt(++this.counter),
-      fetchRank: (m, image) => this.fetchRank(m, image),
-      isAvoided: (job, m) => this.health.avoidsMachine(job, m) || this.preemptor.isClaimedByOther(job, m),
-      recordBytesLeft: (name) => context.recordBudget.bytesLeft(context.view.machines.get(name)!),
-      maxPlacements: MOST_PLANNED,
+      totals: allocations.current(),
+      // Unique in this process only; `StartTransactions` adds the epoch of the shard's holder.
+      newAttempt: () => attempt(++this.attemptCounter),
+      fetchRank: (machine, image) => this.fetchRank(machine, image),
+      isAvoided: (job, machine) =>
+        this.health.avoidsMachine(job, machine) || this.preemptor.isClaimedByOther(job, machine),
+      recordBytesLeft: (name) => recordBudget.bytesLeft(view.machines.get(name)!),
+      maxPlacements: MAX_PLACEMENTS,
       maxMachines: this.maxMachines(),
-      order: context.policy.jobOrder(),
+      order: policy.jobOrder(),
       preferPartlyUsedMachines: this.hasRecentGangs(),
-      leavesWholeMachinesToGangs: context.policy.gangWholeMachinePolicy(),
-      mayReserve: (j) => context.policy.mayReserve(j),
-      isStarving: (j) => context.clock.wallClock() - j.submitted > placement.behind_s * 1000,
-      isFailingEverywhere: (j) => this.health.isFailingEverywhere(j),
+      leavesWholeMachinesToGangs: policy.gangWholeMachinePolicy(),
+      mayReserve: (job) => policy.mayReserve(job),
+      isStarving: (job) => clock.wallClock() - job.submitted > placement.behind_s * 1000,
+      isFailingEverywhere: (job) => this.health.isFailingEverywhere(job),
       fitnessTolerance: placement.h_slack,
+    };
+  }
+
+  /** Owned machines that may get tasks now. */
+  private availableMachines(): MachineRecord[] {
+    const { clock, ownership, settings } = this.context;
+    const freshMs = settings.workers.report_s * 1000 * FRESH_HEARTBEAT_INTERVALS;
+    return ownership.ownedMachines().filter((machine) => {
+      const session = this.sessions.find(machine.name);
+      if (machine.phase === 'releasing' || machine.drain === true || session?.heartbeat == null) return false;
+      return clock.now() - session.lastContactAt < freshMs && !this.health.isQuarantined(machine);
     });
-    for (const { machine, allocation, isDurable } of ended)
-      totals.restoreAllocation(machine, allocation, { includesQuota: isDurable });
-    const backedOff = mine.filter((j) => this.health.isBackingOff(j));
-    this.waitReasons = new Map([...waitReasons, ...backedOff.map((j) => [j.spec.id, 'failing'] as const)]);
-    this.logPendingJobs(mine);
-    for (const p of placements) this.preemptor.used(p.machine.name);
-    return placements;
   }
 
-  /** Tasks that have ended and whose entries are still in their machines' records: their room can be used. */
-  private endedTasks(): EndedTask[] {
-    const ended: EndedTask[] = [];
-    for (const name of this.results.machines()) {
+  private exitedAllocations(): ExitedAllocation[] {
+    const exited: ExitedAllocation[] = [];
+    for (const name of this.taskExits.machines()) {
       const machine = this.context.view.machines.get(name);
       if (machine === undefined) continue;
-      for (const e of this.results.confirmedExitsOn(machine)) {
-        const allocation = { ...e.placed, tasks: [e.index] };
-        ended.push({ machine, allocation, isDurable: this.results.isDurable(e) });
+      for (const exit of this.taskExits.confirmedExitsOn(machine)) {
+        const allocation = { ...exit.allocation, tasks: [exit.index] };
+        exited.push({ machine, allocation, isDurable: this.taskExits.isDurable(exit) });
       }
     }
-    return ended;
+    return exited;
   }
 
   private maxMachines(): number {
-    return Math.max(LEAST_MACHINES, Math.min(MOST_MACHINES, this.context.state.writesWithin(PASS_MS)));
+    const affordable = this.context.state.writesWithin(MAX_COMMIT_MS);
+    return Math.max(MIN_MACHINES_PER_PASS, Math.min(MAX_MACHINES_PER_PASS, affordable));
   }
 
-  /** Gangs have been seen of late, in whatever team. */
+  /** Whether any team has had a gang lately. */
   private hasRecentGangs(): boolean {
-    const now = this.context.clock.now();
-    for (const j of this.context.view.jobs.values())
-      if (j.spec.kind === 'gang') {
-        this.lastGangSeenAt = now;
-        break;
-      }
+    const { clock, view } = this.context;
+    const now = clock.now();
+    for (const job of view.jobs.values()) {
+      if (job.spec.kind !== 'gang') continue;
+      this.lastGangSeenAt = now;
+      break;
+    }
     return now - this.lastGangSeenAt < GANG_MEMORY_MS;
   }
 
-  /** 0: the machine has the image; 1: it fetches it already; 2: it fetches nothing; 3: it fetches others. */
+  /** How soon the machine would have the image: 0 if it has it, up to `FETCH_RANK_BUSY`. */
   private fetchRank(machine: MachineRecord, image: string): number {
     if (this.health.hasImage(machine, image)) return 0;
-    let rank = 2;
-    for (const p of machine.placed) {
-      const other = this.context.view.jobs.get(p.job)?.spec.image;
-      if (other === image) return 1;
-      if (other !== undefined && !this.health.hasImage(machine, other)) rank = FETCH_RANK_BUSY;
+    let rank = FETCH_RANK_IDLE;
+    for (const { job } of machine.placed) {
+      const otherImage = this.context.view.jobs.get(job)?.spec.image;
+      if (otherImage === image) return FETCH_RANK_IN_PROGRESS;
+      if (otherImage !== undefined && !this.health.hasImage(machine, otherImage)) rank = FETCH_RANK_BUSY;
     }
     return rank;
   }
-
-  /** Why a job waits is asked for afterwards, too: it is logged now and then of those that wait for long. */
-  private logPendingJobs(mine: readonly JobRecord[]): void {
-    const wall = this.context.clock.wallClock();
-    for (const id of this.pendingLoggedAt.keys())
-      if (!this.waitReasons.has(id)) this.pendingLoggedAt.delete(id);
-    for (const { spec, submitted } of mine) {
-      const why = this.waitReasons.get(spec.id);
-      const since = Math.max(submitted, this.pendingLoggedAt.get(spec.id) ?? 0);
-      if (why === undefined || wall - since < LOG_WAIT_MS) continue;
-      this.pendingLoggedAt.set(spec.id, wall);
-      const waitsS = Math.round((wall - submitted) / 1000);
-      this.context.log.info(
-        { job: spec.id, team: spec.team, priority: spec.priority, waitsS, why },
-        LOG_EVENT.jobPending,
-      );
-    }
-  }
-
-  private transactionsFor(placements: readonly Placement[]): PlacementPlan {
-    const byMachine = new Map<MachineName, Placement[]>();
-    for (const p of placements) {
-      const list = byMachine.get(p.machine.name);
-      if (list === undefined) byMachine.set(p.machine.name, [p]);
-      else list.push(p);
-    }
-    const gangs: ChangeSet[] = [];
-    const nonGangs: ChangeSet[] = [];
-    for (const [name, list] of byMachine) {
-      const isGang = list.some((p) => p.job.kind === 'gang');
-      (isGang ? gangs : nonGangs).push(this.startTransaction(this.context.view.machines.get(name)!, list));
-    }
-    return { gangs, nonGangs };
-  }
-
-  /** The change that starts tasks on one machine, and takes out those that have ended. */
-  private startTransaction(machine: MachineRecord, placements: readonly Placement[]): ChangeSet {
-    const { context } = this;
-    const k = key.machine(machine.name);
-    const guards = new GuardSet(context.state.limits.operationsPerTransaction * GUARDS_PER_OPERATION);
-    guards.add([context.guards.forKey(k), context.guards.forKey(key.shard(machine.owner))]);
-    const gone = this.results.confirmedExitsOn(machine).filter((e) => this.results.isDurable(e));
-    let placed: readonly Allocation[] = removeExits(machine.placed, gone);
-    // Gangs first: of a gang no task may be left out.
-    const gangsFirst = [...placements].sort((a, b) => rankOfKind(a.job) - rankOfKind(b.job));
-    for (const p of gangsFirst) {
-      // Tasks of dozens of small jobs on one machine need more guards than a transaction takes: it would be rejected for
-      // ever, and the machine get nothing more. What does not fit is left to the next pass.
-      if (!guards.add([...context.guards.forTeam(p.job.team), context.guards.forKey(key.job(p.job.id))]))
-        continue;
-      const full = attempt(this.epochOf(p.job.team) * ATTEMPT_COUNTER + (p.attempt % ATTEMPT_COUNTER));
-      placed = addAllocation(placed, allocationFor(p.job, full, [p.index]));
-      this.logPlacement(p, full);
-    }
-    const value: MachineRecord = {
-      ...machine,
-      phase: 'up',
-      placed,
-      ...this.machines.observedFields(machine, this.sessions.of(machine)),
-    };
-    return { operations: [{ key: k, value, reason: 'start' }], guards: guards.list() };
-  }
-
-  /** The revision at which the team's slice got its holder. */
-  private epochOf(team: TeamName): number {
-    const { view } = this.context;
-    return view.versionOf(key.shard(view.teams.get(team)!.owner));
-  }
-
-  private logPlacement(p: Placement, full: number): void {
-    const { context } = this;
-    const { id, team } = p.job;
-    const task = { job: id, index: p.index, attempt: attempt(full), machine: p.machine.name };
-    if (context.events.isActive) context.events.emit({ kind: 'task_placed', task, team });
-    context.log.info(
-      {
-        task: taskId(id, p.index),
-        team,
-        attempt: full,
-        machine: p.machine.name,
-        token: context.view.fencingTokenOf(p.machine),
-        share: Number(p.share.toPrecision(5)),
-        h: Number(p.fitness.toPrecision(5)),
-        fetch: p.fetchRank,
-      },
-      LOG_EVENT.taskPlaced,
-    );
-  }
-}
-
-/** A task that has ended and whose entry is still in its machine's record. */
-interface EndedTask {
-  readonly machine: MachineRecord;
-  readonly allocation: Allocation;
-  readonly isDurable: boolean;
-}
-
-/** Changes that start tasks; those of gangs first. */
-export interface PlacementPlan {
-  readonly gangs: readonly ChangeSet[];
-  readonly nonGangs: readonly ChangeSet[];
 }
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -1,161 +1,170 @@
 /**
- * Makes room for jobs that have found none for a while: services that are wanted all the time, and jobs within their
- * team's guarantee, and gangs that low-priority work keeps from whole machines. At most one job a pass, so that the next pass sees what came of it.
+ * Preempts tasks for jobs that have found no room for a while: production jobs, jobs within their team's guarantee, and
+ * gangs that lower priorities keep from whole machines. Serves at most one job a pass, so that the next pass sees the
+ * effect.
  */
 import { LOG_EVENT } from '../../core/log-events.js';
-import { key } from '../../core/records/keys.js';
+import type { JobId, MachineName } from '../../core/model/ids.js';
+import type { JobRecord } from '../../core/model/jobs.js';
+import type { Allocation, MachineRecord } from '../../core/model/machines.js';
+import { monotonicMs, type MonotonicMs } from '../../core/model/time.js';
 import type { WaitReason } from '../../core/placement/placement.js';
 import {
+  isWithinGuarantee,
+  markStopping,
   selectGangVictims,
   selectVictims,
-  markStopping,
-  isWithinGuarantee,
   type PreemptionInput,
 } from '../../core/placement/preemption.js';
-import type { JobId, MachineName } from '../../core/model/ids.js';
-import type { JobRecord } from '../../core/model/jobs.js';
-import type { MachineRecord, Allocation } from '../../core/model/machines.js';
-import type { MonotonicMs } from '../../core/model/time.js';
+import { key } from '../../core/records/keys.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** Room that was made by stopping something, kept for the job that it was made for. */
+/** Room on a machine that is reserved for the job that tasks were stopped for. */
 interface Claim {
   readonly job: JobId;
-  readonly until: number;
+  readonly until: MonotonicMs;
 }
 
-/** A gang of several tasks: it needs room on several machines at once. */
-const isSeveral = ({ spec }: JobRecord): boolean => spec.kind === 'gang' && spec.tasks > 1;
-
-/** Chooses tasks to stop and keeps the room that they leave for the job that it was made for. */
+/** Chooses tasks to preempt and reserves their room for the job that they were stopped for. */
 export class Preemptor {
   private readonly claims = new Map<MachineName, Claim>();
   private readonly waitingSince = new Map<JobId, MonotonicMs>();
 
   constructor(private readonly context: ControllerContext) {}
 
+  /** Whether the machine's room is reserved for another job. */
   isClaimedByOther(job: JobId, machine: MachineName): boolean {
     const claim = this.claims.get(machine);
     return claim !== undefined && claim.job !== job && claim.until > this.context.clock.now();
   }
 
-  /** Something was placed on the machine: what was claimed there is used. */
-  used(machine: MachineName): void {
+  /** Ends the machine's claim: a task was placed there. */
+  releaseClaim(machine: MachineName): void {
     this.claims.delete(machine);
   }
 
-  /** The changes that stop tasks for one of the jobs passed over, if any may have tasks stopped for it. */
-  preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, shard: readonly MachineRecord[]): ChangeSet[] {
-    const { context } = this;
-    this.forgetOld(waitReasons);
-    const startable = new Map(context.dependencies.current().startable.map((j) => [j.spec.id, j]));
+  /** Changes that preempt tasks for the first pending job that may preempt, if there is any. */
+  preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, machines: readonly MachineRecord[]): ChangeSet[] {
+    this.forgetOutdated(waitReasons);
+    const { startable } = this.context.dependencies.current();
+    const startableJobs = new Map(startable.map((job) => [job.spec.id, job]));
     for (const [id, reason] of waitReasons) {
       if (reason !== 'no_room') continue;
-      const job = startable.get(id);
+      const job = startableJobs.get(id);
       if (!this.hasWaited(id) || job === undefined || !this.mayPreempt(job)) continue;
-      const groups = isSeveral(job) ? this.makeGangRoom(job, shard) : this.makeRoom(job, shard);
-      if (groups.length > 0) return groups;
+      const changes = needsSeveralMachines(job)
+        ? this.preemptForGang(job, machines)
+        : this.preemptForTask(job, machines);
+      if (changes.length > 0) return changes;
     }
     return [];
   }
 
-  private forgetOld(waitReasons: ReadonlyMap<JobId, WaitReason>): void {
+  private forgetOutdated(waitReasons: ReadonlyMap<JobId, WaitReason>): void {
     const now = this.context.clock.now();
     for (const id of this.waitingSince.keys()) if (!waitReasons.has(id)) this.waitingSince.delete(id);
     for (const [machine, claim] of this.claims) if (claim.until <= now) this.claims.delete(machine);
   }
 
-  /** Room may come by itself for a while. */
+  /** Whether the job has waited as long as operators allow for room to become free by itself. */
   private hasWaited(id: JobId): boolean {
-    const now = this.context.clock.now();
+    const { clock, operator } = this.context;
+    const now = clock.now();
     const since = this.waitingSince.get(id);
     if (since === undefined) this.waitingSince.set(id, now);
-    return since !== undefined && now - since >= this.context.operator.placement.patience_s * 1000;
+    return since !== undefined && now - since >= operator.placement.patience_s * 1000;
   }
 
-  private isEntitled({ spec }: JobRecord): boolean {
-    return isWithinGuarantee(this.context.teams.get(spec.team), this.context.allocations.current(), spec, 1);
+  private mayPreempt(job: JobRecord): boolean {
+    const { spec, done, failing } = job;
+    // Nothing is stopped for a job that fails on every machine.
+    if (failing !== undefined) return false;
+    const claimed = this.claimsOf(spec.id);
+    if (needsSeveralMachines(job)) return claimed === 0;
+    const allocated = this.context.allocations.current().jobs.get(spec.id)?.tasks.size ?? 0;
+    if (claimed >= spec.tasks - done.count - allocated) return false;
+    return spec.priority === 'production' || this.isEntitled(job);
   }
 
-  private mayPreempt(job: JobRecord): boolean {
-    const { spec } = job;
-    // Nothing is stopped for what fails wherever it runs.
-    if (job.failing !== undefined) return false;
-    if (isSeveral(job)) return [...this.claims.values()].every((claim) => claim.job !== spec.id);
-    const placed = this.context.allocations.current().jobs.get(spec.id)?.tasks.size ?? 0;
+  private claimsOf(job: JobId): number {
     let claimed = 0;
-    for (const claim of this.claims.values()) if (claim.job === spec.id) claimed++;
-    if (claimed >= spec.tasks - job.done.count - placed) return false;
-    return spec.priority === 'production' || this.isEntitled(job);
+    for (const claim of this.claims.values()) if (claim.job === job) claimed++;
+    return claimed;
+  }
+
+  /** Whether one more task stays within the guarantee of the job's team. */
+  private isEntitled({ spec }: JobRecord): boolean {
+    return isWithinGuarantee(this.context.teams.get(spec.team), this.context.allocations.current(), spec, 1);
   }
 
-  private makeRoom(job: JobRecord, shard: readonly MachineRecord[]): ChangeSet[] {
-    const found = selectVictims(this.input(job, shard));
-    if (found === null) return [];
-    return [this.stop(job, found.machine, found.victims)];
+  private preemptForTask(job: JobRecord, machines: readonly MachineRecord[]): ChangeSet[] {
+    const selected = selectVictims(this.preemptionInput(job, machines));
+    return selected === null ? [] : [this.stopVictims(job, selected.machine, selected.victims)];
   }
 
-  /** A gang starts as a whole, so that all its room is made and kept at once. */
-  private makeGangRoom(job: JobRecord, shard: readonly MachineRecord[]): ChangeSet[] {
-    const places = selectGangVictims(this.input(job, shard)) ?? [];
-    const groups: ChangeSet[] = [];
-    for (const { machine, victims } of places) {
-      if (victims.length > 0) groups.push(this.stop(job, machine, victims));
+  /** A gang starts as a whole, so that room for all its tasks is made and reserved at once. */
+  private preemptForGang(job: JobRecord, machines: readonly MachineRecord[]): ChangeSet[] {
+    const selected = selectGangVictims(this.preemptionInput(job, machines)) ?? [];
+    const changes: ChangeSet[] = [];
+    for (const { machine, victims } of selected) {
+      if (victims.length > 0) changes.push(this.stopVictims(job, machine, victims));
       else this.claim(job, machine);
     }
-    return groups;
+    return changes;
   }
 
-  private input({ spec }: JobRecord, shard: readonly MachineRecord[]): PreemptionInput {
+  private preemptionInput({ spec }: JobRecord, machines: readonly MachineRecord[]): PreemptionInput {
     const { context } = this;
-    const isClaimed = (m: MachineRecord) => this.claims.has(m.name);
     return {
       job: spec,
       jobs: context.view.jobs,
-      machines: shard,
+      machines,
       totals: context.allocations.current(),
       teams: context.teams,
-      isClaimed,
+      isClaimed: (machine) => this.claims.has(machine.name),
     };
   }
 
   private claim({ spec }: JobRecord, machine: MachineRecord): void {
     const { clock, operator } = this.context;
-    const until = clock.now() + operator.placement.claim_s * 1000;
+    const until = monotonicMs(clock.now() + operator.placement.claim_s * 1000);
     this.claims.set(machine.name, { job: spec.id, until });
   }
 
-  /** The change that stops the victims; the room that they leave is kept for the job. */
-  private stop(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): ChangeSet {
-    const { context } = this;
+  /** The change that stops the victims; claims their room for the job. */
+  private stopVictims(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): ChangeSet {
+    const { guards } = this.context;
     this.claim(job, machine);
-    const entitled = this.isEntitled(job);
-    for (const v of victims) {
-      if (context.events.isActive)
-        for (const index of v.tasks)
-          context.events.emit({
-            kind: 'task_preempted',
-            task: { job: v.job, index, attempt: v.attempt, machine: machine.name },
-            inFavourOf: job.spec.id,
-          });
-      context.log.info(
-        {
-          job: v.job,
-          tasks: v.tasks,
-          attempt: v.attempt,
-          machine: machine.name,
-          for: job.spec.id,
-          entitled,
-        },
-        LOG_EVENT.taskPreempted,
-      );
-    }
+    const isEntitled = this.isEntitled(job);
+    for (const victim of victims) this.reportPreemption(job, machine, victim, isEntitled);
     const value: MachineRecord = { ...machine, placed: markStopping(machine.placed, victims) };
-    const k = key.machine(machine.name);
+    const machineKey = key.machine(machine.name);
     return {
-      operations: [{ key: k, value, reason: 'preemption' }],
-      guards: [context.guards.forKey(k), context.guards.forKey(key.shard(machine.owner))],
+      operations: [{ key: machineKey, value, reason: 'preemption' }],
+      guards: [guards.forKey(machineKey), guards.forKey(key.shard(machine.owner))],
     };
   }
+
+  private reportPreemption(
+    { spec }: JobRecord,
+    machine: MachineRecord,
+    { job, tasks, attempt }: Allocation,
+    isEntitled: boolean,
+  ): void {
+    const { events, log } = this.context;
+    if (events.isActive)
+      for (const index of tasks)
+        events.emit({
+          kind: 'task_preempted',
+          task: { job, index, attempt, machine: machine.name },
+          inFavourOf: spec.id,
+        });
+    log.info(
+      { job, tasks, attempt, machine: machine.name, for: spec.id, entitled: isEntitled },
+      LOG_EVENT.taskPreempted,
+    );
+  }
 }
+
+const needsSeveralMachines = ({ spec }: JobRecord): boolean => spec.kind === 'gang' && spec.tasks > 1;
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -1,40 +1,50 @@
 /**
- * The loop of a controller over its own machines and teams: it turns what reports prove into changes and places waiting
- * tasks. All changes to machine records leave through this one loop, one transaction at a time.
+ * The reconcile loop over this controller's machines and teams: commits what heartbeats prove and places pending tasks. All
+ * changes to records of owned machines leave through this loop, one transaction at a time.
  */
-import { LOG_EVENT } from '../../core/log-events.js';
-import type { ViewChanges } from '../../core/state/view-changes.js';
-import type { WaitReason } from '../../core/placement/placement.js';
 import type { Heartbeat } from '../../core/model/heartbeats.js';
 import type { JobId, MachineName } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
+import { LOG_EVENT } from '../../core/log-events.js';
+import type { WaitReason } from '../../core/placement/placement.js';
+import type { ViewChanges } from '../../core/state/view-changes.js';
+import type { AgentGateway } from '../../io/agents/agent-client.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import { commitChangeSets, type ChangeSet } from '../../io/state/transactions.js';
-import type { AgentGateway } from '../../io/agents/agent-client.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health-tracker.js';
 import { Notification } from '../notification.js';
+import { AgentSessions, type HeartbeatReply, type MachineObservation } from './agent-sessions.js';
 import { JobReconciler } from './job-reconciler.js';
 import { MachineReconciler } from './machine-reconciler.js';
-import { AgentSessions, type HeartbeatReply } from './agent-sessions.js';
-import { TaskExits, type UncommittedResults } from './task-exits.js';
 import { PlacementPass } from './placement-pass.js';
+import { TaskExits, type UncommittedResults } from './task-exits.js';
 import { FULL_RECONCILE_INTERVAL_MS } from './timing.js';
 
-export type { HeartbeatReply as ReportAnswer } from './agent-sessions.js';
+/** The loop runs at least this often without a notification. */
+const MAX_IDLE_MS = 200;
+/** Pause after a pass that was committed as a whole. */
+const PASS_PAUSE_MS = 20;
+/** Pause after a pass that was not. */
+const RETRY_DELAY_MS = 100;
+/** Pause after a pass that failed with an error. */
+const ERROR_DELAY_MS = 300;
+/** Time that one pass may spend on committing changes that are not urgent. */
+const MAX_CLEANUP_MS = 1000;
+/**
+ * After a placement pass, the next one waits for the time that the pass took, times this: placement takes at most a
+ * quarter of the processor time, so that heartbeats and lease renewals are not delayed.
+ */
+const PLACEMENT_PAUSE_FACTOR = 3;
 
-/** The loop looks at its work so often without being notified. */
-const IDLE_MS = 200;
-/** Pauses after a pass, after one that was not committed as a whole, and after an error. */
-const PAUSE_MS = 20;
-const RETRY_MS = 100;
-const ERROR_MS = 300;
-/** How long one pass may spend on what only tidies up. */
-const TIDY_MS = 1000;
-/** A plan may take its time, but never so much that reports and renewals wait for one after the other. */
-const PLAN_PART = 3;
+/** Changes of one pass, in the order in which they are committed. */
+interface ReconciledChanges {
+  readonly urgent: readonly ChangeSet[];
+  /** Committed after the placement pass. */
+  readonly deferred: readonly ChangeSet[];
+}
 
-/** The loop over this controller's machines and teams. */
+/** Reconciles the machines and jobs of the shards that this controller holds. */
 export class ShardController {
   private readonly notification: Notification;
   private readonly sessions: AgentSessions;
@@ -42,11 +52,10 @@
   private readonly machines: MachineReconciler;
   private readonly jobs: JobReconciler;
   private readonly placementPass: PlacementPass;
-  /** Machines of which something was heard or written since they were last looked at. */
-  private readonly dirty = new Set<MachineName>();
-  /** When all machines are looked at again. */
+  /** Machines with a heartbeat or a committed change since they were last reconciled. */
+  private readonly dirtyMachines = new Set<MachineName>();
   private nextFullReconcileAt = Number.NEGATIVE_INFINITY;
-  /** Something that placing depends on has changed. */
+  /** Something that placement depends on has changed. */
   private isPlacementDue = true;
   private placementNotBefore = Number.NEGATIVE_INFINITY;
 
@@ -56,8 +65,8 @@
     health: HealthTracker,
   ) {
     this.notification = new Notification(context.clock);
-    this.sessions = new AgentSessions(context, agents, health, (name, mayPlace) => {
-      this.onMachineObserved(name, mayPlace);
+    this.sessions = new AgentSessions(context, agents, health, (observation) => {
+      this.onMachineObserved(observation);
     });
     this.taskExits = new TaskExits(context);
     this.machines = new MachineReconciler(context, this.sessions, health, this.taskExits, () => {
@@ -70,127 +79,137 @@
     });
   }
 
-  /** Why waiting jobs of this controller's teams were passed over last time. */
+  /** Why the last placement pass left jobs of this controller's teams pending. */
   get waitReasons(): ReadonlyMap<JobId, WaitReason> {
     return this.placementPass.waitReasons;
   }
 
-  /** Takes in a report of one of this controller's machines and says what the worker is to do. */
+  /** Records a heartbeat of an owned machine and returns the reply to its agent. */
   answerHeartbeat(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
     return this.sessions.answerHeartbeat(machine, heartbeat);
   }
 
-  /** A user asked this controller to cancel a job of its own team. */
+  /** Begins the cancellation of a job of an owned team with the next pass. */
   requestCancellation(id: JobId): void {
     this.jobs.requestCancellation(id);
     this.notification.notify();
   }
 
+  /** Runs the loop; an error in a pass is logged and the pass repeated. */
   async run(): Promise<never> {
     const { context } = this;
     for (;;) {
-      await this.notification.wait(IDLE_MS);
+      await this.notification.wait(MAX_IDLE_MS);
       if (!context.watcher.isReady || context.view.types === null) continue;
-      const work = this.takeDirtyMachines();
+      const machines = this.takeDirtyMachines();
       try {
-        const ok = await this.runPass(work);
-        if (!ok) for (const name of work) this.dirty.add(name);
-        await context.clock.sleep(ok ? PAUSE_MS : RETRY_MS);
-      } catch (e) {
-        context.log.error({ err: e }, LOG_EVENT.reconcileLoopFailed);
-        await context.clock.sleep(ERROR_MS);
+        const isCommitted = await this.runPass(machines);
+        if (!isCommitted) for (const name of machines) this.dirtyMachines.add(name);
+        await context.clock.sleep(isCommitted ? PASS_PAUSE_MS : RETRY_DELAY_MS);
+      } catch (error) {
+        context.log.error({ err: error }, LOG_EVENT.reconcileLoopFailed);
+        await context.clock.sleep(ERROR_DELAY_MS);
       }
     }
   }
 
-  /** False: not all was committed, and what is left has to be worked out anew. */
-  private async runPass(work: readonly MachineName[]): Promise<boolean> {
+  /** Returns whether all changes were committed; the others have to be decided again from a newer view. */
+  private async runPass(machines: readonly MachineName[]): Promise<boolean> {
     const { state, watcher } = this.context;
-    this.sessions.sendDirectCommands(work);
-    const { now, later } = this.reconcile(work);
-    // Starts go before what only tidies up: under a short budget they would wait for seconds behind it.
-    let ok = await commitChangeSets(state, watcher, now, REQUEST_PRIORITY.results);
-    ok = (await this.placeIfDue()) && ok;
-    return (await commitChangeSets(state, watcher, later, REQUEST_PRIORITY.starts, TIDY_MS)) && ok;
+    this.sessions.sendDirectCommands(machines);
+    const { urgent, deferred } = this.reconcile(machines);
+    // Starts precede deferred changes, which could delay them by seconds while the write budget is short.
+    let isCommitted = await commitChangeSets(state, watcher, urgent, REQUEST_PRIORITY.results);
+    isCommitted = (await this.placeIfDue()) && isCommitted;
+    const areDeferredCommitted = await commitChangeSets(
+      state,
+      watcher,
+      deferred,
+      REQUEST_PRIORITY.starts,
+      MAX_CLEANUP_MS,
+    );
+    return areDeferredCommitted && isCommitted;
   }
 
-  /** Results, proofs of absence, cancellations and machines that came up; what can wait for starts stands apart. */
-  private reconcile(work: readonly MachineName[]): { now: ChangeSet[]; later: ChangeSet[] } {
+  private reconcile(names: readonly MachineName[]): ReconciledChanges {
     const { context } = this;
-    const wanted = { jobs: context.view.jobs, totals: context.allocations.current() };
-    const found: UncommittedResults = new Map();
+    const desired = { jobs: context.view.jobs, totals: context.allocations.current() };
+    const results: UncommittedResults = new Map();
     this.machines.beginPass();
-    const urgent: ChangeSet[] = [];
-    const later: ChangeSet[] = [];
-    for (const name of work) {
-      const change = this.machines.reconcile(name, wanted, found);
-      if (change !== null) (change.isUrgent ? urgent : later).push(change.changeSet);
+    const urgentMachines: ChangeSet[] = [];
+    const deferredMachines: ChangeSet[] = [];
+    for (const name of names) {
+      const change = this.machines.reconcile(name, desired, results);
+      if (change === null) continue;
+      const changes = change.isUrgent ? urgentMachines : deferredMachines;
+      changes.push(change.changeSet);
     }
-    const settled = this.taskExits.prepareCommits(found);
-    // Ends of jobs first of all: other jobs may wait for them.
-    const { ends, cancellations } = this.jobs.reconcile(settled);
-    const failing = this.jobs.recordFailingJobs(settled.unfinishedJobs);
+    const prepared = this.taskExits.prepareCommits(results);
+    const { finished, cancellations } = this.jobs.reconcile(prepared);
+    const failing = this.jobs.recordFailingJobs(prepared.unfinishedJobs);
     return {
-      now: [...ends, ...urgent, ...cancellations],
-      later: [...failing, ...later, ...settled.dueCommits],
+      // Finished jobs first: other jobs may depend on them.
+      urgent: [...finished, ...urgentMachines, ...cancellations],
+      deferred: [...failing, ...deferredMachines, ...prepared.dueCommits],
     };
   }
 
+  /** Returns whether all starts of the pass were committed, or no pass was due. */
   private async placeIfDue(): Promise<boolean> {
     const { clock } = this.context;
-    const start = clock.now();
-    if (!this.isPlacementDue || start < this.placementNotBefore) return true;
+    const startedAt = clock.now();
+    if (!this.isPlacementDue || startedAt < this.placementNotBefore) return true;
     this.isPlacementDue = false;
     const plan = this.placementPass.plan();
-    const end = clock.now();
-    this.placementNotBefore = end + (end - start) * PLAN_PART;
-    const ok = await this.placementPass.commit(plan);
-    if (!ok) this.isPlacementDue = true;
-    return ok;
+    const endedAt = clock.now();
+    this.placementNotBefore = endedAt + (endedAt - startedAt) * PLACEMENT_PAUSE_FACTOR;
+    const isCommitted = await this.placementPass.commit(plan);
+    if (!isCommitted) this.isPlacementDue = true;
+    return isCommitted;
   }
 
-  /** The machines to look at now. */
   private takeDirtyMachines(): MachineName[] {
     const { context } = this;
     const now = context.clock.now();
     if (now >= this.nextFullReconcileAt) {
       this.nextFullReconcileAt = now + FULL_RECONCILE_INTERVAL_MS;
       this.isPlacementDue = true;
-      for (const m of context.ownership.ownedMachines()) this.dirty.add(m.name);
-      for (const name of this.sessions.names()) this.dirty.add(name);
+      for (const machine of context.ownership.ownedMachines()) this.dirtyMachines.add(machine.name);
+      for (const name of this.sessions.names()) this.dirtyMachines.add(name);
     }
-    const work = [...this.dirty];
-    this.dirty.clear();
-    return work;
+    const machines = [...this.dirtyMachines];
+    this.dirtyMachines.clear();
+    return machines;
   }
 
-  private onMachineObserved(name: MachineName, mayPlace: boolean): void {
-    this.dirty.add(name);
-    this.isPlacementDue ||= mayPlace;
+  private onMachineObserved({ machine, isNewlyAvailable }: MachineObservation): void {
+    this.dirtyMachines.add(machine);
+    this.isPlacementDue ||= isNewlyAvailable;
     this.notification.notify();
   }
 
   private onViewChanges({ machines, jobs, shards, teams, types, cancellations }: ViewChanges): void {
-    let concerned = cancellations.size > 0;
-    for (const name of machines) concerned = this.markMachineDirty(name) || concerned;
-    for (const id of jobs) concerned = this.markJobDirty(id) || concerned;
+    let isConcerned = cancellations.size > 0;
+    for (const name of machines) isConcerned = this.markMachineDirty(name) || isConcerned;
+    for (const id of jobs) isConcerned = this.markJobDirty(id) || isConcerned;
     if (shards.size > 0 || teams.size > 0 || types) {
       this.nextFullReconcileAt = Number.NEGATIVE_INFINITY;
       this.isPlacementDue = true;
-      concerned = true;
+      isConcerned = true;
     }
-    if (concerned) this.notification.notify();
+    if (isConcerned) this.notification.notify();
   }
 
-  /** Whether the change concerns this controller. */
+  /** Returns whether the change concerns this controller. */
   private markMachineDirty(name: MachineName): boolean {
     const machine = this.context.view.machines.get(name);
     if (machine !== undefined && !this.context.ownership.owns(machine)) return false;
-    this.dirty.add(name);
+    this.dirtyMachines.add(name);
     this.isPlacementDue = true;
     return true;
   }
 
+  /** Returns whether the change concerns this controller. */
   private markJobDirty(id: JobId): boolean {
     const { context } = this;
     const job = context.view.jobs.get(id);
@@ -199,8 +218,8 @@
       this.isPlacementDue = true;
       return true;
     }
-    for (const at of context.allocations.current().jobs.get(id)?.tasks.values() ?? [])
-      this.dirty.add(at.machine);
+    const tasks = context.allocations.current().jobs.get(id)?.tasks.values() ?? [];
+    for (const { machine } of tasks) this.dirtyMachines.add(machine);
     return true;
   }
 }
--- /dev/null
+++ b/src/controller/shard/start-transactions.ts
@@ -0,0 +1,125 @@
+/** Turns placements into changes of machine records: one for each machine. */
+import { LOG_EVENT } from '../../core/log-events.js';
+import { attempt, taskId, type Attempt, type MachineName, type TeamName } from '../../core/model/ids.js';
+import type { JobSpec } from '../../core/model/jobs.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import type { Placement } from '../../core/placement/placement.js';
+import { key } from '../../core/records/keys.js';
+import { addAllocation, allocationFor, removeExits } from '../../core/state/allocations.js';
+import { GUARDS_PER_OPERATION, GuardSet, type ChangeSet } from '../../io/state/transactions.js';
+import type { ControllerContext } from '../controller-context.js';
+import type { AgentSessions } from './agent-sessions.js';
+import type { MachineReconciler } from './machine-reconciler.js';
+import type { TaskExits } from './task-exits.js';
+
+/**
+ * An attempt consists of the revision at which the holder of the team's shard acquired it, and of a counter below this
+ * number.
+ */
+const ATTEMPTS_PER_EPOCH = 2 ** 22;
+
+/** Significant digits of shares and fitness in log lines. */
+const LOGGED_DIGITS = 5;
+
+/** Changes that start tasks. */
+export interface PlacementPlan {
+  /** Changes with at least one task of a gang; committed first. */
+  readonly gangs: readonly ChangeSet[];
+  readonly nonGangs: readonly ChangeSet[];
+}
+
+/** Builds the changes that start placed tasks. */
+export class StartTransactions {
+  constructor(
+    private readonly context: ControllerContext,
+    private readonly sessions: AgentSessions,
+    private readonly taskExits: TaskExits,
+    private readonly machines: MachineReconciler,
+  ) {}
+
+  /** The changes for all placements of a pass. */
+  build(placements: readonly Placement[]): PlacementPlan {
+    const gangs: ChangeSet[] = [];
+    const nonGangs: ChangeSet[] = [];
+    for (const [name, onMachine] of byMachine(placements)) {
+      const machine = this.context.view.machines.get(name)!;
+      const hasGang = onMachine.some(({ job }) => job.kind === 'gang');
+      (hasGang ? gangs : nonGangs).push(this.startOn(machine, onMachine));
+    }
+    return { gangs, nonGangs };
+  }
+
+  /** The change that starts tasks on one machine and removes durable exits from its record. */
+  private startOn(machine: MachineRecord, placements: readonly Placement[]): ChangeSet {
+    const { guards: guardsOf, state } = this.context;
+    const machineKey = key.machine(machine.name);
+    const guards = new GuardSet(state.limits.operationsPerTransaction * GUARDS_PER_OPERATION);
+    guards.add([guardsOf.forKey(machineKey), guardsOf.forKey(key.shard(machine.owner))]);
+    const exits = this.taskExits.confirmedExitsOn(machine);
+    const durableExits = exits.filter((exit) => this.taskExits.isDurable(exit));
+    let placed = removeExits(machine.placed, durableExits);
+    // Gangs first: none of their tasks may be left out.
+    const gangsFirst = [...placements].sort((a, b) => kindRank(a.job) - kindRank(b.job));
+    for (const placement of gangsFirst) {
+      const { job, index } = placement;
+      // A transaction with more guards than the limit would be rejected each time, and the machine get no more tasks.
+      // Tasks whose guards do not fit are left to the next pass.
+      if (!guards.add([...guardsOf.forTeam(job.team), guardsOf.forKey(key.job(job.id))])) continue;
+      const startAttempt = this.attemptOf(placement);
+      placed = addAllocation(placed, allocationFor(job, startAttempt, [index]));
+      this.reportPlacement(placement, startAttempt);
+    }
+    const value: MachineRecord = {
+      ...machine,
+      phase: 'up',
+      placed,
+      ...this.machines.observedFields(machine, this.sessions.current(machine)),
+    };
+    return { operations: [{ key: machineKey, value, reason: 'start' }], guards: guards.list() };
+  }
+
+  /** Unique among all starts of the job: two holders of the team's shard have different epochs. */
+  private attemptOf({ job, attempt: counter }: Placement): Attempt {
+    return attempt(this.epochOf(job.team) * ATTEMPTS_PER_EPOCH + (counter % ATTEMPTS_PER_EPOCH));
+  }
+
+  /** The revision at which the holder of the team's shard acquired it. */
+  private epochOf(team: TeamName): number {
+    const { view } = this.context;
+    return view.versionOf(key.shard(view.teams.get(team)!.owner));
+  }
+
+  private reportPlacement(placement: Placement, startAttempt: Attempt): void {
+    const { events, log, view } = this.context;
+    const { index, machine, share, fitness, fetchRank } = placement;
+    const { id, team } = placement.job;
+    const task = { job: id, index, attempt: startAttempt, machine: machine.name };
+    if (events.isActive) events.emit({ kind: 'task_placed', task, team });
+    log.info(
+      {
+        task: taskId(id, index),
+        team,
+        attempt: startAttempt,
+        machine: machine.name,
+        token: view.fencingTokenOf(machine),
+        share: Number(share.toPrecision(LOGGED_DIGITS)),
+        fitness: Number(fitness.toPrecision(LOGGED_DIGITS)),
+        fetchRank,
+      },
+      LOG_EVENT.taskPlaced,
+    );
+  }
+}
+
+function byMachine(placements: readonly Placement[]): ReadonlyMap<MachineName, readonly Placement[]> {
+  const groups = new Map<MachineName, Placement[]>();
+  for (const placement of placements) {
+    const { name } = placement.machine;
+    const group = groups.get(name);
+    if (group === undefined) groups.set(name, [placement]);
+    else group.push(placement);
+  }
+  return groups;
+}
+
+const kindRank = (job: JobSpec): number => (job.kind === 'gang' ? 0 : 1);
--- a/src/controller/shard/timing.ts
+++ b/src/controller/shard/timing.ts
@@ -1,10 +1,10 @@
-/** How often an owner looks at everything, and how long what need not be written at once may wait. */
+/** Intervals of the shard controller, and how long changes that are not urgent may wait. */
 
-/** All machines are looked at again so often, for what only time brings about. */
+/** Interval at which every machine is reconciled, for changes that only the passing of time brings about. */
 export const FULL_RECONCILE_INTERVAL_MS = 500;
-/** How long entries of tasks that are done may stay in a record, with and without budget to spare. */
+/** How long allocations of finished tasks may stay in a record while the write budget is not fully used. */
 export const CLEANUP_DELAY_SPARE_MS = 1500;
-/** How long they may stay where the budget is short. */
+/** How long they may stay while the write budget is short. */
 export const MAX_CLEANUP_DELAY_MS = 10_000;
-/** An empty machine can serve other slices, or be returned: that is worth a change sooner. */
+/** How long they may stay as a machine's only ones: an empty machine can serve another shard or be released. */
 export const CLEANUP_DELAY_EMPTY_MS = 3000;
--- /dev/null
+++ b/src/core/agents/desired-state.ts
@@ -0,0 +1,35 @@
+/** Which recorded tasks should run, and why others should stop. */
+import { isDone } from '../jobs/done-tasks.js';
+import type { JobId, TaskIndex } from '../model/ids.js';
+import type { JobRecord } from '../model/jobs.js';
+import type { Allocation } from '../model/machines.js';
+import type { AllocationTotals } from '../state/allocation-totals.js';
+
+/** What the records say about jobs and allocations; agents are reconciled with it. */
+export interface DesiredState {
+  readonly jobs: ReadonlyMap<JobId, JobRecord>;
+  readonly totals: AllocationTotals;
+}
+
+/** Why a task should not be on its machine. */
+export type StopReason = 'over' | 'cancelled' | 'task_done' | 'stopping' | 'gang_broken';
+
+/** Why the task should not be on its machine; null if it should. */
+export function stopReasonFor(
+  allocation: Allocation,
+  index: TaskIndex,
+  desired: DesiredState,
+): StopReason | null {
+  const job = desired.jobs.get(allocation.job);
+  if (job === undefined) return 'over';
+  if (job.phase === 'cancelling') return 'cancelled';
+  if (isDone(job.done, index)) return 'task_done';
+  if (allocation.kind === 'gang') {
+    const allocations = desired.totals.jobs.get(allocation.job);
+    // An attempt of a gang runs as a whole or not at all: without the others, a task would only wait.
+    const tasks = allocations?.tasksPerAttempt.get(allocation.attempt) ?? 0;
+    if (tasks < job.spec.tasks) return 'gang_broken';
+    if ((allocations?.stoppingAllocations ?? 0) > 0) return 'stopping';
+  }
+  return allocation.stop === true ? 'stopping' : null;
+}
--- /dev/null
+++ b/src/core/agents/task-key.ts
@@ -0,0 +1,11 @@
+/** Identifies task attempts across machine records, heartbeats and commands. */
+import type { Heartbeat, ReportedTask } from '../model/heartbeats.js';
+import type { Attempt, JobId, TaskIndex } from '../model/ids.js';
+
+/** Identifies one attempt of a task. */
+export const taskKey = (job: JobId, index: TaskIndex, attempt: Attempt): string =>
+  `${job}/${index}@${attempt}`;
+
+/** Tasks of the heartbeat by their `taskKey`, in the order of the heartbeat. */
+export const reportedTasksByKey = (heartbeat: Heartbeat): Map<string, ReportedTask> =>
+  new Map(heartbeat.tasks.map((task) => [taskKey(task.job, task.index, task.attempt), task]));
--- a/src/core/state/allocations.ts
+++ b/src/core/state/allocations.ts
@@ -1,4 +1,6 @@
 /** Allocations in machine records: tasks of one job that share one attempt. */
+import type { TaskExit } from '../agents/confirmed-exits.js';
+import { taskKey } from '../agents/task-key.js';
 import type { Attempt, TaskIndex } from '../model/ids.js';
 import type { JobSpec } from '../model/jobs.js';
 import type { Allocation } from '../model/machines.js';
@@ -29,5 +31,20 @@
   return result;
 }
 
+/** The allocations without the tasks that have exited. */
+export function removeExits(allocations: readonly Allocation[], exits: readonly TaskExit[]): Allocation[] {
+  const exited = new Set(
+    exits.map((exit) => taskKey(exit.allocation.job, exit.index, exit.allocation.attempt)),
+  );
+  const remaining: Allocation[] = [];
+  for (const allocation of allocations) {
+    const { job, attempt } = allocation;
+    const tasks = allocation.tasks.filter((index) => !exited.has(taskKey(job, index, attempt)));
+    if (tasks.length === allocation.tasks.length) remaining.push(allocation);
+    else if (tasks.length > 0) remaining.push({ ...allocation, tasks });
+  }
+  return remaining;
+}
+
 const isSameEntry = (a: Allocation, b: Allocation): boolean =>
   a.job === b.job && a.attempt === b.attempt && a.stop === b.stop;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -124,7 +124,7 @@
         }),
       ),
     );
-    recordHeartbeat(memory, heartbeat!, monotonicMs(1), true, 2000);
+    recordHeartbeat(memory, heartbeat!, { now: monotonicMs(1), isPushed: true, heartbeatIntervalMs: 2000 });
     memories.push(memory);
   }
   const totals = new AllocationTotals(view.machines.values(), types, new Map());
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -13,12 +13,9 @@
   splitBySize,
   shrinkMachineRecord,
 } from '../src/core/records/stored-records.js';
-import {
-  agentCommands,
-  confirmedExits,
-  newAgentSession,
-  recordHeartbeat,
-} from '../src/core/agents/agent-session.js';
+import { agentCommands } from '../src/core/agents/agent-commands.js';
+import { newAgentSession, recordHeartbeat } from '../src/core/agents/agent-session.js';
+import { confirmedExits } from '../src/core/agents/confirmed-exits.js';
 import { attempt, jobId, machineName, teamName, version } from '../src/core/model/ids.js';
 import type { MachineRecord } from '../src/core/model/machines.js';
 import { monotonicMs } from '../src/core/model/time.js';
@@ -115,14 +112,17 @@
       { shard: `${spec.id}/1`, tryNo: 9, standing: 'running' },
     ],
   })!;
-  recordHeartbeat(session, heartbeat, monotonicMs(10), true, 2000);
+  recordHeartbeat(session, heartbeat, { now: monotonicMs(10), isPushed: true, heartbeatIntervalMs: 2000 });
   const w = { jobs: new Map([[spec.id, job]]), totals: new AllocationTotals([m], types, new Map()) };
   assert.deepEqual(
     confirmedExits(m, session, w).map((e) => [e.index, e.reason]),
     [[0, 'done']],
   );
   assert.deepEqual(
-    agentCommands(m, session, w, monotonicMs(10), true).map((c) => [c.op, c.index]),
+    agentCommands({ machine: m, session, desired: w, now: monotonicMs(10), mayStart: true }).map((c) => [
+      c.op,
+      c.index,
+    ]),
     [
       ['stop', 1],
       ['start', 2],
