--- a/packages/tracing/src/index.ts
+++ b/packages/tracing/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Tracing: spans of jobs and of takeovers, to an OpenTelemetry collector over OTLP/HTTP and to a file of JSON lines.
+ * Tracing: spans of jobs and of failovers, to an OpenTelemetry collector over OTLP/HTTP and to a file of JSON lines.
  * docs/operations/tracing.md tells operators how to use it.
  */
 import { OTLPTraceExporter } from '@opentelemetry/exporter-trace-otlp-http';
--- a/packages/tracing/src/options.ts
+++ b/packages/tracing/src/options.ts
@@ -13,7 +13,7 @@
     file: Type.Optional(Type.String({ minLength: 1 })),
     /** The file is begun anew at this size, and one older one is kept. */
     file_mb: positive(16),
-    /** The part of the jobs that is traced, the same ones at every controller. Takeovers always are. */
+    /** The part of the jobs that is traced, the same ones at every controller. Failovers always are. */
     sample_ratio: Type.Number({ minimum: 0, maximum: 1, default: 0.1 }),
     /** Spans that wait to be sent; those beyond are dropped and counted. */
     queue_spans: whole(2048),
--- a/packages/tracing/src/span-tracer.ts
+++ b/packages/tracing/src/span-tracer.ts
@@ -1,4 +1,4 @@
-/** Records spans that have ended, from times of the steady clock. */
+/** Records spans that have ended, from times of the monotonic clock. */
 import {
   ROOT_CONTEXT,
   trace,
--- a/packages/warm-standby/src/backoff.ts
+++ b/packages/warm-standby/src/backoff.ts
@@ -1,9 +1,9 @@
-/** Spaces takeovers of one slice, so that a wrong suspicion cannot make it change hands again and again. */
+/** Spaces failovers of one shard, so that a wrong suspicion cannot make it change hands again and again. */
 
 /** Each pause is shortened or lengthened by up to this part. */
 const JITTER = 0.25;
 
-/** When the next takeover may be. */
+/** When the next failover may be. */
 export interface BackoffOptions {
   readonly backoff_ms: number;
   readonly longest_backoff_ms: number;
@@ -15,7 +15,7 @@
   private until = Number.NEGATIVE_INFINITY;
   private lastAt = Number.NEGATIVE_INFINITY;
   private steps = 0;
-  /** Takeovers so far. */
+  /** Failovers so far. */
   count = 0;
 
   constructor(
--- a/packages/warm-standby/src/cluster.ts
+++ b/packages/warm-standby/src/cluster.ts
@@ -1,8 +1,8 @@
-/** Which controllers stand by for which slice, by what is committed now. */
+/** Which controllers stand by for which shard, by what is committed now. */
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { FailureDomains } from './failure-domains.js';
-import { placeStandbys } from './placement.js';
+import { placeStandbys } from './standby-placement.js';
 
 /** The controllers as this package sees them. */
 export class Cluster {
@@ -13,24 +13,24 @@
     private readonly degree: number,
   ) {}
 
-  /** The standbys of a slice, the first in order first. */
-  standbysOf({ shard, holder }: ShardFact): NodeName[] {
+  /** The standbys of a shard, the first in order first. */
+  standbysOf({ name: shard, holder }: ShardFact): NodeName[] {
     const candidates = this.service.facts
       .sessions()
       .filter((s) => !s.isDraining && this.domainOf.has(s.node))
       .map((s) => s.node);
-    return placeStandbys({ slice: shard, holder, candidates, domainOf: this.domainOf, degree: this.degree });
+    return placeStandbys({ shard, holder, candidates, domainOf: this.domainOf, degree: this.degree });
   }
 
-  /** Whether the settings name a controller, and so a slice, like this. */
+  /** Whether the settings name a controller, and so a shard, like this. */
   isController(name: NodeName): boolean {
     return this.domainOf.has(name);
   }
 
-  /** Slices that this process holds and knows all about. */
+  /** Shards that this process holds and knows all about. */
   heldShards(): ShardFact[] {
     const { facts, incarnation } = this.service;
-    return facts.shards().filter((s) => s.incarnation === incarnation && facts.isHeldCompletely(s.shard));
+    return facts.shards().filter((s) => s.incarnation === incarnation && facts.isHeldCompletely(s.name));
   }
 
   /** All controllers but this one and the one given. */
--- a/packages/warm-standby/src/decision-log.ts
+++ b/packages/warm-standby/src/decision-log.ts
@@ -1,13 +1,13 @@
 /**
- * The holder's side of a slice's log: a bounded tail of numbered entries, and the state that all entries add up to. Adding to
+ * The holder's side of a shard's log: a bounded tail of numbered entries, and the state that all entries add up to. Adding to
  * it never waits for anybody.
  */
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
-import type { LogEntry } from './entries.js';
+import type { LogEntry } from './log-entries.js';
 import { ReplicatedState } from './replicated-state.js';
 
-/** Workers report every few seconds: without a change theirs is an entry only so often. */
-const WORKER_ENTRY_EVERY_MS = 10_000;
+/** Agents report every few seconds: without a change theirs is an entry only so often. */
+const AGENT_ENTRY_INTERVAL_MS = 10_000;
 
 /** Numbered entries, in order and without a gap. */
 export interface Batch {
@@ -16,7 +16,7 @@
   readonly entries: readonly LogEntry[];
 }
 
-/** The log of one slice under one epoch. */
+/** The log of one shard under one epoch. */
 export class DecisionLog {
   readonly state = new ReplicatedState();
   /** Number of the newest entry; 0: none. */
@@ -39,11 +39,11 @@
   }
 
   private isKnown(entry: Extract<LogEntry, { kind: 'agent' }>): boolean {
-    const known = this.state.worker(entry.machine);
+    const known = this.state.agentEntry(entry.machine);
     if (known === undefined) return false;
     const isSame =
       known.address === entry.address && known.agentEpoch === entry.agentEpoch && known.token === entry.token;
-    return isSame && entry.heardAt - known.heardAt < WORKER_ENTRY_EVERY_MS;
+    return isSame && entry.heardAt - known.heardAt < AGENT_ENTRY_INTERVAL_MS;
   }
 
   /** The entries after a number, or null where the tail does not reach back that far. */
--- a/packages/warm-standby/src/takeover.ts
+++ b/packages/warm-standby/src/failover-loop.ts
@@ -1,6 +1,6 @@
 /**
- * The standby's loop: watches the holders of the slices that this controller stands by for, confirms a suspicion with the
- * other controllers, and takes the slice. Suspicion starts a takeover and proves nothing; the state service decides.
+ * The standby's loop: watches the holders of the shards that this controller stands by for, confirms a suspicion with the
+ * other controllers, and takes the shard. Suspicion starts a failover and proves nothing; the state service decides.
  */
 import { LOG_EVENT } from './log-events.js';
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
@@ -13,20 +13,20 @@
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
 import type { ReplicatedState } from './replicated-state.js';
-import type { Takeover, TakeoverHistory } from './takeover-history.js';
-import { decideTakeover, doubtOf, type Reluctance, type Witness } from './takeover-policy.js';
+import type { Failover, FailoverHistory } from './failover-history.js';
+import { decideFailover, unconfirmedReason, type DeferralReason, type Witness } from './failover-policy.js';
 
 /** Holders are looked at so often. */
-const STEP_MS = 100;
-/** Pause after a probe that did not lead to a takeover. */
-const PROBE_AGAIN_MS = 300;
+const WATCH_INTERVAL_MS = 100;
+/** Pause after a probe that did not lead to a failover. */
+const PROBE_RETRY_MS = 300;
 /** A handover that was accepted and has not come after so long was given up. */
-const PREPARED_MS = 30_000;
+const HANDOVER_TIMEOUT_MS = 30_000;
 /** Nothing is taken while the state service was out of reach within this time. */
 const STATE_FRESH_MS = 1000;
 
-/** The rank of a controller that does not stand by for a slice. */
-const NO_STANDBY = -1;
+/** The rank of a controller that does not stand by for a shard. */
+const NOT_A_STANDBY = -1;
 /** What a controller says that does not answer. */
 const NO_ANSWER = { reaches: null, applied: null };
 
@@ -37,28 +37,31 @@
   confirmedAt: number | null;
   isProbing: boolean;
   notBefore: number;
-  why: Reluctance | null;
+  deferredBy: DeferralReason | null;
 }
 
 /** Counts for operators. */
-export interface TakeoverCounts {
+export interface FailoverCounts {
   suspicions: number;
   /** Suspicions of a holder that answered, here or elsewhere. */
   refuted: number;
   taken: number;
-  /** Takeovers of holders that turned out to be alive. */
+  /** Failovers of holders that turned out to be alive. */
   falseTakeovers: number;
 }
 
-/** Takes over slices of holders that have failed. */
-export class TakeoverLoop {
-  readonly counts: TakeoverCounts = { suspicions: 0, refuted: 0, taken: 0, falseTakeovers: 0 };
+/** Takes over shards of holders that have failed. */
+export class FailoverLoop {
+  readonly counts: FailoverCounts = { suspicions: 0, refuted: 0, taken: 0, falseTakeovers: 0 };
   readonly suspicions = new Map<NodeName, Suspicion>();
   private readonly backoffs = new Map<NodeName, Backoff>();
-  /** The slices as they were when last looked at, to notice that one has come here. */
-  private readonly known = new Map<NodeName, ShardFact>();
+  /** The shards as they were when last looked at, to notice that one has come here. */
+  private readonly knownShards = new Map<NodeName, ShardFact>();
   /** Planned handovers that were accepted, and have not come yet. */
-  private readonly prepared = new Map<NodeName, { readonly traceParent: string; readonly until: number }>();
+  private readonly expectedHandovers = new Map<
+    NodeName,
+    { readonly traceParent: string; readonly until: number }
+  >();
 
   constructor(
     private readonly service: PluginServices,
@@ -66,28 +69,28 @@
     private readonly monitor: HolderMonitor,
     private readonly receiver: Receiver,
     private readonly publisher: Publisher,
-    private readonly history: TakeoverHistory,
+    private readonly history: FailoverHistory,
     private readonly options: Options,
   ) {
     service.facts.subscribe(({ shards, sessions }) => {
-      if (shards.size > 0) this.noteSlices();
-      if (sessions.size > 0) this.noteSessions();
+      if (shards.size > 0) this.onShardChanges();
+      if (sessions.size > 0) this.onSessionChanges();
     });
   }
 
   async run(): Promise<never> {
     for (;;) {
       if (this.service.facts.isReady) {
-        for (const shard of this.service.facts.shards()) this.watch(shard);
-        this.history.step();
+        for (const shard of this.service.facts.shards()) this.watchHolder(shard);
+        this.history.update();
       }
-      await this.service.clock.sleep(STEP_MS);
+      await this.service.clock.sleep(WATCH_INTERVAL_MS);
     }
   }
 
-  /** A planned handover of the slice to this controller was accepted. */
-  expect(shard: NodeName, traceParent: string): void {
-    this.prepared.set(shard, { traceParent, until: this.service.clock.now() + PREPARED_MS });
+  /** A planned handover of the shard to this controller was accepted. */
+  expectHandover(shard: NodeName, traceParent: string): void {
+    this.expectedHandovers.set(shard, { traceParent, until: this.service.clock.now() + HANDOVER_TIMEOUT_MS });
   }
 
   backoffOf(shard: NodeName): Backoff {
@@ -96,19 +99,19 @@
     return backoff;
   }
 
-  private watch(shard: ShardFact): void {
+  private watchHolder(shard: ShardFact): void {
     const { clock, node } = this.service;
     const now = clock.now();
-    const isFollowed = this.receiver.replicas.get(shard.shard)?.epoch === shard.epoch;
+    const isFollowed = this.receiver.replicas.get(shard.name)?.epoch === shard.epoch;
     // A holder without a session has failed, or is back this moment: the leader sees to it.
     const isSuspect = isFollowed && shard.hasSession && this.monitor.isSuspected(shard.holder, now);
-    // Standbys are worked out only for a suspect: every slice is looked at many times a second.
-    const rank = isSuspect ? this.cluster.standbysOf(shard).indexOf(node) : NO_STANDBY;
-    if (rank === NO_STANDBY) {
-      this.suspicions.delete(shard.shard);
+    // Standbys are worked out only for a suspect: every shard is looked at many times a second.
+    const rank = isSuspect ? this.cluster.standbysOf(shard).indexOf(node) : NOT_A_STANDBY;
+    if (rank === NOT_A_STANDBY) {
+      this.suspicions.delete(shard.name);
       return;
     }
-    let suspicion = this.suspicions.get(shard.shard);
+    let suspicion = this.suspicions.get(shard.name);
     if (suspicion?.epoch !== shard.epoch) {
       this.counts.suspicions++;
       suspicion = {
@@ -117,11 +120,11 @@
         confirmedAt: null,
         isProbing: false,
         notBefore: now,
-        why: null,
+        deferredBy: null,
       };
-      this.suspicions.set(shard.shard, suspicion);
+      this.suspicions.set(shard.name, suspicion);
       this.service.log.info(
-        { slice: shard.shard, holder: shard.holder, phi: this.monitor.phi(shard.holder, now) },
+        { shard: shard.name, holder: shard.holder, phi: this.monitor.phi(shard.holder, now) },
         LOG_EVENT.holderSuspected,
       );
     }
@@ -131,61 +134,65 @@
   private investigate(shard: ShardFact, suspicion: Suspicion, rank: number): void {
     const { clock, log } = this.service;
     suspicion.isProbing = true;
-    this.tryTakeover(shard, suspicion, rank)
+    this.tryFailover(shard, suspicion, rank)
       .catch((e: unknown) => {
-        log.error({ err: e, slice: shard.shard }, LOG_EVENT.takeoverFailed);
+        log.error({ err: e, shard: shard.name }, LOG_EVENT.failoverFailed);
       })
       .finally(() => {
         suspicion.isProbing = false;
-        suspicion.notBefore = clock.now() + PROBE_AGAIN_MS;
+        suspicion.notBefore = clock.now() + PROBE_RETRY_MS;
       });
   }
 
-  private async tryTakeover(shard: ShardFact, suspicion: Suspicion, rank: number): Promise<void> {
+  private async tryFailover(shard: ShardFact, suspicion: Suspicion, rank: number): Promise<void> {
     const { clock, facts, log } = this.service;
     const { holderAnswers, witnesses } = await this.probe(shard);
     const witnessesNeeded = this.options.detection.witnesses;
     const now = clock.now();
-    if (doubtOf({ holderAnswers, witnesses, witnessesNeeded }) === null) suspicion.confirmedAt ??= now;
+    if (unconfirmedReason({ holderAnswers, witnesses, witnessesNeeded }) === null)
+      suspicion.confirmedAt ??= now;
     else suspicion.confirmedAt = null;
     // It may have been heard while the others were asked.
     if (!this.monitor.isSuspected(shard.holder, now)) return;
-    const decision = decideTakeover({
+    const decision = decideFailover({
       isWarm: this.receiver.isWarm(shard),
-      applied: this.receiver.replicas.get(shard.shard)?.applied ?? 0,
+      applied: this.receiver.replicas.get(shard.name)?.applied ?? 0,
       holderAnswers,
       witnesses,
       witnessesNeeded,
       rank,
       confirmedForMs: suspicion.confirmedAt === null ? 0 : now - suspicion.confirmedAt,
       rankDelayMs: this.options.takeover.rank_delay_ms,
-      backoffLeftMs: this.backoffOf(shard.shard).leftMs(now),
+      backoffLeftMs: this.backoffOf(shard.name).leftMs(now),
       isStateReachable: facts.isStateReachable(STATE_FRESH_MS),
     });
     if (decision.kind === 'wait') {
-      if (suspicion.why !== decision.why) {
-        if (decision.why === 'holder_answers' || decision.why === 'holder_reached_by_another')
+      if (suspicion.deferredBy !== decision.reason) {
+        if (decision.reason === 'holder_answers' || decision.reason === 'holder_reached_by_another')
           this.counts.refuted++;
-        log.info({ slice: shard.shard, holder: shard.holder, why: decision.why }, LOG_EVENT.takeoverDeferred);
+        log.info(
+          { shard: shard.name, holder: shard.holder, reason: decision.reason },
+          LOG_EVENT.failoverDeferred,
+        );
       }
-      suspicion.why = decision.why;
+      suspicion.deferredBy = decision.reason;
       return;
     }
-    await this.take(shard);
+    await this.takeShard(shard);
   }
 
-  private async take(shard: ShardFact): Promise<void> {
+  private async takeShard(shard: ShardFact): Promise<void> {
     const { clock, log, shardControl } = this.service;
     // Counted before the outcome is known: a change without an answer may be applied yet.
-    this.backoffOf(shard.shard).note(clock.now());
-    const outcome = await shardControl.takeOver(shard);
-    log.info({ slice: shard.shard, from: shard.holder, outcome: outcome.kind }, LOG_EVENT.takeoverAttempted);
+    this.backoffOf(shard.name).note(clock.now());
+    const outcome = await shardControl.failOver(shard);
+    log.info({ shard: shard.name, from: shard.holder, outcome: outcome.kind }, LOG_EVENT.failoverAttempted);
   }
 
   private async probe(shard: ShardFact): Promise<{ holderAnswers: boolean; witnesses: Witness[] }> {
     const { channel } = this.service;
     const { probe_ms } = this.options.detection;
-    const payload = encodeProbe({ holder: shard.holder, shard: shard.shard, epoch: shard.epoch });
+    const payload = encodeProbe({ holder: shard.holder, shard: shard.name, epoch: shard.epoch });
     const [holderAnswers, ...witnesses] = await Promise.all([
       channel.isAnswering(shard.holder, probe_ms),
       ...this.cluster.othersThan(shard.holder).map(async (node): Promise<Witness> => {
@@ -196,53 +203,53 @@
     return { holderAnswers, witnesses };
   }
 
-  /** Slices that have come to this controller, whoever gave them. */
-  private noteSlices(): void {
+  /** Shards that have come to this controller, whoever gave them. */
+  private onShardChanges(): void {
     const { facts, incarnation, node } = this.service;
     for (const fact of facts.shards()) {
-      const before = this.known.get(fact.shard);
+      const before = this.knownShards.get(fact.name);
       if (before?.epoch === fact.epoch) continue;
-      this.known.set(fact.shard, fact);
+      this.knownShards.set(fact.name, fact);
       // What its own former life held has not come from another controller.
       const cameHere = before !== undefined && fact.incarnation === incarnation && before.holder !== node;
-      if (cameHere) this.begin(fact, before);
+      if (cameHere) this.onShardReceived(fact, before);
     }
   }
 
-  /** The confirmed suspicion that led to the takeover, if one did. */
+  /** The confirmed suspicion that led to the failover, if one did. */
   private suspicionOf(shard: NodeName, before: ShardFact): Suspicion | null {
     const suspicion = this.suspicions.get(shard);
     return suspicion?.epoch === before.epoch && suspicion.confirmedAt !== null ? suspicion : null;
   }
 
-  /** This controller has the slice: what the replica knows is learned, and the phases are followed from here. */
-  private begin(fact: ShardFact, before: ShardFact): void {
+  /** This controller has the shard: what the replica knows is learned, and the phases are followed from here. */
+  private onShardReceived(fact: ShardFact, before: ShardFact): void {
     const { clock, log } = this.service;
-    const { shard } = fact;
+    const { name: shard } = fact;
     const replica = this.receiver.replicas.get(shard);
     const memory = replica?.epoch === before.epoch ? replica.state : null;
-    const takeover = this.describe(fact, before, memory);
+    const failover = this.describeFailover(fact, before, memory);
     for (const hint of memory?.hints(clock.wallClock()) ?? []) this.service.learn(hint);
     this.publisher.continueWith(fact, memory?.entries() ?? []);
-    this.history.add(takeover);
-    const { from, cause, wasWarm } = takeover;
+    this.history.add(failover);
+    const { from, cause, wasWarm } = failover;
     if (cause === 'suspicion') this.counts.taken++;
-    log.info({ slice: shard, from, cause, epoch: fact.epoch, warm: wasWarm }, LOG_EVENT.shardReceived);
+    log.info({ shard, from, cause, epoch: fact.epoch, warm: wasWarm }, LOG_EVENT.shardReceived);
     this.receiver.forget(shard);
     this.suspicions.delete(shard);
-    this.prepared.delete(shard);
+    this.expectedHandovers.delete(shard);
   }
 
-  /** Where the span of the handover belongs that was accepted for the slice, if one was. */
+  /** Where the span of the handover belongs that was accepted for the shard, if one was. */
   private handoverTraceOf(shard: NodeName): string | undefined {
-    const prepared = this.prepared.get(shard);
+    const prepared = this.expectedHandovers.get(shard);
     const isDue = prepared !== undefined && this.service.clock.now() < prepared.until;
     return isDue ? prepared.traceParent : undefined;
   }
 
-  private describe(fact: ShardFact, before: ShardFact, memory: ReplicatedState | null): Takeover {
+  private describeFailover(fact: ShardFact, before: ShardFact, memory: ReplicatedState | null): Failover {
     const { clock, facts, tracer } = this.service;
-    const { shard } = fact;
+    const { name: shard } = fact;
     const handoverTrace = this.handoverTraceOf(shard);
     const suspicion = handoverTrace === undefined ? this.suspicionOf(shard, before) : null;
     const cause = handoverTrace !== undefined ? 'handover' : suspicion !== null ? 'suspicion' : 'assigned';
@@ -250,12 +257,12 @@
       shard,
       from: before.holder,
       fromIncarnation: before.incarnation,
-      sessionGone: false,
+      isSessionGone: false,
       cause,
       epoch: fact.epoch,
       wasWarm: memory !== null && this.receiver.isWarm(before),
-      workersKnown: memory?.workerCount ?? 0,
-      endedTasks: memory?.endedTasks ?? 0,
+      agentsKnown: memory?.agentCount ?? 0,
+      uncommittedExits: memory?.uncommittedExits ?? 0,
       machines: facts.machinesOf(shard).length,
       wall: clock.wallClock(),
       at: {
@@ -264,28 +271,28 @@
         confirmed: suspicion?.confirmedAt ?? null,
         fenced: clock.now(),
         view: null,
-        firstReport: null,
+        firstHeartbeat: null,
         firstStart: null,
-        allReports: null,
+        allHeartbeats: null,
       },
       traceParent: tracer.reserve(handoverTrace),
       handoverTrace,
-      wasFalse: false,
+      isFalse: false,
     };
   }
 
-  /** A holder whose slice was taken on suspicion and that is back in the same life had not failed. */
-  private noteSessions(): void {
+  /** A holder whose shard was taken on suspicion and that is back in the same life had not failed. */
+  private onSessionChanges(): void {
     const { facts } = this.service;
     const lives = new Set(facts.sessions().map((s) => s.incarnation));
-    for (const takeover of this.history.takeovers) {
-      if (takeover.cause !== 'suspicion' || takeover.wasFalse) continue;
-      if (!lives.has(takeover.fromIncarnation)) {
-        takeover.sessionGone = true;
+    for (const failover of this.history.failovers) {
+      if (failover.cause !== 'suspicion' || failover.isFalse) continue;
+      if (!lives.has(failover.fromIncarnation)) {
+        failover.isSessionGone = true;
         continue;
       }
-      if (!takeover.sessionGone) continue;
-      takeover.wasFalse = true;
+      if (!failover.isSessionGone) continue;
+      failover.isFalse = true;
       this.counts.falseTakeovers++;
     }
   }
--- a/packages/warm-standby/src/failure-domains.ts
+++ b/packages/warm-standby/src/failure-domains.ts
@@ -2,6 +2,7 @@
  * Which controllers may fail together. Domains are given by IP networks; an address belongs to the domain of the longest
  * network that holds it. Without networks a controller's zone is its domain.
  */
+import { CodedError } from '../../../src/core/errors.js';
 import ipaddr from 'ipaddr.js';
 import type { PlatformSettings } from '../../../src/config/platform-settings.js';
 import { splitAddress } from '../../../src/core/model/address.js';
@@ -22,7 +23,9 @@
 }
 
 /** Networks that cannot be used; the message begins with the path. */
-export class DomainError extends Error {}
+export class FailureDomainError extends CodedError {
+  readonly code = 'invalid_failure_domains';
+}
 
 /** IPv4 addresses may arrive in the form for IPv6 sockets. */
 function parseAddress(text: string): Address | null {
@@ -31,14 +34,14 @@
 
 function parseNetwork(text: string, domain: string, path: string): Network {
   if (!ipaddr.isValidCIDR(text))
-    throw new DomainError(`${path}: ${text} is not a network such as 10.0.0.0/24`);
+    throw new FailureDomainError(`${path}: ${text} is not a network such as 10.0.0.0/24`);
   const [base, prefix] = ipaddr.parseCIDR(text);
   const first =
     base.kind() === 'ipv4'
       ? ipaddr.IPv4.networkAddressFromCIDR(text)
       : ipaddr.IPv6.networkAddressFromCIDR(text);
   if (first.toNormalizedString() !== base.toNormalizedString())
-    throw new DomainError(
+    throw new FailureDomainError(
       `${path}: ${text} has bits beyond its prefix, ${first.toString()}/${prefix} was meant?`,
     );
   return { domain, base, prefix, text };
@@ -53,7 +56,7 @@
     (n) => n.prefix === network.prefix && n.base.toNormalizedString() === network.base.toNormalizedString(),
   );
   if (twin === undefined) return;
-  throw new DomainError(`${path}: ${network.text} stands in domain "${twin.domain}" already`);
+  throw new FailureDomainError(`${path}: ${network.text} stands in domain "${twin.domain}" already`);
 }
 
 /** Failure domains by network. */
@@ -65,7 +68,7 @@
     domains.forEach(({ name, networks }, i) => {
       const path = `failure_domains.${i}`;
       if (domains.findIndex((d) => d.name === name) !== i)
-        throw new DomainError(`${path}.name: "${name}" stands there twice`);
+        throw new FailureDomainError(`${path}.name: "${name}" stands there twice`);
       networks.forEach((text, j) => {
         const network = parseNetwork(text, name, `${path}.networks.${j}`);
         refuseTwins(this.networks, network, `${path}.networks.${j}`);
@@ -103,7 +106,8 @@
   for (const { node, zone, address } of [own, ...settings.peers]) {
     const [host] = splitAddress(address);
     const domain = domains.hasNetworks ? domains.domainOf(host) : zone;
-    if (domain === null) throw new DomainError(`failure_domains: ${host} of ${node} is in none of them`);
+    if (domain === null)
+      throw new FailureDomainError(`failure_domains: ${host} of ${node} is in none of them`);
     out.set(node, domain);
   }
   return out;
--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -14,19 +14,19 @@
   { additionalProperties: false },
 );
 
-/** A slice that stays, and why. */
+/** A shard that stays, and why. */
 interface Refusal {
   readonly slice: NodeName;
   readonly reason: string;
 }
 
-/** A slice that goes. */
+/** A shard that goes. */
 interface Move {
   readonly fact: ShardFact;
   readonly to: NodeName;
 }
 
-/** Hands slices over on an operator's word. */
+/** Hands shards over on an operator's word. */
 export class Handover {
   private isRunning = false;
 
@@ -63,7 +63,7 @@
     const moves: Move[] = [];
     for (const fact of this.cluster.heldShards()) {
       const prepared = await this.prepare(fact, to, span);
-      if (typeof prepared === 'string') refused.push({ slice: fact.shard, reason: prepared });
+      if (typeof prepared === 'string') refused.push({ slice: fact.name, reason: prepared });
       else moves.push(prepared);
     }
     const handedOver = await this.commit(moves, refused);
@@ -72,7 +72,7 @@
     return { status: refused.length === 0 ? 200 : 409, body: { handedOver, refused } };
   }
 
-  /** A warm standby that is ready for the slice, or why there is none. */
+  /** A warm standby that is ready for the shard, or why there is none. */
   private async prepare(fact: ShardFact, to: NodeName | undefined, span: string): Promise<Move | string> {
     const standbys = this.cluster.standbysOf(fact);
     if (to !== undefined && !standbys.includes(to)) return `${to} is no standby of this slice`;
@@ -90,7 +90,7 @@
   }
 
   private async ask(fact: ShardFact, node: NodeName, traceParent: string): Promise<string | null> {
-    const { shard, epoch } = fact;
+    const { name: shard, epoch } = fact;
     const head = this.publisher.shards.get(shard)?.followers.get(node)?.acknowledged ?? 0;
     const payload = encodePrepare({ shard, epoch, head, traceParent });
     const reply = await this.service.channel.ask(
@@ -114,7 +114,7 @@
     for (const to of targets) {
       const facts = moves.filter((m) => m.to === to).map((m) => m.fact);
       const outcome = await this.service.shardControl.handOver(facts, to, this.options.handover.hold_ms);
-      for (const { shard } of facts) {
+      for (const { name: shard } of facts) {
         if (outcome.kind === 'committed') out.push({ slice: shard, to });
         else refused.push({ slice: shard, reason: `the change was not committed: ${outcome.kind}` });
       }
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -1,10 +1,10 @@
 /**
- * Warm standby: for each slice another controller follows what its holder decides and learns, watches the holder, and takes
- * over within seconds once it has surely lost the slice. docs/warm-standby.md has the design.
+ * Warm standby: for each shard another controller follows what its holder decides and learns, watches the holder, and takes
+ * over within seconds once it has surely lost the shard. docs/warm-standby.md has the design.
  */
 import type { RunningPlugin, PluginServices, PluginDefinition } from '../../../src/plugin-host/api.js';
 import { Cluster } from './cluster.js';
-import { DomainError, FailureDomains, domainsOfControllers } from './failure-domains.js';
+import { FailureDomainError, FailureDomains, domainsOfControllers } from './failure-domains.js';
 import { Handover } from './handover.js';
 import { HolderMonitor } from './holder-monitor.js';
 import { Metrics } from './metrics.js';
@@ -12,20 +12,20 @@
 import { Publisher } from './publisher.js';
 import { Receiver } from './receiver.js';
 import { standbyStatus } from './status.js';
-import { TakeoverLoop } from './takeover.js';
-import { PHASES, TakeoverHistory, type Takeover } from './takeover-history.js';
+import { FailoverLoop } from './failover-loop.js';
+import { PHASES, FailoverHistory, type Failover } from './failover-history.js';
 
-/** Records the spans of a takeover and of its phases. */
-function trace({ tracer }: PluginServices, takeover: Takeover): void {
-  const { at, traceParent, shard, from, cause } = takeover;
+/** Records the spans of a failover and of its phases. */
+function trace({ tracer }: PluginServices, failover: Failover): void {
+  const { at, traceParent, shard, from, cause } = failover;
   const moments = Object.values(at).filter((t): t is number => t !== null);
   tracer.record({
     name: 'takeover',
     startMs: Math.min(...moments),
     endMs: Math.max(...moments),
-    parent: takeover.handoverTrace,
+    parent: failover.handoverTrace,
     self: traceParent,
-    attributes: { slice: shard, from, cause, epoch: takeover.epoch, warm: takeover.wasWarm },
+    attributes: { slice: shard, from, cause, epoch: failover.epoch, warm: failover.wasWarm },
   });
   for (const [phase, start, end] of PHASES) {
     const [startMs, endMs] = [at[start], at[end]];
@@ -46,21 +46,22 @@
   const cluster = new Cluster(service, domains, domainOf, options.degree);
   const monitor = new HolderMonitor(options.replication.heartbeat_ms, options.detection);
   const publisher = new Publisher(service, cluster, options.replication);
-  const history = new TakeoverHistory(service, (takeover) => {
-    metrics.noteTakeover(takeover);
-    trace(service, takeover);
+  const history = new FailoverHistory(service, (failover) => {
+    metrics.recordFailover(failover);
+    trace(service, failover);
   });
   const receiver = new Receiver(service, cluster, monitor, options, (shard, traceParent) => {
-    takeovers.expect(shard, traceParent);
+    failovers.expectHandover(shard, traceParent);
   });
-  const takeovers = new TakeoverLoop(service, cluster, monitor, receiver, publisher, history, options);
+  const failovers = new FailoverLoop(service, cluster, monitor, receiver, publisher, history, options);
   const handover = new Handover(service, cluster, publisher, options);
-  const metrics = new Metrics({ publisher, receiver, takeovers });
+  const metrics = new Metrics({ publisher, receiver, takeovers: failovers });
   return {
     run: async () => {
-      await Promise.all([publisher.run(), takeovers.run()]);
+      await Promise.all([publisher.run(), failovers.run()]);
     },
-    status: () => standbyStatus({ service, cluster, monitor, publisher, receiver, takeovers, history }),
+    status: () =>
+      standbyStatus({ service, cluster, monitor, publisher, receiver, takeovers: failovers, history }),
     commands: { handover: (body) => handover.request(body) },
     metrics: () => metrics.text(),
   };
@@ -73,7 +74,7 @@
     try {
       domainsOfControllers(new FailureDomains(options.failure_domains), settings);
     } catch (e) {
-      if (e instanceof DomainError) return e.message;
+      if (e instanceof FailureDomainError) return e.message;
       throw e;
     }
     const peers = settings.peers.length;
--- a/packages/warm-standby/src/entries.ts
+++ b/packages/warm-standby/src/log-entries.ts
@@ -1,4 +1,4 @@
-/** What the decision log holds: decisions of a slice's holder, and what it has learned and not written down yet. */
+/** What the decision log holds: decisions of a shard's holder, and what it has learned and not written down yet. */
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
 import type { TaskRun } from '../../../src/core/health/slow-machine-detector.js';
 import type { ExitReason } from '../../../src/core/model/heartbeats.js';
@@ -8,7 +8,7 @@
 
 type AgentHint = Extract<Hint, { kind: 'agent' }>;
 
-/** One entry. Times are times of day: steady clocks of two controllers have nothing in common. */
+/** One entry. Times are wall-clock times: monotonic clocks of two controllers have nothing in common. */
 export type LogEntry =
   | { readonly kind: 'start' | 'stop' | 'preempt'; readonly task: TaskOnMachine }
   /** A task has left its machine; its result may not be written yet. */
@@ -28,19 +28,19 @@
 export type EntrySubject =
   { readonly kind: 'machine'; readonly machine: MachineName } | { readonly kind: 'job'; readonly job: JobId };
 
-/** An entry and what decides whose slice it belongs to. */
-export interface Recorded {
+/** An entry and what decides whose shard it belongs to. */
+export interface RecordedEntry {
   readonly subject: EntrySubject;
   readonly entry: LogEntry;
 }
 
 /** The clocks at one moment, to turn times of one into times of the other. */
-export interface Moment {
-  readonly steady: number;
-  readonly wall: number;
+export interface ClockReading {
+  readonly monotonic: number;
+  readonly wallClock: number;
 }
 
-const ofMachine = (machine: MachineName, entry: LogEntry): Recorded => ({
+const ofMachine = (machine: MachineName, entry: LogEntry): RecordedEntry => ({
   subject: { kind: 'machine', machine },
   entry,
 });
@@ -53,7 +53,7 @@
 });
 
 /** The entry that an event of the service makes, or null where the log does not follow it. */
-export function entryOf(event: ServiceEvent, now: Moment): Recorded | null {
+export function entryOf(event: ServiceEvent, now: ClockReading): RecordedEntry | null {
   switch (event.kind) {
     case 'command_sent': {
       const { machine, command } = event;
@@ -66,7 +66,7 @@
       return ofMachine(event.task.machine, { kind: 'exited', task: event.task, why: event.why ?? 'absent' });
     case 'heartbeat_recorded': {
       const { machine, address, agentEpoch, sequence, token } = event.heartbeat;
-      const heardAt = now.wall as WallClockMs;
+      const heardAt = now.wallClock as WallClockMs;
       return ofMachine(machine, { kind: 'agent', machine, address, agentEpoch, sequence, token, heardAt });
     }
     case 'task_ran':
@@ -74,7 +74,7 @@
     case 'job_failing': {
       const { job, failures } = event;
       const { rounds, why, machines, until } = failures;
-      const retryAt = (now.wall + Math.max(0, until - now.steady)) as WallClockMs;
+      const retryAt = (now.wallClock + Math.max(0, until - now.monotonic)) as WallClockMs;
       return {
         subject: { kind: 'job', job },
         entry: { kind: 'job_failing', job, rounds, why, machines: [...machines], retryAt },
--- a/packages/warm-standby/src/log-events.ts
+++ b/packages/warm-standby/src/log-events.ts
@@ -4,12 +4,12 @@
 export const LOG_EVENT = {
   /** Level `info`. A shard's holder is silent. Fields: `shard`, `holder`, `phi`. */
   holderSuspected: 'holder suspected',
-  /** Level `info`. A takeover is not tried yet. Fields: `shard`, `holder`, `reason`. */
-  takeoverDeferred: 'takeover deferred',
-  /** Level `info`. The transaction of a takeover has ended. Fields: `shard`, `from`, `outcome`. */
-  takeoverAttempted: 'takeover attempted',
-  /** Level `error`. A takeover ended with an unexpected error. Fields: `err`, `shard`. */
-  takeoverFailed: 'takeover failed',
+  /** Level `info`. A failover is not tried yet. Fields: `shard`, `holder`, `reason`. */
+  failoverDeferred: 'failover deferred',
+  /** Level `info`. The transaction of a failover has ended. Fields: `shard`, `from`, `outcome`. */
+  failoverAttempted: 'failover attempted',
+  /** Level `error`. A failover ended with an unexpected error. Fields: `err`, `shard`. */
+  failoverFailed: 'failover failed',
   /** Level `info`. This controller holds a further shard. Fields: `shard`, `from`, `cause`, `epoch`, `warm`. */
   shardReceived: 'shard received',
   /** Level `info`. An operator's handover is over. Fields: `handedOver`, `refused`. */
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -1,8 +1,9 @@
 /** Messages between standbys and holders, and their form on the wire: protobuf, with a version of the format. */
 import protobuf from 'protobufjs/light.js';
+import { CodedError } from '../../../src/core/errors.js';
 import type { ExitReason } from '../../../src/core/model/heartbeats.js';
 import type { Attempt, JobId, MachineName, NodeName, Version } from '../../../src/core/model/ids.js';
-import type { LogEntry } from './entries.js';
+import type { LogEntry } from './log-entries.js';
 import type { AppendMessage, SnapshotMessage } from './replica.js';
 
 /** The version of the format that this program writes; it reads this and older ones. */
@@ -17,16 +18,17 @@
 } as const;
 
 /** Why a message was not taken. */
-export class MessageError extends Error {
+export class MessageError extends CodedError {
   constructor(
     readonly code: 'malformed' | 'unsupported',
     message: string,
+    options?: ErrorOptions,
   ) {
-    super(message);
+    super(message, options);
   }
 }
 
-/** Who sends about which slice. */
+/** Who sends about which shard. */
 interface Sender {
   readonly node: NodeName;
   readonly shard: NodeName;
@@ -44,7 +46,7 @@
   readonly applied: number;
 }
 
-/** Asks whether the receiver reaches a holder, and how far it is with a slice. */
+/** Asks whether the receiver reaches a holder, and how far it is with a shard. */
 export interface Probe {
   readonly holder: NodeName;
   readonly shard: NodeName;
@@ -54,11 +56,11 @@
 /** The answer to a probe. */
 export interface ProbeAnswer {
   readonly reaches: boolean;
-  /** The last entry applied under that epoch, or null where the receiver is no warm standby of the slice. */
+  /** The last entry applied under that epoch, or null where the receiver is no warm standby of the shard. */
   readonly applied: number | null;
 }
 
-/** Asks a standby whether it takes a slice in a planned handover. */
+/** Asks a standby whether it takes a shard in a planned handover. */
 export interface Prepare {
   readonly shard: NodeName;
   readonly epoch: Version;
@@ -249,7 +251,7 @@
   try {
     fields = MessageType.decode(bytes) as unknown as Fields;
   } catch (e) {
-    throw new MessageError('malformed', (e as Error).message);
+    throw new MessageError('malformed', (e as Error).message, { cause: e });
   }
   if (fields.version > FORMAT_VERSION)
     throw new MessageError('unsupported', `format ${fields.version}, this program knows ${FORMAT_VERSION}`);
--- a/packages/warm-standby/src/metrics.ts
+++ b/packages/warm-standby/src/metrics.ts
@@ -2,8 +2,8 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
-import type { TakeoverLoop } from './takeover.js';
-import { phasesOf, type Takeover } from './takeover-history.js';
+import type { FailoverLoop } from './failover-loop.js';
+import { phasesOf, type Failover } from './failover-history.js';
 
 const PREFIX = 'pepperbank_standby_';
 const PHASE_SECONDS = [0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32];
@@ -12,7 +12,7 @@
 export interface MetricSources {
   readonly publisher: Publisher;
   readonly receiver: Receiver;
-  readonly takeovers: TakeoverLoop;
+  readonly takeovers: FailoverLoop;
 }
 
 /** The metrics of one controller. */
@@ -22,7 +22,7 @@
   private readonly causes: Counter;
 
   constructor(sources: MetricSources) {
-    const { publisher, receiver, takeovers } = sources;
+    const { publisher, receiver, takeovers: failovers } = sources;
     this.phases = new Histogram({
       name: `${PREFIX}takeover_phase_seconds`,
       help: 'Length of the phases of takeovers by this controller',
@@ -39,12 +39,12 @@
     this.gauge('sent_bytes', 'Bytes sent to standbys since the start', () => publisher.bytesSent);
     this.gauge('received_bytes', 'Bytes received from holders since the start', () => receiver.bytesReceived);
     this.gauge('snapshots', 'Snapshots sent to standbys since the start', () => publisher.snapshotsSent);
-    this.gauge('suspicions', 'Suspicions of holders since the start', () => takeovers.counts.suspicions);
-    this.gauge('refuted', 'Suspicions refuted by an answer since the start', () => takeovers.counts.refuted);
+    this.gauge('suspicions', 'Suspicions of holders since the start', () => failovers.counts.suspicions);
+    this.gauge('refuted', 'Suspicions refuted by an answer since the start', () => failovers.counts.refuted);
     this.gauge(
       'false_takeovers',
       'Takeovers of holders that were alive, since the start',
-      () => takeovers.counts.falseTakeovers,
+      () => failovers.counts.falseTakeovers,
     );
     this.lagGauge(publisher);
   }
@@ -75,11 +75,11 @@
     });
   }
 
-  /** A takeover is over, or no longer followed. */
-  noteTakeover(takeover: Takeover): void {
-    const { cause } = takeover;
+  /** A failover is over, or no longer followed. */
+  recordFailover(failover: Failover): void {
+    const { cause } = failover;
     this.causes.inc({ cause });
-    for (const [phase, ms] of Object.entries(phasesOf(takeover)))
+    for (const [phase, ms] of Object.entries(phasesOf(failover)))
       this.phases.observe({ phase, cause }, ms / 1000);
   }
 
--- a/packages/warm-standby/src/options.ts
+++ b/packages/warm-standby/src/options.ts
@@ -8,7 +8,7 @@
 /** What the section may hold, with its defaults. */
 export const OptionsSchema = Type.Object(
   {
-    /** Standbys of each slice; 0: none, and nothing to hand over to. */
+    /** Standbys of each shard; 0: none, and nothing to hand over to. */
     degree: Type.Integer({ minimum: 0, default: 1 }),
     /** Named groups of controllers that may fail together; without any, the zones of the platform's settings. */
     failure_domains: Type.Array(
@@ -25,7 +25,7 @@
       {
         heartbeat_ms: positive(300),
         answer_ms: positive(1000),
-        /** The tail of a slice's log that is kept for standbys that fall behind. */
+        /** The tail of a shard's log that is kept for standbys that fall behind. */
         tail_entries: whole(4000),
         batch_entries: whole(400),
         /** Most that is sent to one standby. */
@@ -52,10 +52,10 @@
       {
         /** What the next standby in order waits for the one before it. */
         rank_delay_ms: positive(700),
-        /** Pause after a takeover of a slice; doubled with each further one up to the longest. */
+        /** Pause after a failover of a shard; doubled with each further one up to the longest. */
         backoff_ms: positive(10_000),
         longest_backoff_ms: positive(300_000),
-        /** Without a takeover for so long the pause begins anew. */
+        /** Without a failover for so long the pause begins anew. */
         calm_ms: positive(600_000),
       },
       section,
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -1,5 +1,5 @@
 /**
- * The holder's loop: keeps the log of each slice that this process holds and sends it to the slice's standbys. A standby that
+ * The holder's loop: keeps the log of each shard that this process holds and sends it to the shard's standbys. A standby that
  * is slow or away falls behind; nothing here ever waits for it.
  */
 import { LOG_EVENT } from './log-events.js';
@@ -9,7 +9,7 @@
 import { ByteBudget } from './byte-budget.js';
 import type { Cluster } from './cluster.js';
 import { DecisionLog } from './decision-log.js';
-import { entryOf, type LogEntry, type Recorded } from './entries.js';
+import { entryOf, type LogEntry, type RecordedEntry } from './log-entries.js';
 import {
   TOPIC,
   decodeAcknowledgement,
@@ -29,7 +29,7 @@
 /** A standby that does not know the format, or refuses this controller, is asked again so rarely. */
 const REFUSED_RETRY_MS = 30_000;
 /** Entries about machines and jobs that are gone are dropped so often. */
-const PRUNE_EVERY_MS = 10_000;
+const PRUNE_INTERVAL_MS = 10_000;
 
 /** How a standby answers. */
 export type FollowerStatus = 'new' | 'following' | 'silent' | Exclude<Acknowledgement['status'], 'applied'>;
@@ -54,7 +54,7 @@
   }
 
   /** Takes in an answer, or that none came. */
-  note(answer: Acknowledgement | null, now: MonotonicMs): void {
+  recordAnswer(answer: Acknowledgement | null, now: MonotonicMs): void {
     if (answer === null) {
       this.status = 'silent';
       this.notBefore = now + Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** this.failures);
@@ -69,7 +69,7 @@
   }
 }
 
-/** One slice's log and who follows it. */
+/** One shard's log and who follows it. */
 export interface PublishedShard {
   readonly log: DecisionLog;
   readonly followers: Map<NodeName, Follower>;
@@ -113,7 +113,7 @@
   ) {
     service.onEvent((event) => {
       const { clock } = service;
-      const recorded = entryOf(event, { steady: clock.now(), wall: clock.wallClock() });
+      const recorded = entryOf(event, { monotonic: clock.now(), wallClock: clock.wallClock() });
       if (recorded !== null) this.record(recorded);
     });
   }
@@ -125,18 +125,18 @@
     }
   }
 
-  /** A slice that was just taken over: what its former holder had told goes on in the new log. */
+  /** A shard that was just taken over: what its former holder had told goes on in the new log. */
   continueWith(shard: ShardFact, entries: readonly LogEntry[]): void {
     const { log } = this.publish(shard);
     for (const entry of entries) log.append(entry);
   }
 
-  /** Waits until the standby has all of the slice's log, or the time is over. */
+  /** Waits until the standby has all of the shard's log, or the time is over. */
   async drain(shard: ShardFact, node: NodeName, forMs: number): Promise<boolean> {
     const { clock } = this.service;
     const until = clock.now() + forMs;
     for (;;) {
-      const published = this.shards.get(shard.shard);
+      const published = this.shards.get(shard.name);
       const follower = published?.followers.get(node);
       if (published?.log.epoch !== shard.epoch || follower === undefined) return false;
       if (follower.status === 'following' && follower.acknowledged === published.log.head) return true;
@@ -149,20 +149,20 @@
   private step(): void {
     if (!this.service.facts.isReady) return;
     const held = this.cluster.heldShards();
-    const names = new Set(held.map((s) => s.shard));
+    const names = new Set(held.map((s) => s.name));
     for (const shard of this.shards.keys()) if (!names.has(shard)) this.shards.delete(shard);
     for (const shard of held) this.updateFollowers(this.publish(shard), shard);
     this.prune();
   }
 
   private publish(shard: ShardFact): PublishedShard {
-    let published = this.shards.get(shard.shard);
+    let published = this.shards.get(shard.name);
     if (published?.log.epoch !== shard.epoch) {
-      const log = new DecisionLog(shard.shard, shard.epoch, this.options.tail_entries);
+      const log = new DecisionLog(shard.name, shard.epoch, this.options.tail_entries);
       // The record may be written anew while the holder stays: what was learned goes on under the new epoch.
       for (const entry of published?.log.state.entries() ?? []) log.append(entry);
       published = { log, followers: new Map() };
-      this.shards.set(shard.shard, published);
+      this.shards.set(shard.name, published);
     }
     return published;
   }
@@ -178,7 +178,7 @@
     }
   }
 
-  private record({ subject, entry }: Recorded): void {
+  private record({ subject, entry }: RecordedEntry): void {
     if (subject.kind === 'job') {
       for (const { log } of this.shards.values()) log.append(entry);
       return;
@@ -189,7 +189,7 @@
 
   private prune(): void {
     const { facts, clock } = this.service;
-    if (clock.now() - this.prunedAt < PRUNE_EVERY_MS) return;
+    if (clock.now() - this.prunedAt < PRUNE_INTERVAL_MS) return;
     this.prunedAt = clock.now();
     for (const [shard, { log }] of this.shards)
       log.state.prune({
@@ -209,7 +209,7 @@
     sent
       .catch((e: unknown) => {
         log.error({ err: e, standby: follower.node }, LOG_EVENT.replicationFailed);
-        follower.note(null, clock.now());
+        follower.recordAnswer(null, clock.now());
       })
       .finally(() => {
         follower.isBusy = false;
@@ -261,7 +261,7 @@
     follower.budget.spend(payload.length);
     const reply = await channel.ask(follower.node, topic, payload, this.options.answer_ms);
     const answer = readAnswer(decodeAcknowledgement, reply);
-    follower.note(answer, clock.now());
+    follower.recordAnswer(answer, clock.now());
     return answer;
   }
 }
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -1,4 +1,4 @@
-/** The standby's side of the messages: follows the logs of slices, answers probes and the question before a handover. */
+/** The standby's side of the messages: follows the logs of shards, answers probes and the question before a handover. */
 import { LOG_EVENT } from './log-events.js';
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
@@ -24,9 +24,9 @@
 import { Replica, type ReplicaOutcome } from './replica.js';
 
 /** A witness tries the holder for a part of the time that whoever asks it waits. */
-const WITNESS_PART = 0.6;
+const WITNESS_TIMEOUT_FRACTION = 0.6;
 
-/** Told that a planned handover of a slice was accepted, and where its span belongs. */
+/** Told that a planned handover of a shard was accepted, and where its span belongs. */
 export type PreparedListener = (shard: NodeName, traceParent: string) => void;
 
 /** Serves the topics of the package. */
@@ -41,7 +41,7 @@
     private readonly cluster: Cluster,
     private readonly monitor: HolderMonitor,
     private readonly options: Options,
-    private readonly prepared: PreparedListener,
+    private readonly onPrepared: PreparedListener,
   ) {
     const { channel } = service;
     channel.serve(TOPIC.append, (bytes, from) =>
@@ -54,13 +54,13 @@
     channel.serve(TOPIC.prepare, (bytes, from) => Promise.resolve(this.prepare(bytes, from)));
   }
 
-  /** Whether this controller may claim to be warm for the slice. */
+  /** Whether this controller may claim to be warm for the shard. */
   isWarm(shard: ShardFact): boolean {
     const { max_lag_entries, max_lag_ms } = this.options.replication;
-    return this.replicas.get(shard.shard)?.isWarm(shard.epoch, max_lag_entries, max_lag_ms) === true;
+    return this.replicas.get(shard.name)?.isWarm(shard.epoch, max_lag_entries, max_lag_ms) === true;
   }
 
-  /** The slice is this controller's now: it has no use for a replica of it. */
+  /** The shard is this controller's now: it has no use for a replica of it. */
   forget(shard: NodeName): void {
     this.replicas.delete(shard);
   }
@@ -95,7 +95,7 @@
       return { status, applied: this.replicas.get(message.shard)?.applied ?? 0 };
     } catch (e) {
       if (!(e instanceof MessageError)) throw e;
-      this.service.log.info({ from, code: e.code, why: e.message }, LOG_EVENT.standbyMessageRejected);
+      this.service.log.info({ from, code: e.code, reason: e.message }, LOG_EVENT.standbyMessageRejected);
       return this.reject(e.code);
     }
   }
@@ -124,7 +124,8 @@
     const { node, channel, facts } = this.service;
     const { holder, shard, epoch } = decodeProbe(bytes);
     const { probe_ms } = this.options.detection;
-    const reaches = holder === node || (await channel.isAnswering(holder, probe_ms * WITNESS_PART));
+    const reaches =
+      holder === node || (await channel.isAnswering(holder, probe_ms * WITNESS_TIMEOUT_FRACTION));
     const fact = facts.shard(shard);
     const competes = fact !== null && fact.epoch === epoch && this.isWarm(fact);
     const isStandby = competes && this.cluster.standbysOf(fact).includes(node);
@@ -135,12 +136,12 @@
   private prepare(bytes: Uint8Array, from: string): Uint8Array | null {
     if (!this.cluster.domains.accepts(from)) return null;
     const message = decodePrepare(bytes);
-    const answer = this.judge(message);
-    if (answer.accepted) this.prepared(message.shard, message.traceParent);
+    const answer = this.answerPrepare(message);
+    if (answer.accepted) this.onPrepared(message.shard, message.traceParent);
     return encodePrepareAnswer(answer);
   }
 
-  private judge({ shard, epoch, head }: Prepare): PrepareAnswer {
+  private answerPrepare({ shard, epoch, head }: Prepare): PrepareAnswer {
     const { facts, node } = this.service;
     const replica = this.replicas.get(shard);
     if (replica?.epoch !== epoch) return { accepted: false, reason: 'does not follow this slice' };
--- a/packages/warm-standby/src/replica.ts
+++ b/packages/warm-standby/src/replica.ts
@@ -1,10 +1,10 @@
 /**
- * The standby's side of a slice's log. It applies entries in order or not at all, and knows how far it is behind. Nothing
+ * The standby's side of a shard's log. It applies entries in order or not at all, and knows how far it is behind. Nothing
  * that it holds is carried out: what runs where is read from the state service alone.
  */
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
 import type { MonotonicMs } from '../../../src/core/model/time.js';
-import type { LogEntry } from './entries.js';
+import type { LogEntry } from './log-entries.js';
 import { ReplicatedState } from './replicated-state.js';
 
 /** What became of a message. */
@@ -12,7 +12,7 @@
   | 'applied'
   /** Entries are missing before it: a snapshot is needed. */
   | 'gap'
-  /** Its sender has lost the slice since. */
+  /** Its sender has lost the shard since. */
   | 'stale';
 
 /** Entries of the log, as they come from the holder. */
@@ -35,7 +35,7 @@
 }
 
 /** How far a replica is behind its holder. */
-export interface Lag {
+export interface ReplicationLag {
   readonly entries: number;
   /** Since it last had all that the holder had, as far as it was told. */
   readonly ms: number;
@@ -48,7 +48,7 @@
   next: number;
 }
 
-/** A slice as a standby follows it. */
+/** A shard as a standby follows it. */
 export class Replica {
   epoch: Version = 0 as Version;
   /** Number of the last entry applied; null until a snapshot or the beginning of the log was. */
@@ -63,7 +63,7 @@
 
   append(message: AppendMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
-    if (message.epoch > this.epoch) this.begin(message.epoch);
+    if (message.epoch > this.epoch) this.resetTo(message.epoch);
     this.heardAt = now;
     this.head = message.head;
     if (this.applied === null && message.first === 1) this.applied = 0;
@@ -79,7 +79,7 @@
 
   snapshot(message: SnapshotMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
-    if (message.epoch > this.epoch) this.begin(message.epoch);
+    if (message.epoch > this.epoch) this.resetTo(message.epoch);
     this.heardAt = now;
     // A late copy of a snapshot must not take the replica back.
     if (this.applied !== null && message.upTo <= this.applied) return 'applied';
@@ -100,18 +100,18 @@
   }
 
   /** How far it was behind when it last heard its holder; null: it knows nothing yet. */
-  lag(): Lag | null {
+  lag(): ReplicationLag | null {
     if (this.applied === null || this.heardAt === null || this.caughtUpAt === null) return null;
     return { entries: Math.max(0, this.head - this.applied), ms: this.heardAt - this.caughtUpAt };
   }
 
-  /** Whether it may claim to be warm for the slice under its present epoch. */
+  /** Whether it may claim to be warm for the shard under its present epoch. */
   isWarm(epoch: Version, maxLagEntries: number, maxLagMs: number): boolean {
     const lag = this.lag();
     return this.epoch === epoch && lag !== null && lag.entries <= maxLagEntries && lag.ms <= maxLagMs;
   }
 
-  private begin(epoch: Version): void {
+  private resetTo(epoch: Version): void {
     this.epoch = epoch;
     this.applied = null;
     this.state = new ReplicatedState();
--- a/packages/warm-standby/src/placement.ts
+++ b/packages/warm-standby/src/standby-placement.ts
@@ -1,5 +1,5 @@
 /**
- * Which controllers stand by for a slice: by rendezvous hashing, so that all controllers come to the same answer without
+ * Which controllers stand by for a shard: by rendezvous hashing, so that all controllers come to the same answer without
  * asking one another, and one that comes or goes moves only the standbys that it gains or had.
  */
 import { createHash } from 'node:crypto';
@@ -7,7 +7,7 @@
 
 /** What placement depends on. */
 export interface PlacementInput {
-  readonly slice: NodeName;
+  readonly shard: NodeName;
   readonly holder: NodeName;
   /** Controllers that may stand by: they have a session and are not about to end. */
   readonly candidates: readonly NodeName[];
@@ -29,11 +29,11 @@
 }
 
 /**
- * The standbys of a slice, the first in order first. None of them is in the holder's failure domain, and as long as there
+ * The standbys of a shard, the first in order first. None of them is in the holder's failure domain, and as long as there
  * are domains left no two of them share one.
  */
 export function placeStandbys(input: PlacementInput): NodeName[] {
-  const { slice: shard, holder, candidates, domainOf, degree } = input;
+  const { shard, holder, candidates, domainOf, degree } = input;
   const ranked = candidates
     .filter((node) => node !== holder && domainOf.get(node) !== domainOf.get(holder))
     .map((node) => ({ node, weight: weightOf(shard, node) }))
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -4,8 +4,8 @@
 import type { HolderMonitor } from './holder-monitor.js';
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
-import type { TakeoverLoop } from './takeover.js';
-import { phasesOf, type TakeoverHistory } from './takeover-history.js';
+import type { FailoverLoop } from './failover-loop.js';
+import { phasesOf, type FailoverHistory } from './failover-history.js';
 
 /** The parts that it is read from. */
 export interface StatusSources {
@@ -14,12 +14,12 @@
   readonly monitor: HolderMonitor;
   readonly publisher: Publisher;
   readonly receiver: Receiver;
-  readonly takeovers: TakeoverLoop;
-  readonly history: TakeoverHistory;
+  readonly takeovers: FailoverLoop;
+  readonly history: FailoverHistory;
 }
 
 function holderPart({ publisher }: StatusSources, fact: ShardFact): object {
-  const published = publisher.shards.get(fact.shard);
+  const published = publisher.shards.get(fact.name);
   if (published === undefined) return {};
   const { log, followers } = published;
   return {
@@ -34,11 +34,11 @@
 }
 
 function standbyPart(sources: StatusSources, fact: ShardFact): object {
-  const { receiver, monitor, takeovers, service } = sources;
-  const replica = receiver.replicas.get(fact.shard);
+  const { receiver, monitor, takeovers: failovers, service } = sources;
+  const replica = receiver.replicas.get(fact.name);
   const now = service.clock.now();
   const lag = replica?.epoch === fact.epoch ? replica.lag() : null;
-  const suspicion = takeovers.suspicions.get(fact.shard);
+  const suspicion = failovers.suspicions.get(fact.name);
   return {
     warm: receiver.isWarm(fact),
     applied: replica?.applied ?? null,
@@ -46,14 +46,14 @@
     lagMs: lag === null ? null : Math.round(lag.ms),
     phi: Number(monitor.phi(fact.holder, now).toFixed(2)),
     suspected: suspicion !== undefined,
-    waitsFor: suspicion?.why ?? null,
-    backoffS: Math.ceil(takeovers.backoffOf(fact.shard).leftMs(now) / 1000),
+    waitsFor: suspicion?.deferredBy ?? null,
+    backoffS: Math.ceil(failovers.backoffOf(fact.name).leftMs(now) / 1000),
   };
 }
 
 /** The package's part of `status`. */
 export function standbyStatus(sources: StatusSources): object {
-  const { service, cluster, receiver, takeovers, history } = sources;
+  const { service, cluster, receiver, takeovers: failovers, history } = sources;
   return {
     failureDomains: Object.fromEntries(cluster.domainOf),
     slices: service.facts.shards().map((fact) => {
@@ -61,7 +61,7 @@
       const isHolder = fact.incarnation === service.incarnation;
       const isStandby = standbys.includes(service.node);
       return {
-        slice: fact.shard,
+        slice: fact.name,
         active: fact.holder,
         epoch: fact.epoch,
         standbys,
@@ -69,9 +69,9 @@
         ...(isHolder ? holderPart(sources, fact) : isStandby ? standbyPart(sources, fact) : {}),
       };
     }),
-    counts: takeovers.counts,
+    counts: failovers.counts,
     rejectedMessages: receiver.rejected,
-    takeovers: history.takeovers.map((t) => ({
+    takeovers: history.failovers.map((t) => ({
       slice: t.shard,
       from: t.from,
       cause: t.cause,
@@ -79,9 +79,9 @@
       warm: t.wasWarm,
       at: new Date(t.wall).toISOString(),
       machines: t.machines,
-      workersKnown: t.workersKnown,
-      uncommittedEnds: t.endedTasks,
-      falseSuspicion: t.wasFalse,
+      workersKnown: t.agentsKnown,
+      uncommittedEnds: t.uncommittedExits,
+      falseSuspicion: t.isFalse,
       phasesMs: phasesOf(t),
     })),
   };
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -44,7 +44,7 @@
   );
   assert.equal(before.length, 2);
   taker.controller!.context.state.revokeLease = () => Promise.reject(new Unavailable('revoke'));
-  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(fact)), 'committed');
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(fact)), 'committed');
   assert.equal(holderOf(simulation, shard), taker.name);
   assert.equal(simulation.state.rows.has(key.session(victim.name)), false);
   assert.notEqual(
@@ -60,10 +60,10 @@
   const fact = factOf(taker, shard);
   const other = currentLeader(simulation);
   assert.equal(
-    await outcomeOf(simulation, () => transferOf(other).takeOver(factOf(other, shard))),
+    await outcomeOf(simulation, () => transferOf(other).failOver(factOf(other, shard))),
     'committed',
   );
-  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(fact)), 'overtaken');
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(fact)), 'overtaken');
   assert.notEqual(holderOf(simulation, shard), taker.name);
   assert.ok(victim.controller !== null);
 });
@@ -84,7 +84,7 @@
   const sliceRow = simulation.state.rows.get(key.shard(shard))!;
   // As if the new life had not come to its slice yet: then only its session stands against the takeover.
   const asSeen = { ...fact, epoch: version(sliceRow.rev) };
-  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(asSeen)), 'overtaken');
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(asSeen)), 'overtaken');
   assert.equal(holderOf(simulation, shard), victim.name);
   taker.watchLagMs = 0;
 });
@@ -94,7 +94,7 @@
   const fact = factOf(taker, shard);
   taker.unreachable.add('state');
   await advance(simulation, 4000);
-  assert.equal(await outcomeOf(simulation, () => transferOf(taker).takeOver(fact)), 'unavailable');
+  assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(fact)), 'unavailable');
   assert.notEqual(holderOf(simulation, shard), taker.name);
 });
 
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -6,7 +6,7 @@
 import { monotonicMs, wallClockMs } from '../../../src/core/model/time.js';
 import { attempt } from '../../../src/core/model/ids.js';
 import { DecisionLog } from '../src/decision-log.js';
-import type { LogEntry } from '../src/entries.js';
+import type { LogEntry } from '../src/log-entries.js';
 import {
   MessageError,
   decodeAppend,
--- a/packages/warm-standby/test/standby-decisions.test.ts
+++ b/packages/warm-standby/test/standby-decisions.test.ts
@@ -8,11 +8,11 @@
 import { platformSettings } from '../../../test/samples.js';
 import { Backoff } from '../src/backoff.js';
 import { ByteBudget } from '../src/byte-budget.js';
-import { DomainError, FailureDomains } from '../src/failure-domains.js';
+import { FailureDomainError, FailureDomains } from '../src/failure-domains.js';
 import { servicePackage } from '../src/index.js';
 import { PhiAccrual } from '../src/phi-accrual.js';
-import { placeStandbys } from '../src/placement.js';
-import { decideTakeover, type TakeoverInput } from '../src/takeover-policy.js';
+import { placeStandbys } from '../src/standby-placement.js';
+import { decideFailover, type FailoverInput } from '../src/failover-policy.js';
 
 const domainsOf = (...networks: [string, string[]][]) =>
   new FailureDomains(networks.map(([name, list]) => ({ name, networks: list })));
@@ -53,7 +53,7 @@
   for (const [networks, message] of wrong)
     assert.throws(
       () => domainsOf(...networks),
-      (e: unknown) => e instanceof DomainError && message.test(e.message),
+      (e: unknown) => e instanceof FailureDomainError && message.test(e.message),
     );
 });
 
@@ -76,7 +76,7 @@
 const nodes = [...Array(9).keys()].map((i) => nodeName(`c-${i}`));
 const threeDomains = new Map(nodes.map((n, i) => [n as string, `d-${i % 3}`]));
 const place = (shard: NodeName, holder: NodeName, candidates: readonly NodeName[], degree = 2) =>
-  placeStandbys({ slice: shard, holder, candidates, domainOf: threeDomains, degree });
+  placeStandbys({ shard, holder, candidates, domainOf: threeDomains, degree });
 
 test('standbys are in other domains than their holder, apart from one another, and the same for all who ask', () => {
   for (const shard of nodes) {
@@ -133,7 +133,7 @@
   assert.ok(phi.phi(at + 1200) > 8);
 });
 
-const input: TakeoverInput = {
+const input: FailoverInput = {
   isWarm: true,
   applied: 10,
   holderAnswers: false,
@@ -152,9 +152,9 @@
 });
 
 test('a takeover needs silence confirmed by another controller, a warm replica and its turn', () => {
-  const why = (over: Partial<TakeoverInput>) => {
-    const d = decideTakeover({ ...input, ...over });
-    return d.kind === 'take' ? 'take' : d.why;
+  const why = (over: Partial<FailoverInput>) => {
+    const d = decideFailover({ ...input, ...over });
+    return d.kind === 'take' ? 'take' : d.reason;
   };
   assert.equal(why({}), 'take');
   assert.equal(why({ holderAnswers: true }), 'holder_answers');
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -19,7 +19,7 @@
   advance,
 } from '../../../test/sim/fault-scenario.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
-import type { LogEntry } from '../src/entries.js';
+import type { LogEntry } from '../src/log-entries.js';
 import { TOPIC, encodeAppend } from '../src/messages.js';
 import { holderOf, shown, standby, standbyOf, takeovers, total } from './standbys.js';
 
--- a/src/controller/committed-facts.ts
+++ b/src/controller/committed-facts.ts
@@ -23,7 +23,7 @@
     const record = view.shards.get(name);
     if (record === undefined) return null;
     return {
-      shard: name,
+      name,
       holder: record.holder,
       incarnation: record.incarnation,
       epoch: view.versionOf(key.shard(name)),
--- a/src/controller/membership/shard-transfer.ts
+++ b/src/controller/membership/shard-transfer.ts
@@ -25,7 +25,7 @@
     private readonly membership: Membership,
   ) {}
 
-  async takeOver(shard: ShardFact): Promise<ShardTransferOutcome> {
+  async failOver(shard: ShardFact): Promise<ShardTransferOutcome> {
     const { context, membership } = this;
     if (!membership.hasValidLease) return UNAVAILABLE;
     const session = context.view.sessions.get(shard.holder);
@@ -34,11 +34,11 @@
     const sessionKey = key.session(shard.holder);
     const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
     const guards = [
-      { key: key.shard(shard.shard), version: shard.epoch },
+      { key: key.shard(shard.name), version: shard.epoch },
       context.guards.forKey(sessionKey),
       context.guards.forKey(key.session(context.settings.node)),
     ];
-    const operations: WriteOperation[] = [{ key: key.shard(shard.shard), value, reason: 'membership' }];
+    const operations: WriteOperation[] = [{ key: key.shard(shard.name), value, reason: 'membership' }];
     // With the slice, in one transaction: were the session ended first, the leader might give the slice to another one.
     const { operationsPerTransaction } = context.state.limits;
     if (session !== undefined && operations.length < operationsPerTransaction)
@@ -80,12 +80,15 @@
     let outcome: ShardTransferOutcome = OVERTAKEN;
     for (let i = 0; i < shards.length; i += perTransaction) {
       const part = shards.slice(i, i + perTransaction);
-      const operations: WriteOperation[] = part.map(({ shard }) => ({
+      const operations: WriteOperation[] = part.map(({ name: shard }) => ({
         key: key.shard(shard),
         value,
         reason: 'membership',
       }));
-      const guards: Guard[] = part.map(({ shard, epoch }) => ({ key: key.shard(shard), version: epoch }));
+      const guards: Guard[] = part.map(({ name: shard, epoch }) => ({
+        key: key.shard(shard),
+        version: epoch,
+      }));
       const leaving = this.leaving(mine);
       outcome = await this.commit(
         [...guards, context.guards.forKey(key.session(to)), ...leaving.guards],
--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -23,7 +23,7 @@
 
 /** A slice as it is committed. */
 export interface ShardFact {
-  readonly shard: NodeName;
+  readonly name: NodeName;
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
   /** The revision at which it got this holder: the fencing token of its machines. */
@@ -69,7 +69,7 @@
 /** Changes who holds a slice, by guarded transactions only. */
 export interface ShardControl {
   /** Takes the slice and ends the session of the holder's life in one transaction, if nothing else has changed. */
-  takeOver(shard: ShardFact): Promise<ShardTransferOutcome>;
+  failOver(shard: ShardFact): Promise<ShardTransferOutcome>;
   /** Gives slices that this process holds to a controller with a session, and takes on nothing for a while. */
   handOver(shards: readonly ShardFact[], to: NodeName, drainForMs: number): Promise<ShardTransferOutcome>;
 }
