--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,170 +1,160 @@
-/** Keeps the records in step with the cloud: machine types, machines that failed, are unknown, or are to be returned. */
+/** Keeps the records in step with the cloud: machine types, machines that failed or are gone, and machines without records. */
 import { LOG_EVENT } from '../../core/log-events.js';
-import { key } from '../../core/records/keys.js';
-import { splitBySize } from '../../core/records/stored-records.js';
+import { addToCount } from '../../core/collections.js';
 import type { MachineName, NodeName } from '../../core/model/ids.js';
 import type { MachineRecord, MachineType } from '../../core/model/machines.js';
 import type { MonotonicMs } from '../../core/model/time.js';
+import { key } from '../../core/records/keys.js';
+import { splitBySize } from '../../core/records/stored-records.js';
 import type { CloudClient } from '../../io/cloud/cloud-client.js';
-import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { ListedMachine } from '../../io/cloud/cloud-messages.js';
+import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { WriteOperation } from '../../io/state/state-messages.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from '../membership/membership.js';
 import type { LeaderTransactions } from './leader-transactions.js';
-import { markForReturn, newMachine } from './rentals.js';
-import { longestListLagS } from './unregistered-machines.js';
-import type { UnregisteredMachines } from './unregistered-machines.js';
+import { isMarkedForRelease, markForRelease, newMachineRecord } from './machine-changes.js';
+import { maxListLagS, type UnregisteredMachines } from './unregistered-machines.js';
+
+const LIST_INTERVAL_MS = 4000;
+/** A machine must be missing from the list for so much longer than any list lags. */
+const DELISTED_MARGIN_S = 4;
+/** Prices change: the machine types are read again once in so many lists. */
+const LISTS_PER_TYPES_REFRESH = 8;
 
-const LIST_EVERY_MS = 4000;
-/** A machine must be missing for so much longer than any list lags. */
-const GONE_MARGIN_S = 4;
-/** Prices move: the types are read again with every so many lists. */
-const TYPES_EVERY = 8;
-/** The cloud returns at most so many machines by one request. */
-const MOST_RELEASED = 100;
+/** What the inventory is made with. */
+export interface CloudInventoryOptions {
+  readonly context: ControllerContext;
+  readonly membership: Membership;
+  readonly cloud: CloudClient;
+  readonly transactions: LeaderTransactions;
+  readonly unregisteredMachines: UnregisteredMachines;
+  /** Called after a comparison when there are machines to register. */
+  readonly onMachinesFound: () => void;
+}
 
-/** Compares the records with the cloud, adopts unknown machines and returns those marked for it. */
+/** Compares the records with the cloud's list, and registers machines that have no record. */
 export class CloudInventory {
-  private releasing = false;
+  private readonly context: ControllerContext;
+  private readonly transactions: LeaderTransactions;
+  private readonly unregisteredMachines: UnregisteredMachines;
   /** When the cloud last listed each machine that has a record. */
-  private readonly listedAt = new Map<MachineName, MonotonicMs>();
+  private readonly lastListedAt = new Map<MachineName, MonotonicMs>();
 
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly membership: Membership,
-    private readonly cloud: CloudClient,
-    private readonly transactions: LeaderTransactions,
-    private readonly unknown: UnregisteredMachines,
-    /** Told when there are machines to adopt. */
-    private readonly found: () => void,
-  ) {}
+  constructor(private readonly options: CloudInventoryOptions) {
+    this.context = options.context;
+    this.transactions = options.transactions;
+    this.unregisteredMachines = options.unregisteredMachines;
+  }
 
-  /** Looks over the cloud's list for machines that no record knows, and for those that failed. */
+  /** Compares the records with the cloud's list again and again while this controller leads. */
   async run(): Promise<never> {
     const { context } = this;
+    const { membership, cloud } = this.options;
     for (let round = 0; ; round++) {
-      await context.clock.sleep(LIST_EVERY_MS);
-      if (!this.membership.isLeader || !context.watcher.isReady) continue;
+      await context.clock.sleep(LIST_INTERVAL_MS);
+      if (!membership.isLeader || !context.watcher.isReady) continue;
       try {
-        if (round % TYPES_EVERY === 0) await this.refreshTypes();
-        const askedAt = context.clock.now();
-        const list = await this.cloud.list();
-        if (list !== null) await this.compare(list, askedAt);
-      } catch (e) {
-        context.log.error({ err: e }, LOG_EVENT.cloudInventoryFailed);
+        if (round % LISTS_PER_TYPES_REFRESH === 0) await this.refreshTypes();
+        const requestedAt = context.clock.now();
+        const list = await cloud.list();
+        if (list !== null) await this.compare(list, requestedAt);
+      } catch (error) {
+        context.log.error({ err: error }, LOG_EVENT.cloudInventoryFailed);
       }
     }
   }
 
+  /** Reads the machine types from the cloud and records them if they have changed. */
   async refreshTypes(): Promise<void> {
-    const { context } = this;
-    const types = await this.cloud.types();
+    const { view, state } = this.context;
+    const types = await this.options.cloud.types();
     if (types === null) return;
-    if (JSON.stringify(context.view.types) === JSON.stringify(types)) return;
-    const parts = splitBySize(types, context.state.limits.valueBytes);
-    const names = (list: readonly MachineType[] | null) => JSON.stringify(list?.map((t) => t.name));
-    // A longer list that stands in one value, from before the limit fell, is left: only its prices are a little old, and
-    // a process of the version before would miss what it can't find there.
-    if (parts.length > 1 && names(context.view.types) === names(types)) return;
-    const operations: WriteOperation[] = parts.map((value, i) => ({
-      key: i === 0 ? key.types : key.moreTypes(i),
+    if (JSON.stringify(view.types) === JSON.stringify(types)) return;
+    const parts = splitBySize(types, state.limits.valueBytes);
+    // A list above the size limit that stands in one record, written under a higher limit, is left while only prices
+    // differ: an older process that reads no further parts would miss the types in them.
+    if (parts.length > 1 && haveSameNames(view.types, types)) return;
+    const operations: WriteOperation[] = parts.map((value, part) => ({
+      key: part === 0 ? key.types : key.moreTypes(part),
       value,
     }));
-    for (let i = parts.length; context.view.entries.has(key.moreTypes(i)); i++)
-      operations.push({ key: key.moreTypes(i), value: undefined });
-    // A list longer than a transaction takes is written in several: its parts are read one by one in any case.
+    for (let part = parts.length; view.entries.has(key.moreTypes(part)); part++)
+      operations.push({ key: key.moreTypes(part), value: undefined });
+    // Several transactions may be needed; the parts are read one by one in any case.
     await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
   }
 
-  private async compare(list: readonly ListedMachine[], askedAt: MonotonicMs): Promise<void> {
+  /** Gives the machines that have no record one, each in the shard that has the fewest machines. */
+  async registerMachines(shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
-    const failed: WriteOperation[] = [];
+    if (this.unregisteredMachines.size === 0) return;
+    const machinesPerShard = new Map<NodeName, number>();
+    for (const { owner } of context.view.machines.values()) addToCount(machinesPerShard, owner, 1);
+    const operations: WriteOperation[] = [];
+    for (const [name, machine] of this.unregisteredMachines.takeConfirmed()) {
+      if (context.view.machines.has(name)) continue;
+      const owner = shardWithFewest(shards, machinesPerShard);
+      addToCount(machinesPerShard, owner, 1);
+      const value = newMachineRecord(context, name, machine, owner);
+      context.log.info({ machine: name, to: owner, floor: value.floor }, LOG_EVENT.machineRegistered);
+      operations.push({ key: key.machine(name), value, reason: 'machine_state' });
+    }
+    await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
+  }
+
+  private async compare(list: readonly ListedMachine[], requestedAt: MonotonicMs): Promise<void> {
+    const { context } = this;
+    const operations: WriteOperation[] = [];
     const withoutRecord = new Set<MachineName>();
-    for (const l of list) {
-      const machine = context.view.machines.get(l.name);
+    for (const listed of list) {
+      const machine = context.view.machines.get(listed.name);
       if (machine === undefined) {
-        withoutRecord.add(l.name);
-        this.unknown.noteListed(l);
-      } else if (l.state === 'failed' && machine.phase !== 'releasing') {
-        context.log.info({ machine: l.name }, LOG_EVENT.machineFailed);
-        failed.push(markForReturn(machine));
+        withoutRecord.add(listed.name);
+        this.unregisteredMachines.recordListed(listed);
+      } else if (listed.state === 'failed' && !isMarkedForRelease(machine)) {
+        context.log.info({ machine: listed.name }, LOG_EVENT.machineFailed);
+        operations.push(markForRelease(machine));
       }
     }
-    this.unknown.keepListed(withoutRecord);
-    for (const machine of this.takenBack(list, askedAt)) {
+    this.unregisteredMachines.retainListed(withoutRecord);
+    for (const machine of this.delistedMachines(list, requestedAt)) {
       context.log.info({ machine: machine.name }, LOG_EVENT.machineDelisted);
-      failed.push(markForReturn(machine));
+      operations.push(markForRelease(machine));
     }
-    if (failed.length > 0) await this.transactions.commitEach(failed, REQUEST_PRIORITY.starts);
-    if (this.unknown.size > 0) this.found();
+    if (operations.length > 0) await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
+    if (this.unregisteredMachines.size > 0) this.options.onMachinesFound();
   }
 
   /**
-   * Machines that the cloud has listed and lists no more. A machine stays listed until it is gone, and a list may be older
-   * than the one before by as much as it lags. What follows is only that the machine is returned: the cloud's answer to
-   * that frees its tasks. Without this a taken machine that is alone in its zone is waited for like one that is cut off.
+   * Machines that the cloud listed before and lists no more. A machine stays listed until it is gone, but a list may be
+   * older than the one before by as much as lists lag. Marking them for release is safe: only the cloud's confirmation of
+   * the release frees their tasks. Without it, a machine alone in its zone would be taken for one that is partitioned.
    */
-  private takenBack(list: readonly ListedMachine[], askedAt: MonotonicMs): MachineRecord[] {
+  private delistedMachines(list: readonly ListedMachine[], requestedAt: MonotonicMs): MachineRecord[] {
     const { view, clock, settings } = this.context;
     const now = clock.now();
-    for (const l of list) if (view.machines.has(l.name)) this.listedAt.set(l.name, now);
-    const goneMs = (longestListLagS(settings) + GONE_MARGIN_S) * 1000;
-    const gone: MachineRecord[] = [];
-    for (const [name, at] of this.listedAt) {
+    for (const { name } of list) if (view.machines.has(name)) this.lastListedAt.set(name, now);
+    const maxMissingMs = (maxListLagS(settings) + DELISTED_MARGIN_S) * 1000;
+    const delisted: MachineRecord[] = [];
+    for (const [name, listedAt] of this.lastListedAt) {
       const machine = view.machines.get(name);
-      if (machine === undefined) this.listedAt.delete(name);
-      else if (askedAt - at > goneMs && machine.phase !== 'releasing') gone.push(machine);
-    }
-    return gone;
-  }
-
-  /** Gives unknown machines records, in the slices that have fewest. */
-  async registerMachines(shards: readonly NodeName[]): Promise<void> {
-    const { context } = this;
-    if (this.unknown.size === 0) return;
-    const count = new Map<NodeName, number>();
-    for (const m of context.view.machines.values()) count.set(m.owner, (count.get(m.owner) ?? 0) + 1);
-    const operations: WriteOperation[] = [];
-    for (const [name, known] of this.unknown.take()) {
-      if (context.view.machines.has(name)) continue;
-      const owner = [...shards].sort((a, b) => (count.get(a) ?? 0) - (count.get(b) ?? 0))[0]!;
-      count.set(owner, (count.get(owner) ?? 0) + 1);
-      const value = newMachine(context, name, known, owner);
-      context.log.info({ machine: name, to: owner, floor: value.floor }, LOG_EVENT.machineRegistered);
-      operations.push({ key: key.machine(name), value, reason: 'machine_state' });
+      if (machine === undefined) this.lastListedAt.delete(name);
+      else if (requestedAt - listedAt > maxMissingMs && !isMarkedForRelease(machine)) delisted.push(machine);
     }
-    await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
+    return delisted;
   }
+}
 
-  /** Returns the machines that are marked for it, unless that is under way. */
-  startReleases(): void {
-    const { context } = this;
-    if (this.releasing) return;
-    const names = [...context.view.machines.values()]
-      .filter((m) => m.phase === 'releasing')
-      .map((m) => m.name);
-    if (names.length === 0) return;
-    this.releasing = true;
-    void this.release(names.slice(0, MOST_RELEASED))
-      .catch((e: unknown) => {
-        context.log.error({ err: e }, LOG_EVENT.machineReleaseFailed);
-      })
-      .finally(() => {
-        this.releasing = false;
-      });
-  }
+function haveSameNames(before: readonly MachineType[] | null, after: readonly MachineType[]): boolean {
+  const namesOf = (types: readonly MachineType[] | null) => JSON.stringify(types?.map((type) => type.name));
+  return namesOf(before) === namesOf(after);
+}
 
-  private async release(names: readonly MachineName[]): Promise<void> {
-    const { context } = this;
-    if (!(await this.cloud.release(names))) return;
-    this.unknown.noteReleased(names);
-    // The cloud has said that they and everything on them are gone: their tasks are free.
-    const there = names.filter((n) => context.view.machines.has(n));
-    context.log.info({ machines: there }, LOG_EVENT.machinesReleased);
-    await this.transactions.commitEach(
-      there.map((n) => ({ key: key.machine(n), value: undefined, reason: 'return' })),
-      REQUEST_PRIORITY.results,
-    );
-  }
+function shardWithFewest(
+  shards: readonly NodeName[],
+  machinesPerShard: ReadonlyMap<NodeName, number>,
+): NodeName {
+  const countOf = (shard: NodeName) => machinesPerShard.get(shard) ?? 0;
+  return [...shards].sort((a, b) => countOf(a) - countOf(b))[0]!;
 }
--- a/src/controller/leader/misrouted-agents.ts
+++ b/src/controller/leader/misrouted-agents.ts
@@ -1,103 +1,107 @@
 /**
- * Machines that another controller answers in their owner's place. Those that it has answered for a while follow it:
- * their owner does not reach them.
+ * Misrouted agents: machines whose heartbeats another controller answers as a proxy, because they do not reach their
+ * owner. After a while such a machine is moved to the shard of its proxy.
  */
-import type { LiveController } from '../../core/state/shard-assignment.js';
 import type { MachineName, NodeName, FencingToken } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
-import type { MonotonicMs } from '../../core/model/time.js';
+import { monotonicMs, type MonotonicMs } from '../../core/model/time.js';
+import type { MachineMove } from '../../core/scaling/scaling-types.js';
+import type { LiveController } from '../../core/state/shard-assignment.js';
+import { addToCount } from '../../core/collections.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** A worker that gets no answer is at the next controller so much later. */
-const HOP_MS = 6000;
-/** A machine follows after so many report intervals. */
-const FOLLOWS_INTERVALS = 1.6;
-/** A controller that reaches none of so many machines is given no slices for so long. */
-const FEW_MACHINES = 2;
-const UNFIT_MS = 25_000;
-
-/** A machine that is to change its slice. */
-export interface MachineMove {
-  readonly machine: MachineRecord;
-  readonly to: NodeName;
-}
+/** An agent without an answer has turned to the next controller after this time. */
+const FAILOVER_MS = 6000;
+/** A machine is moved to its proxy's shard after so many heartbeat intervals. */
+const INTERVALS_BEFORE_MOVE = 1.6;
+/** A controller that reaches none of at least so many machines counts as cut off from its agents. */
+const MIN_LOST_MACHINES = 2;
+/** For how long a controller that is cut off is given no shards. */
+const CUT_OFF_MS = 25_000;
 
-interface MisroutedAgent {
-  /** Under another token everything begins anew. */
+interface ProxiedMachine {
+  /** The machine's fencing token then: under another one the time starts anew. */
   readonly token: FencingToken;
   readonly since: MonotonicMs;
 }
 
-/** Keeps track of machines that do not reach their owner. */
+/** Keeps track of machines that do not reach their owner, and of controllers that do not reach their agents. */
 export class MisroutedAgents {
-  private readonly proxiedSince = new Map<MachineName, MisroutedAgent>();
+  private readonly proxiedMachines = new Map<MachineName, ProxiedMachine>();
   /**
-   * When a machine last turned to another controller though its owner lives. One that is heard and does not hear goes
-   * round all of them: moved to another slice it would be judged anew, and given work once more.
+   * When a machine was last seen with a proxy. An agent that sends but does not receive tries all controllers one after
+   * the other; moved to another shard, it would be judged anew and given work once more.
    */
-  private readonly misroutedAt = new Map<MachineName, MonotonicMs>();
-  private readonly unreachingUntil = new Map<string, MonotonicMs>();
+  private readonly lastProxiedAt = new Map<MachineName, MonotonicMs>();
+  private readonly cutOffUntil = new Map<string, MonotonicMs>();
 
   constructor(private readonly context: ControllerContext) {}
 
-  /** Whether the controller reaches its workers, as far as is known. */
+  /** Whether the controller reaches its agents, as far as is known. */
   canReachAgents(node: string): boolean {
-    return (this.unreachingUntil.get(node) ?? 0) < this.context.clock.now();
+    return (this.cutOffUntil.get(node) ?? 0) < this.context.clock.now();
   }
 
-  /** Whether the machine has turned to another controller of late. */
+  /** Whether the machine has recently turned to another controller than its owner. */
   isMisrouted(name: MachineName): boolean {
-    return this.misroutedAt.has(name);
+    return this.lastProxiedAt.has(name);
   }
 
-  /** Takes in who answers which machine now; the machines that follow those who answer them. */
+  /** Records which machines have proxies now, and returns the machines to move to the shards of their proxies. */
   update(live: readonly LiveController[]): MachineMove[] {
     const { context } = this;
     const moves: MachineMove[] = [];
-    const reached = new Map<string, number>();
-    const lost = new Map<string, number>();
+    const reachedByHolder = new Map<string, number>();
+    const lostByHolder = new Map<string, number>();
     for (const machine of context.view.machines.values()) {
       if (machine.phase === 'booting') continue;
-      const node = context.ownership.proxyOf(machine);
+      const proxy = context.ownership.proxyOf(machine);
       const holder = context.ownership.holderOf(machine);
-      const count = node === null ? reached : lost;
-      if (holder !== null) count.set(holder, (count.get(holder) ?? 0) + 1);
-      if (node === null || holder === null) this.proxiedSince.delete(machine.name);
+      if (holder !== null) addToCount(proxy === null ? reachedByHolder : lostByHolder, holder, 1);
+      if (proxy === null || holder === null) this.proxiedMachines.delete(machine.name);
       else if (this.shouldFollowProxy(machine)) {
-        const to = live.find((n) => n.node === node);
-        if (to === undefined) continue;
-        this.proxiedSince.delete(machine.name);
-        moves.push({ machine, to: to.node });
+        const to = liveNode(live, proxy);
+        if (to === null) continue;
+        this.proxiedMachines.delete(machine.name);
+        moves.push({ machine, to });
       }
     }
-    this.forgetOld();
-    this.updateReachability(reached, lost);
+    this.forgetReturned();
+    this.updateCutOffControllers(reachedByHolder, lostByHolder);
     return moves;
   }
 
-  /** Whether the machine has been answered by another than its owner for so long that it is to follow. */
+  /** Records that the machine has a proxy; whether it has had one for so long that it is to be moved. */
   private shouldFollowProxy(machine: MachineRecord): boolean {
-    const { context } = this;
-    const now = context.clock.now();
-    const token = context.view.fencingTokenOf(machine);
-    const before = this.proxiedSince.get(machine.name);
+    const { clock, view, settings } = this.context;
+    const now = clock.now();
+    const token = view.fencingTokenOf(machine);
+    const before = this.proxiedMachines.get(machine.name);
     const since = before?.token === token ? before.since : now;
-    this.proxiedSince.set(machine.name, { since, token });
-    this.misroutedAt.set(machine.name, now);
-    return now - since > context.settings.workers.report_s * 1000 * FOLLOWS_INTERVALS;
+    this.proxiedMachines.set(machine.name, { since, token });
+    this.lastProxiedAt.set(machine.name, now);
+    return now - since > settings.workers.report_s * 1000 * INTERVALS_BEFORE_MOVE;
   }
 
-  private forgetOld(): void {
-    const { context } = this;
-    const now = context.clock.now();
-    for (const [name, at] of this.misroutedAt)
-      if (now - at > HOP_MS * context.settings.nodes || !context.view.machines.has(name))
-        this.misroutedAt.delete(name);
+  /** Forgets machines that have had no proxy for as long as an agent takes to try all controllers. */
+  private forgetReturned(): void {
+    const { clock, settings, view } = this.context;
+    const now = clock.now();
+    const maxAgeMs = FAILOVER_MS * settings.nodes;
+    for (const [name, proxiedAt] of this.lastProxiedAt)
+      if (now - proxiedAt > maxAgeMs || !view.machines.has(name)) this.lastProxiedAt.delete(name);
   }
 
-  private updateReachability(reached: ReadonlyMap<string, number>, lost: ReadonlyMap<string, number>): void {
-    const until = (this.context.clock.now() + UNFIT_MS) as MonotonicMs;
-    for (const [node, machines] of lost)
-      if (machines >= FEW_MACHINES && !reached.has(node)) this.unreachingUntil.set(node, until);
+  private updateCutOffControllers(
+    reachedByHolder: ReadonlyMap<string, number>,
+    lostByHolder: ReadonlyMap<string, number>,
+  ): void {
+    const until = monotonicMs(this.context.clock.now() + CUT_OFF_MS);
+    for (const [node, machines] of lostByHolder)
+      if (machines >= MIN_LOST_MACHINES && !reachedByHolder.has(node)) this.cutOffUntil.set(node, until);
   }
 }
+
+function liveNode(live: readonly LiveController[], node: NodeName): NodeName | null {
+  return live.find((controller) => controller.node === node)?.node ?? null;
+}
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -1,8 +1,6 @@
-/** Rents machines: each request is committed before the cloud is asked, so that nothing is ever rented twice. */
+/** Rents machines. Each rental is committed before the cloud is asked for it, so that no machine is rented twice. */
+import { groupBy } from '../../core/collections.js';
 import { LOG_EVENT } from '../../core/log-events.js';
-import { key } from '../../core/records/keys.js';
-import type { RentalRequest } from '../../core/scaling/scaling-types.js';
-import { jsonBytes } from '../../core/records/stored-records.js';
 import {
   NO_VERSION,
   type MachineName,
@@ -10,110 +8,80 @@
   type TypeName,
   type Zone,
 } from '../../core/model/ids.js';
-import type { MachineRecord, RentalRecord } from '../../core/model/machines.js';
-import type { MonotonicMs } from '../../core/model/time.js';
+import type { RentalRecord } from '../../core/model/machines.js';
+import { monotonicMs, type MonotonicMs } from '../../core/model/time.js';
+import { key } from '../../core/records/keys.js';
+import { jsonBytes } from '../../core/records/stored-records.js';
+import type { MachineTraits } from '../../core/jobs/feasibility.js';
+import type { RentalRequest } from '../../core/scaling/scaling-types.js';
 import type { CloudClient } from '../../io/cloud/cloud-client.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
-import type { WriteOperation } from '../../io/state/state-messages.js';
+import { BackgroundTask } from '../background-task.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { LeaderTransactions } from './leader-transactions.js';
-import type { UnregisteredMachine } from './unregistered-machines.js';
-
-/** The cloud rents at most so many machines by one request. */
-const MOST_RENTED = 50;
-/** What a rental's record takes beside the names of the slices. */
-const RENTAL_BYTES = 500;
-
-/** One type, zone and kind of machine. */
-const kindOf = (r: { type: TypeName; zone: Zone; spot: boolean }) => `${r.type} ${r.zone} ${r.spot}`;
+import { newMachineRecord } from './machine-changes.js';
 
-/** The first record of a machine. */
-export const newMachine = (
-  context: ControllerContext,
-  name: MachineName,
-  known: UnregisteredMachine,
-  owner: NodeName,
-): MachineRecord => ({
-  name,
-  type: known.type,
-  zone: known.zone,
-  spot: known.spot,
-  owner,
-  floor: known.token + 1,
-  phase: 'booting',
-  placed: [],
-  since: context.clock.wallClock(),
-});
-
-/** The change that has a machine returned to the cloud; only the cloud's answer to that frees its tasks. */
-export function markForReturn(machine: MachineRecord): WriteOperation {
-  const value: MachineRecord = { ...machine, phase: 'releasing' };
-  return { key: key.machine(machine.name), value, reason: 'return' };
-}
+/** The most machines that the cloud rents by one request. */
+const MAX_MACHINES_PER_RENTAL = 50;
+/** Size of a rental's record without the names of the shards. */
+const RENTAL_RECORD_BYTES = 500;
 
-/** Rents machines and records them, whoever decided the rental. */
+/** Rents machines and records them, whichever leader decided the rental. */
 export class Rentals {
+  /** Until when each kind of machine is taken to be unavailable. */
   private readonly refusedUntil = new Map<string, MonotonicMs>();
-  private number = 0;
-  private busy = false;
+  private readonly task: BackgroundTask;
+  private rentalCount = 0;
 
   constructor(
     private readonly context: ControllerContext,
     private readonly cloud: CloudClient,
     private readonly transactions: LeaderTransactions,
-  ) {}
+  ) {
+    this.task = new BackgroundTask({ log: context.log, failureEvent: LOG_EVENT.machineRentalFailed });
+  }
 
-  /** False while the cloud refuses this type, zone and kind. */
+  /** False while the cloud refuses machines of this type, zone and billing kind. */
   isAvailable(type: TypeName, zone: Zone, spot: boolean): boolean {
     return (this.refusedUntil.get(kindOf({ type, zone, spot })) ?? 0) < this.context.clock.now();
   }
 
-  /** Begins to rent unless that is under way. */
-  start(needs: readonly RentalRequest[], shards: readonly NodeName[]): void {
-    if (this.busy) return;
-    if (needs.length === 0 && this.context.view.rentals.size === 0) return;
-    this.busy = true;
-    void this.rent(needs, shards)
-      .catch((e: unknown) => {
-        this.context.log.error({ err: e }, LOG_EVENT.machineRentalFailed);
-      })
-      .finally(() => {
-        this.busy = false;
-      });
+  /** Begins to rent what is requested, and to complete earlier rentals, unless that is running already. */
+  start(requests: readonly RentalRequest[], shards: readonly NodeName[]): void {
+    if (this.task.isRunning) return;
+    if (requests.length === 0 && this.context.view.rentals.size === 0) return;
+    this.task.start(() => this.rent(requests, shards));
   }
 
-  private async rent(needs: readonly RentalRequest[], shards: readonly NodeName[]): Promise<void> {
+  private async rent(requests: readonly RentalRequest[], shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
-    // Rentals that an earlier round, or an earlier leader, decided and did not bring to an end: their names
-    // give the same answer again, so nothing is rented twice.
-    for (const r of [...context.view.rentals.values()]) await this.carryOut(r, shards);
-    for (const list of byKind(needs).values()) {
-      const { type, zone, spot } = list[0]!;
+    // Rentals that an earlier round or an earlier leader committed and did not complete: the cloud gives the same answer
+    // for the same rental name again.
+    for (const rental of [...context.view.rentals.values()]) await this.carryOut(rental, shards);
+    for (const sameKind of groupBy(requests, kindOf).values()) {
+      const { type, zone, spot } = sameKind[0];
       if (!this.isAvailable(type, zone, spot)) continue;
       const rental: RentalRecord = {
-        name: `${context.incarnation}-${++this.number}`,
+        name: `${context.incarnation}-${++this.rentalCount}`,
         type,
         zone,
         spot,
-        owners: list.slice(0, this.mostAtOnce(shards)).map((need) => need.shard),
-      };
-      const k = key.rental(rental.name);
-      const group = {
-        operations: [{ key: k, value: rental, reason: 'rental' as const }],
-        guards: [{ key: k, version: NO_VERSION }],
+        owners: sameKind.slice(0, this.maxMachines(shards)).map((request) => request.shard),
       };
-      if (!(await this.transactions.commit(group, REQUEST_PRIORITY.starts))) return;
+      if (!(await this.transactions.commit(rentalChange(rental), REQUEST_PRIORITY.starts))) return;
       await this.carryOut(rental, shards);
     }
   }
 
-  /** The rental's record names a slice for each machine, and has to fit the limit for a value. */
-  private mostAtOnce(shards: readonly NodeName[]): number {
-    const longest = Math.max(...shards.map((s) => jsonBytes(s))) + 1;
-    return Math.min(MOST_RENTED, Math.floor((this.context.state.limits.valueBytes - RENTAL_BYTES) / longest));
+  /** How many machines one rental may be for: its record names a shard for each and must not exceed the size limit. */
+  private maxMachines(shards: readonly NodeName[]): number {
+    const longestNameBytes = Math.max(...shards.map((shard) => jsonBytes(shard))) + 1;
+    const bytesForNames = this.context.state.limits.valueBytes - RENTAL_RECORD_BYTES;
+    return Math.min(MAX_MACHINES_PER_RENTAL, Math.floor(bytesForNames / longestNameBytes));
   }
 
+  /** Asks the cloud for the rental's machines and records them; without an answer the rental stays on record. */
   private async carryOut(rental: RentalRecord, shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
     const answer = await this.cloud.rent(rental);
@@ -121,43 +89,57 @@
     const got = answer.kind === 'rented' ? answer.machines : [];
     const { name, type, zone, spot, owners } = rental;
     context.log.info({ rental: name, type, zone, spot, asked: owners.length, got }, LOG_EVENT.machinesRented);
-    if (got.length < owners.length)
-      this.refusedUntil.set(
-        kindOf(rental),
-        (context.clock.now() + context.operator.fleet.refused_s * 1000) as MonotonicMs,
-      );
-    await this.transactions.commitInOrder(this.recordsOf(rental, got, shards), REQUEST_PRIORITY.starts);
+    if (got.length < owners.length) this.recordRefusal(rental);
+    const changes = this.completionChanges(rental, got, shards);
+    await this.transactions.commitInOrder(changes, REQUEST_PRIORITY.starts);
+  }
+
+  private recordRefusal(rental: RentalRecord): void {
+    const { clock, operator } = this.context;
+    this.refusedUntil.set(kindOf(rental), monotonicMs(clock.now() + operator.fleet.refused_s * 1000));
   }
 
-  private recordsOf(
+  /**
+   * First the records of the machines, then the removal of the rental: it stays on record until all its machines have
+   * records, so that whoever completes it gets the same answer from the cloud.
+   */
+  private completionChanges(
     rental: RentalRecord,
     got: readonly MachineName[],
     shards: readonly NodeName[],
   ): ChangeSet[] {
     const { context } = this;
     const guard = context.guards.forKey(key.rental(rental.name));
-    const groups: ChangeSet[] = [];
-    got.forEach((name, i) => {
+    const changes: ChangeSet[] = [];
+    got.forEach((name, index) => {
       if (context.view.machines.has(name)) return;
-      const owner = rental.owners.find((o, at) => at >= i && shards.includes(o)) ?? shards[0]!;
-      const value = newMachine(context, name, { ...rental, token: 0 }, owner);
-      groups.push({
+      const owner = shardFor(rental, index, shards);
+      const value = newMachineRecord(context, name, { ...rental, token: 0 }, owner);
+      changes.push({
         operations: [{ key: key.machine(name), value, reason: 'rental' }],
         guards: [guard, { key: key.machine(name), version: NO_VERSION }],
       });
     });
-    // The rental stays on record until all its machines are: whoever goes on with it gets the same answer.
-    groups.push({ operations: [{ key: guard.key, value: undefined, reason: 'rental' }], guards: [guard] });
-    return groups;
+    changes.push({ operations: [{ key: guard.key, value: undefined, reason: 'rental' }], guards: [guard] });
+    return changes;
   }
 }
 
-function byKind(needs: readonly RentalRequest[]): Map<string, RentalRequest[]> {
-  const kinds = new Map<string, RentalRequest[]>();
-  for (const need of needs) {
-    const list = kinds.get(kindOf(need));
-    if (list === undefined) kinds.set(kindOf(need), [need]);
-    else list.push(need);
-  }
-  return kinds;
+/** One type, zone and billing kind of machine. */
+function kindOf({ type, zone, spot }: MachineTraits): string {
+  return `${type} ${zone} ${spot}`;
+}
+
+function rentalChange(rental: RentalRecord): ChangeSet {
+  const rentalKey = key.rental(rental.name);
+  return {
+    operations: [{ key: rentalKey, value: rental, reason: 'rental' }],
+    guards: [{ key: rentalKey, version: NO_VERSION }],
+  };
+}
+
+/** The shard requested for the machine at this index, or the next one requested that still exists. */
+function shardFor(rental: RentalRecord, index: number, shards: readonly NodeName[]): NodeName {
+  const owner = rental.owners.find((shard, position) => position >= index && shards.includes(shard));
+  return owner ?? shards[0]!;
 }
