--- a/eslint.config.js
+++ b/eslint.config.js
@@ -25,8 +25,6 @@
   'src/core/placement/placement.ts': { 'max-lines-per-function': 265, complexity: 37 },
   'src/core/jobs/dependencies.ts': { complexity: 22 },
   'src/core/placement/preemption.ts': { complexity: 21 },
-  'src/controller/heartbeats/heartbeat-router.ts': { complexity: 21 },
-  'src/controller/health-tracker.ts': { complexity: 17 },
   'src/controller/api/job-service.ts': { complexity: 18 },
   'src/io/state/transactions.ts': { complexity: 16 },
   'src/io/users/http-server.ts': { 'max-lines-per-function': 100 },
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -14,7 +14,7 @@
 import { JobService } from './api/job-service.js';
 import { ViewCommittedFacts } from './committed-facts.js';
 import { ControllerContext } from './controller-context.js';
-import { HealthTracker } from './health-tracker.js';
+import { HealthTracker } from './health/health-tracker.js';
 import { HeartbeatRouter } from './heartbeats/heartbeat-router.js';
 import { Leader } from './leader/leader.js';
 import { Availability } from './membership/availability.js';
@@ -83,14 +83,14 @@
     const cloudClient = new CloudClient(cloud, settings.cloudLimits.rps, clock);
     this.leader = new Leader(this.context, this.membership, cloudClient);
     this.jobs = new JobService(this.context, this.shardController, peers);
-    this.heartbeats = new HeartbeatRouter(
-      this.context,
-      this.shardController,
-      this.leader,
-      this.health,
-      this.membership,
-      this.availability,
-    );
+    this.heartbeats = new HeartbeatRouter({
+      context: this.context,
+      shardController: this.shardController,
+      leader: this.leader,
+      health: this.health,
+      membership: this.membership,
+      availability: this.availability,
+    });
     this.channel = new TopicChannel(dependencies.packageLinks ?? new Map());
     this.packages = packages.length === 0 ? null : this.createPackageHost(packages, dependencies.random);
   }
--- /dev/null
+++ b/src/controller/health/health-tracker.ts
@@ -0,0 +1,204 @@
+/** What heartbeats and exits show about machines and jobs. Kept in memory only: losing it costs time, never correctness. */
+import { FailureTracker } from '../../core/health/failure-tracker.js';
+import { SlowMachineDetector, type TaskRun } from '../../core/health/slow-machine-detector.js';
+import type { ExitReason, Heartbeat } from '../../core/model/heartbeats.js';
+import type { JobId, MachineName } from '../../core/model/ids.js';
+import type { JobRecord } from '../../core/model/jobs.js';
+import type { Allocation, MachineRecord } from '../../core/model/machines.js';
+import { monotonicMs } from '../../core/model/time.js';
+import type { ViewChanges } from '../../core/state/view-changes.js';
+import type { Hint } from '../../plugin-host/api.js';
+import type { ControllerContext } from '../controller-context.js';
+import { AvoidedMachines } from './avoided-machines.js';
+import { LatestHeartbeats } from './latest-heartbeats.js';
+import { ObservedImages } from './observed-images.js';
+import { TaskRunObserver } from './task-run-observer.js';
+
+/** Heartbeats that are remembered at least; in larger fleets twice the number of machines. */
+const MIN_HEARTBEATS_KEPT = 4000;
+/** Pairs of a job and a machine to avoid that are remembered at least; in larger fleets twice the number of machines. */
+const MIN_AVOIDED_KEPT = 5000;
+/** How long a job is not placed on a machine after a task of it failed there. */
+const AVOID_AFTER_ERROR_MS = 60_000;
+/** How long a job is not placed on a machine that had no room for it. */
+const AVOID_AFTER_REFUSAL_MS = 3000;
+/** Runs of a job or a class that must be known before others are compared with them. */
+const MIN_RUN_SAMPLES = 12;
+
+type AgentHint = Extract<Hint, { kind: 'agent' }>;
+type JobFailingHint = Extract<Hint, { kind: 'job_failing' }>;
+
+/** Answers which machines are quarantined or avoided, which jobs fail, and which images machines have. */
+export class HealthTracker {
+  readonly failures: FailureTracker;
+  private readonly slowMachines: SlowMachineDetector;
+  private readonly avoidedMachines: AvoidedMachines;
+  private readonly images: ObservedImages;
+  private readonly taskRuns: TaskRunObserver;
+  private readonly latestHeartbeats = new LatestHeartbeats();
+
+  constructor(
+    private readonly context: ControllerContext,
+    random: () => number,
+  ) {
+    const { slow_factor, slow_runs } = context.operator.fleet;
+    this.failures = new FailureTracker(random);
+    this.slowMachines = new SlowMachineDetector({
+      factor: slow_factor,
+      runs: slow_runs,
+      samples: MIN_RUN_SAMPLES,
+    });
+    this.avoidedMachines = new AvoidedMachines(context.clock);
+    this.images = new ObservedImages(context);
+    this.taskRuns = new TaskRunObserver(context, {
+      onLongRun: (job) => {
+        this.failures.recordLongRun(job);
+      },
+      onRunFinished: (machine, run) => {
+        this.recordRun(machine, run);
+      },
+    });
+    context.viewChanges.subscribe((changes) => {
+      this.forgetRemoved(changes);
+    });
+  }
+
+  /** Takes in a heartbeat of any machine, owned or not. Heartbeats older than the newest known one are ignored. */
+  observeHeartbeat(heartbeat: Heartbeat): void {
+    if (!this.keepIfNewest(heartbeat)) return;
+    this.taskRuns.observe(heartbeat);
+    this.images.observe(heartbeat);
+  }
+
+  /** The newest heartbeat known of the machine. */
+  lastHeartbeat(machine: MachineName): Heartbeat | null {
+    return this.latestHeartbeats.get(machine);
+  }
+
+  /** Whether the machine has the image, as far as is known. */
+  hasImage(machine: MachineRecord, image: string): boolean {
+    return this.images.has(machine, image);
+  }
+
+  /** The images that the machine's record should name, the most recently used last. */
+  cachedImages(machine: MachineRecord): string[] {
+    return this.images.cachedOn(machine);
+  }
+
+  /** Evaluates what the exit of a task shows about its job and its machine. */
+  recordExit(machine: MachineRecord, { job }: Allocation, reason: ExitReason | null): void {
+    const { name } = machine;
+    const record = this.context.view.jobs.get(job);
+    if (record === undefined) {
+      if (reason === 'done') this.failures.forgetMachine(name);
+      return;
+    }
+    if (reason === 'done') this.failures.recordSuccess(job, name);
+    if (reason === 'full' || reason === 'in_use') this.avoid(job, name, AVOID_AFTER_REFUSAL_MS);
+    if (reason === 'error') this.avoid(job, name, AVOID_AFTER_ERROR_MS);
+    if (reason === 'error' || reason === 'unknown') this.recordFailure(record, name, reason);
+  }
+
+  /** Takes over what another controller has learned; never replaces newer knowledge. */
+  applyHint(hint: Hint): void {
+    switch (hint.kind) {
+      case 'agent':
+        this.applyAgentHint(hint);
+        return;
+      case 'job_failing':
+        this.applyJobFailingHint(hint);
+        return;
+      case 'task_ran':
+        if (this.context.view.machines.has(hint.machine)) this.slowMachines.recordRun(hint.machine, hint.run);
+    }
+  }
+
+  /** Whether the job should not be placed on the machine for now. */
+  avoidsMachine(job: JobId, machine: MachineName): boolean {
+    return this.avoidedMachines.isAvoided(job, machine);
+  }
+
+  /** Whether the job fails on every machine, as far as this controller or an earlier owner of its team has seen. */
+  isFailingEverywhere(job: JobRecord): boolean {
+    return job.failing !== undefined || this.failures.failuresOf(job.spec.id) !== null;
+  }
+
+  /** Whether the job fails on every machine and must not be tried yet. */
+  isBackingOff(job: JobRecord): boolean {
+    const { clock } = this.context;
+    if ((job.failing?.until ?? 0) > clock.wallClock()) return true;
+    return (this.failures.failuresOf(job.spec.id)?.until ?? 0) > clock.now();
+  }
+
+  /** Whether the machine fails what it starts, or runs it much slower than others. */
+  isQuarantined(machine: MachineRecord): boolean {
+    return this.slowMachines.isSlow(machine.name) || this.failures.isFaulty(machine.name);
+  }
+
+  private forgetRemoved({ machines, jobs }: ViewChanges): void {
+    const { view } = this.context;
+    for (const id of jobs) if (!view.jobs.has(id)) this.failures.forgetJob(id);
+    for (const name of machines) {
+      if (view.machines.has(name)) continue;
+      this.slowMachines.forgetMachine(name);
+      this.taskRuns.forgetMachine(name);
+      this.failures.forgetMachine(name);
+      this.latestHeartbeats.forgetMachine(name);
+      this.images.forgetMachine(name);
+    }
+  }
+
+  private keepIfNewest(heartbeat: Heartbeat): boolean {
+    return this.latestHeartbeats.record(heartbeat, this.sizeLimit(MIN_HEARTBEATS_KEPT));
+  }
+
+  private sizeLimit(minimum: number): number {
+    return Math.max(minimum, 2 * this.context.view.machines.size);
+  }
+
+  private recordRun(machine: MachineName, run: TaskRun): void {
+    const { events } = this.context;
+    this.slowMachines.recordRun(machine, run);
+    if (events.isActive) events.emit({ kind: 'task_ran', machine, run });
+  }
+
+  private avoid(job: JobId, machine: MachineName, forMs: number): void {
+    this.avoidedMachines.avoid(job, machine, forMs, this.sizeLimit(MIN_AVOIDED_KEPT));
+  }
+
+  private recordFailure(record: JobRecord, machine: MachineName, why: 'error' | 'unknown'): void {
+    const { clock, events } = this.context;
+    const job = record.spec.id;
+    const knownRounds = record.failing?.rounds;
+    this.failures.recordFailure({ job, machine, why, now: clock.now(), knownRounds });
+    const failures = this.failures.failuresOf(job);
+    if (events.isActive && failures !== null) events.emit({ kind: 'job_failing', job, failures });
+  }
+
+  /** Address, epoch and sequence of an agent let direct messages reach it before its first heartbeat. */
+  private applyAgentHint({ machine: name, address, agentEpoch, sequence, token }: AgentHint): void {
+    const { view } = this.context;
+    const machine = view.machines.get(name);
+    if (machine === undefined || !view.typesByName.has(machine.type)) return;
+    const { type, zone, spot } = machine;
+    this.keepIfNewest({
+      machine: name,
+      address,
+      type,
+      zone,
+      spot,
+      agentEpoch,
+      sequence,
+      token,
+      preemptionNoticeS: null,
+      tasks: [],
+    });
+  }
+
+  private applyJobFailingHint({ job, rounds, why, machines, retryInMs }: JobFailingHint): void {
+    const { clock, view } = this.context;
+    if (!view.jobs.has(job)) return;
+    const until = monotonicMs(clock.now() + retryInMs);
+    this.failures.mergeFailures(job, { rounds, why, machines: new Set(machines), until });
+  }
+}
--- /dev/null
+++ b/src/controller/health/observed-images.ts
@@ -0,0 +1,82 @@
+/** Which images machines have cached, as far as heartbeats and records tell. */
+import type { Heartbeat, ReportedTask } from '../../core/model/heartbeats.js';
+import type { MachineName } from '../../core/model/ids.js';
+import type { MachineRecord } from '../../core/model/machines.js';
+import { jsonBytes } from '../../core/records/stored-records.js';
+import type { ControllerContext } from '../controller-context.js';
+
+/** Images whose sizes are remembered; beyond that all are forgotten. */
+const MAX_IMAGE_SIZES = 4000;
+/** Bytes of a machine's record that the field of images takes beside the names, `,"images":[]`. */
+const IMAGES_FIELD_BYTES = 12;
+
+/** Remembers the images of tasks that have run on machines. */
+export class ObservedImages {
+  /** Images of each machine, the most recently used last. */
+  private readonly images = new Map<MachineName, Set<string>>();
+  private readonly sizesGb = new Map<string, number>();
+
+  constructor(private readonly context: ControllerContext) {}
+
+  /** Records the images of tasks that the machine has fetched. */
+  observe({ machine, tasks }: Heartbeat): void {
+    for (const task of tasks) {
+      const spec = this.context.view.jobs.get(task.job)?.spec;
+      if (spec === undefined || !hasFetchedImage(task)) continue;
+      this.recordUse(machine, spec.image);
+      if (this.sizesGb.size > MAX_IMAGE_SIZES) this.sizesGb.clear();
+      this.sizesGb.set(spec.image, spec.imageGb);
+    }
+  }
+
+  /** Whether the machine has the image, by what was observed here or by its record. */
+  has(machine: MachineRecord, image: string): boolean {
+    return this.images.get(machine.name)?.has(image) === true || machine.images?.includes(image) === true;
+  }
+
+  /**
+   * The images that the machine's record should name, the most recently used last: no more than fit the machine's cache and
+   * the part of the record for them. Without them the next owner would place tasks where their images must be fetched.
+   */
+  cachedOn(machine: MachineRecord): string[] {
+    const mostRecentFirst = [...this.knownOn(machine)].reverse();
+    let cacheGbLeft = this.context.view.typesByName.get(machine.type)?.cacheGb ?? 0;
+    let bytesLeft = this.context.recordBudget.imagesBytes - IMAGES_FIELD_BYTES;
+    const cached: string[] = [];
+    for (const image of mostRecentFirst) {
+      cacheGbLeft -= this.sizesGb.get(image) ?? 0;
+      bytesLeft -= jsonBytes(image) + 1;
+      if (cacheGbLeft < 0 || bytesLeft < 0) break;
+      cached.push(image);
+    }
+    return cached.reverse();
+  }
+
+  /** Forgets a machine that has no record any more. */
+  forgetMachine(machine: MachineName): void {
+    this.images.delete(machine);
+  }
+
+  private recordUse(machine: MachineName, image: string): void {
+    let images = this.images.get(machine);
+    if (images === undefined) {
+      images = new Set();
+      this.images.set(machine, images);
+    }
+    moveToEnd(images, image);
+  }
+
+  private knownOn(machine: MachineRecord): Set<string> {
+    const known = new Set(machine.images);
+    for (const image of this.images.get(machine.name) ?? []) moveToEnd(known, image);
+    return known;
+  }
+}
+
+const hasFetchedImage = ({ state, exitReason }: ReportedTask): boolean =>
+  state !== 'fetching' && (state !== 'exited' || exitReason === 'done');
+
+function moveToEnd(images: Set<string>, image: string): void {
+  images.delete(image);
+  images.add(image);
+}
--- /dev/null
+++ b/src/controller/health/task-run-observer.ts
@@ -0,0 +1,64 @@
+/** Derives from successive heartbeats how long tasks run. */
+import { taskKey } from '../../core/agents/task-key.js';
+import type { TaskRun } from '../../core/health/slow-machine-detector.js';
+import type { Heartbeat, ReportedTask } from '../../core/model/heartbeats.js';
+import type { JobId, MachineName } from '../../core/model/ids.js';
+import type { JobSpec } from '../../core/model/jobs.js';
+import type { MonotonicMs } from '../../core/model/time.js';
+import { LONG_RUN_MS } from '../../core/health/failure-tracker.js';
+import type { ControllerContext } from '../controller-context.js';
+
+/** Receives what the run times show. */
+export interface TaskRunListener {
+  /** A task of the job has been running for at least `LONG_RUN_MS`. */
+  onLongRun(job: JobId): void;
+  /** A task has finished; its run time is characteristic of the machine. */
+  onRunFinished(machine: MachineName, run: TaskRun): void;
+}
+
+/** Remembers since when tasks have been running. */
+export class TaskRunObserver {
+  /** By machine and task key; since the first heartbeat that showed the task running. */
+  private readonly runningSince = new Map<MachineName, ReadonlyMap<string, MonotonicMs>>();
+
+  constructor(
+    private readonly context: ControllerContext,
+    private readonly listener: TaskRunListener,
+  ) {}
+
+  /** Compares the heartbeat with the machine's previous one. */
+  observe({ machine, tasks }: Heartbeat): void {
+    const now = this.context.clock.now();
+    const before = this.runningSince.get(machine);
+    const running = new Map<string, MonotonicMs>();
+    for (const task of tasks) {
+      const key = taskKey(task.job, task.index, task.attempt);
+      const since = before?.get(key);
+      if (task.state === 'running') running.set(key, since ?? now);
+      if (since !== undefined) this.reportRun(machine, task, now - since);
+    }
+    this.runningSince.set(machine, running);
+  }
+
+  /** Forgets a machine that has no record any more. */
+  forgetMachine(machine: MachineName): void {
+    this.runningSince.delete(machine);
+  }
+
+  private reportRun(machine: MachineName, task: ReportedTask, durationMs: number): void {
+    const spec = this.context.view.jobs.get(task.job)?.spec;
+    // A late heartbeat of a finished job is ignored: what it shows about the job would never be forgotten.
+    if (spec === undefined) return;
+    if (task.state === 'running' && durationMs >= LONG_RUN_MS) this.listener.onLongRun(task.job);
+    // A gang runs at the speed of its slowest machine, so that its run time says nothing about this one.
+    if (task.exitReason === 'done' && spec.kind === 'array')
+      this.listener.onRunFinished(machine, taskRun(spec, durationMs));
+  }
+}
+
+const taskRun = (spec: JobSpec, durationMs: number): TaskRun => ({
+  job: spec.id,
+  jobClass: spec.class,
+  durationS: durationMs / 1000,
+  estimateS: spec.estimateS,
+});
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -13,7 +13,7 @@
 import type { MonotonicMs } from '../../core/model/time.js';
 import type { AgentGateway } from '../../io/agents/agent-client.js';
 import type { ControllerContext } from '../controller-context.js';
-import type { HealthTracker } from '../health-tracker.js';
+import type { HealthTracker } from '../health/health-tracker.js';
 
 /** How long a stop that was sent directly is not sent again: the next heartbeat shows what became of it. */
 const STOP_RESEND_INTERVAL_MS = 4000;
--- a/src/controller/shard/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -7,7 +7,7 @@
 import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
-import type { HealthTracker } from '../health-tracker.js';
+import type { HealthTracker } from '../health/health-tracker.js';
 import type { PreparedResults } from './task-exits.js';
 
 /** Dependents of a cancelled job that one pass cancels; hundreds at once would delay all other changes. */
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -13,7 +13,7 @@
 import { removeExits } from '../../core/state/allocations.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
-import type { HealthTracker } from '../health-tracker.js';
+import type { HealthTracker } from '../health/health-tracker.js';
 import type { AgentSessions } from './agent-sessions.js';
 import { MachineReachability } from './machine-reachability.js';
 import type { TaskExits, UncommittedResults } from './task-exits.js';
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -12,7 +12,7 @@
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import { commitChangeSets } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
-import type { HealthTracker } from '../health-tracker.js';
+import type { HealthTracker } from '../health/health-tracker.js';
 import type { AgentSessions } from './agent-sessions.js';
 import type { MachineReconciler } from './machine-reconciler.js';
 import { FRESH_HEARTBEAT_INTERVALS } from './machine-reachability.js';
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -12,7 +12,7 @@
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import { commitChangeSets, type ChangeSet } from '../../io/state/transactions.js';
 import type { ControllerContext } from '../controller-context.js';
-import type { HealthTracker } from '../health-tracker.js';
+import type { HealthTracker } from '../health/health-tracker.js';
 import { Notification } from '../notification.js';
 import { AgentSessions, type HeartbeatReply, type MachineObservation } from './agent-sessions.js';
 import { JobReconciler } from './job-reconciler.js';
--- a/src/core/agents/agent-timing.ts
+++ b/src/core/agents/agent-timing.ts
@@ -10,7 +10,7 @@
 export const MAX_HEARTBEAT_JITTER = 1.25;
 
 /** Allowance for delays of the network and of busy processes between two heartbeats. */
-const HEARTBEAT_SLACK_MS = 500;
+export const HEARTBEAT_SLACK_MS = 500;
 
 /** Longest time between two heartbeats of an agent that gets its answers in time. */
 export const maxHeartbeatGapMs = (intervalMs: number): number =>
--- a/src/core/health/failure-tracker.ts
+++ b/src/core/health/failure-tracker.ts
@@ -1,168 +1,160 @@
 /**
- * Tells jobs that fail wherever they run from machines that fail whatever they run. A job submitted with a mistake fails
- * on every machine until its user cancels it: it must neither cost the fleet its machines nor keep taking room, so it is
- * tried again with exponential backoff. A faulty machine shows by failing what runs elsewhere.
+ * Distinguishes jobs that fail on every machine from machines that fail every job. A job submitted with a mistake fails
+ * until its user cancels it: it must neither quarantine machines nor keep taking their room, so that it is retried with
+ * exponential backoff. A faulty machine fails jobs that run on other machines.
  */
 import type { ExitReason } from '../model/heartbeats.js';
 import type { JobId, MachineName } from '../model/ids.js';
-import type { MonotonicMs } from '../model/time.js';
+import { monotonicMs, type MonotonicMs } from '../model/time.js';
 
-/** Reasons of an exit that count as a failure of the job or of its machine. */
+/** How long a task has to run to count as running well, even if it fails later. */
+export const LONG_RUN_MS = 20_000;
+
+/** Failures on this many machines are the job's fault, unless one of its tasks has run well. */
+const MACHINES_TO_BLAME_JOB = 2;
+/** The same for a job with a task that has run long, but none that is done: one of the machines may be faulty. */
+const MACHINES_TO_BLAME_RUNNING_JOB = 3;
+/** Backoff after the first failed round; it doubles with each further one. */
+const FIRST_BACKOFF_MS = 5000;
+/** The longest backoff. */
+const MAX_BACKOFF_MS = 60_000;
+/** Part by which a backoff is shortened or lengthened at random, so that jobs are not all retried at the same time. */
+const BACKOFF_JITTER = 0.25;
+/** Failures of one job on a machine that are the machine's fault, if the job runs well elsewhere. */
+const FAILURES_TO_BLAME_MACHINE = 2;
+/** Jobs failing on a machine that are the machine's fault, while it is unknown how they run elsewhere. */
+const JOBS_TO_BLAME_MACHINE = 2;
+
+/** Exit reasons that count as a failure of the job or of its machine. */
 export type FailureCause = Extract<ExitReason, 'error' | 'unknown'>;
 
-/** What is known of the failures of one job. */
+/** Failures of a job that fails on every machine. */
 export interface JobFailures {
-  /** How often the job was tried and failed since it is taken to fail everywhere; 0: it is not. */
+  /** Rounds in which the job was tried and failed; 0: it is not taken to fail on every machine. */
   readonly rounds: number;
-  /** Where it failed, the latest last. */
+  /** Machines on which it failed, the latest last. */
   readonly machines: ReadonlySet<MachineName>;
+  /** Cause of the latest failure, under the name that it has in stored records. */
   readonly why: FailureCause;
-  /** It is not tried again before. */
+  /** End of the backoff: the job is not tried before. */
   readonly until: MonotonicMs;
 }
 
-/** So many machines on which a job failed say that it is the job, while no task of it was seen to run well. */
-const MACHINES_TO_BLAME_JOB = 2;
-/** And so many where tasks of it have run for long, but none was done: one faulty machine more may be chance. */
-const MACHINES_TO_BLAME_RUNNING_JOB = 3;
-/** A task that has run for so long counts as running well until it fails. */
-export const RUNS_WELL_MS = 20_000;
-/** Waits between two tries of a job that fails everywhere: the first, and the longest. */
-const FIRST_BACKOFF_MS = 5000;
-const MOST_BACKOFF_MS = 60_000;
-/** Each wait is shortened or lengthened by up to this part, so that many such jobs are not tried all at once. */
-const JITTER = 0.25;
-/** So many failures of one job on one machine, when the job runs well elsewhere, condemn the machine. */
-const FAILURES_TO_BLAME_MACHINE = 2;
-/** And so many jobs of which it is not known yet how they do elsewhere. */
-const JOBS_TO_BLAME_MACHINE = 2;
+/** A failed task. */
+export interface TaskFailure {
+  readonly job: JobId;
+  readonly machine: MachineName;
+  readonly why: FailureCause;
+  readonly now: MonotonicMs;
+  /** Rounds that an earlier owner of the job's team has recorded. */
+  readonly knownRounds?: number | undefined;
+}
 
-interface JobState {
+interface JobHistory {
   rounds: number;
   readonly machines: Set<MachineName>;
   why: FailureCause;
   until: MonotonicMs;
-  /** A task of it was done, or has run for long. */
-  done: boolean;
-  ranLong: boolean;
+  /** A task of it was done. */
+  hasFinishedTask: boolean;
+  /** A task of it has run for `LONG_RUN_MS`. */
+  hasRunLong: boolean;
 }
 
-/** Failures by machine, of each job since the machine last did something well. */
-type MachineState = Map<JobId, number>;
+/** Failures of each job on a machine since the machine last finished a task. */
+type FailuresByJob = Map<JobId, number>;
 
-/** Remembers failures of jobs and of machines; losing them costs time, never a rule. */
+/** Remembers failures of jobs and machines; losing them costs time, never correctness. */
 export class FailureTracker {
-  private readonly jobs = new Map<JobId, JobState>();
-  private readonly machines = new Map<MachineName, MachineState>();
+  private readonly jobs = new Map<JobId, JobHistory>();
+  private readonly machines = new Map<MachineName, FailuresByJob>();
 
   constructor(
     /** Uniform in [0, 1). */
     private readonly random: () => number,
   ) {}
 
-  /** A task failed. `knownRounds`: what an earlier owner of the job has recorded. */
-  recordFailure(
-    job: JobId,
-    machine: MachineName,
-    why: FailureCause,
-    now: MonotonicMs,
-    knownRounds = 0,
-  ): void {
-    const state = this.stateOf(job);
-    state.machines.delete(machine);
-    state.machines.add(machine);
-    state.why = why;
-    state.rounds = Math.max(state.rounds, knownRounds);
+  /** Records that a task has failed. A failure after the job's backoff begins the next round. */
+  recordFailure({ job, machine, why, now, knownRounds = 0 }: TaskFailure): void {
+    const history = this.historyOf(job);
+    history.machines.delete(machine);
+    history.machines.add(machine);
+    history.why = why;
+    history.rounds = Math.max(history.rounds, knownRounds);
     if (why === 'error') this.countFailure(machine, job);
-    // The tasks of one round fail one after the other; only what was tried after the wait is a new round.
-    if (!this.isFailingEverywhere(state) || now < state.until) return;
-    state.rounds++;
-    const wait = Math.min(MOST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (state.rounds - 1));
-    state.until = (now + wait * (1 - JITTER + 2 * JITTER * this.random())) as MonotonicMs;
+    // Tasks that fail during the backoff belong to the last round.
+    if (!failsEverywhere(history) || now < history.until) return;
+    history.rounds++;
+    history.until = monotonicMs(now + this.backoffMs(history.rounds));
   }
 
-  /** Takes over what another controller has learned of a job, unless more is known here. */
-  mergeFailures(job: JobId, known: JobFailures): void {
-    const state = this.stateOf(job);
-    if (state.rounds >= known.rounds) return;
-    state.rounds = known.rounds;
-    state.why = known.why;
-    state.until = known.until;
-    for (const machine of known.machines) state.machines.add(machine);
+  /** Takes over failures that another controller has observed, unless more rounds are known here. */
+  mergeFailures(job: JobId, observed: JobFailures): void {
+    const history = this.historyOf(job);
+    if (history.rounds >= observed.rounds) return;
+    history.rounds = observed.rounds;
+    history.why = observed.why;
+    history.until = observed.until;
+    for (const machine of observed.machines) history.machines.add(machine);
   }
 
-  /** A task was done: the job is sound, and so is the machine. */
+  /** Records that a task is done, which clears both its job and its machine. */
   recordSuccess(job: JobId, machine: MachineName): void {
-    const state = this.jobs.get(job);
-    if (state !== undefined) {
-      state.machines.clear();
-      state.rounds = 0;
-      state.until = 0 as MonotonicMs;
-    }
-    this.stateOf(job).done = true;
+    const history = this.historyOf(job);
+    history.machines.clear();
+    history.rounds = 0;
+    history.until = monotonicMs(0);
+    history.hasFinishedTask = true;
     this.machines.delete(machine);
   }
 
-  /** A task of the job has been running for `RUNS_WELL_MS`. */
+  /** Records that a task of the job has been running for `LONG_RUN_MS`. */
   recordLongRun(job: JobId): void {
-    this.stateOf(job).ranLong = true;
+    this.historyOf(job).hasRunLong = true;
   }
 
-  /** The job's failures, where it is taken to fail everywhere. */
+  /** The failures of a job that fails on every machine; null for any other. */
   failuresOf(job: JobId): JobFailures | null {
-    const state = this.jobs.get(job);
-    return state === undefined || state.rounds === 0 ? null : state;
+    const history = this.jobs.get(job);
+    return history === undefined || history.rounds === 0 ? null : history;
   }
 
-  /** All jobs that are taken to fail everywhere. */
+  /** All jobs that fail on every machine. */
   *failingJobs(): Iterable<[JobId, JobFailures]> {
     for (const entry of this.jobs) if (entry[1].rounds > 0) yield entry;
   }
 
-  /** Whether the machine fails what it starts; failures of jobs that fail everywhere do not count. */
+  /** Whether the machine fails what it starts; jobs that fail on every machine do not count. */
   isFaulty(machine: MachineName): boolean {
-    let unresolved = 0;
+    let unresolvedJobs = 0;
     for (const [job, failures] of this.machines.get(machine) ?? []) {
-      const state = this.jobs.get(job);
-      if (state === undefined || state.rounds > 0) continue;
-      if ((state.done || state.ranLong) && failures >= FAILURES_TO_BLAME_MACHINE) return true;
-      unresolved++;
+      const history = this.jobs.get(job);
+      if (history === undefined || history.rounds > 0) continue;
+      const runsElsewhere = history.hasFinishedTask || history.hasRunLong;
+      if (runsElsewhere && failures >= FAILURES_TO_BLAME_MACHINE) return true;
+      unresolvedJobs++;
     }
-    return unresolved >= JOBS_TO_BLAME_MACHINE;
+    return unresolvedJobs >= JOBS_TO_BLAME_MACHINE;
   }
 
-  /** The job is over. */
+  /** Forgets a job that is over. */
   forgetJob(job: JobId): void {
     this.jobs.delete(job);
     for (const failures of this.machines.values()) failures.delete(job);
   }
 
-  /** The machine is gone. */
+  /** Forgets a machine that is gone, or that has finished a task. */
   forgetMachine(machine: MachineName): void {
     this.machines.delete(machine);
   }
 
-  private stateOf(job: JobId): JobState {
-    let state = this.jobs.get(job);
-    if (state === undefined) {
-      const none: JobState['machines'] = new Set();
-      state = {
-        rounds: 0,
-        machines: none,
-        why: 'error',
-        until: 0 as MonotonicMs,
-        done: false,
-        ranLong: false,
-      };
-      this.jobs.set(job, state);
+  private historyOf(job: JobId): JobHistory {
+    let history = this.jobs.get(job);
+    if (history === undefined) {
+      history = newJobHistory();
+      this.jobs.set(job, history);
     }
-    return state;
-  }
-
-  private isFailingEverywhere({ rounds, machines, done, ranLong }: JobState): boolean {
-    if (rounds > 0) return true;
-    if (done) return false;
-    return machines.size >= (ranLong ? MACHINES_TO_BLAME_RUNNING_JOB : MACHINES_TO_BLAME_JOB);
+    return history;
   }
 
   private countFailure(machine: MachineName, job: JobId): void {
@@ -170,4 +162,24 @@
     failures.set(job, (failures.get(job) ?? 0) + 1);
     this.machines.set(machine, failures);
   }
+
+  private backoffMs(rounds: number): number {
+    const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (rounds - 1));
+    return backoffMs * (1 - BACKOFF_JITTER + 2 * BACKOFF_JITTER * this.random());
+  }
+}
+
+const newJobHistory = (): JobHistory => ({
+  rounds: 0,
+  machines: new Set(),
+  why: 'error',
+  until: monotonicMs(0),
+  hasFinishedTask: false,
+  hasRunLong: false,
+});
+
+function failsEverywhere({ rounds, machines, hasFinishedTask, hasRunLong }: JobHistory): boolean {
+  if (rounds > 0) return true;
+  if (hasFinishedTask) return false;
+  return machines.size >= (hasRunLong ? MACHINES_TO_BLAME_RUNNING_JOB : MACHINES_TO_BLAME_JOB);
 }
--- a/src/core/health/slow-machine-detector.ts
+++ b/src/core/health/slow-machine-detector.ts
@@ -1,17 +1,23 @@
 /**
- * Machines that run their tasks much slower than the others. Estimates are wrong by half and biased, so a run is
- * compared with the other runs of its job; where those are too few, with what is usual for its class: the ratio of
- * run time to estimate, against the class's median.
+ * Detects machines that run their tasks much slower than others. Estimates of run times are biased, so that a run is
+ * compared with the other runs of its job; where those are too few, its ratio to the estimate is compared with the median
+ * ratio of its class.
  */
 import { evictOldest } from '../bounded-map.js';
 import type { JobId, MachineName } from '../model/ids.js';
 
+/** Runs that are remembered of each job and each class. */
+const MAX_RUNS_KEPT = 60;
+/** Jobs whose runs are remembered. */
+const MAX_JOBS_KEPT = 500;
+
 /** When a machine counts as slow. */
 export interface SlowMachineOptions {
-  /** Runs must take this many times the usual, every one of the machine's latest. */
+  /** A run is slow if it takes this many times the median. */
   readonly factor: number;
+  /** A machine is slow if its latest runs, as many as this, are all slow. */
   readonly runs: number;
-  /** Nothing is said about a job or a class before so many of its runs are known. */
+  /** Runs of a job or a class that must be known before others are compared with them. */
   readonly samples: number;
 }
 
@@ -23,52 +29,59 @@
   readonly estimateS: number;
 }
 
-const KEPT = 60;
-const JOBS_KEPT = 500;
-
-const median = (list: readonly number[]): number => {
-  const sorted = [...list].sort((a, b) => a - b);
-  return sorted[sorted.length >> 1] ?? Number.NaN;
-};
-
-/** Compares run times of machines with what is usual. */
+/** Compares run times of machines with those of others. */
 export class SlowMachineDetector {
-  private readonly classes = new Map<string, number[]>();
-  private readonly jobs = new Map<JobId, number[]>();
-  private readonly machines = new Map<MachineName, TaskRun[]>();
+  /** Ratios of run time to estimate, by class. */
+  private readonly ratiosByClass = new Map<string, readonly number[]>();
+  /** Run times in seconds, by job. */
+  private readonly durationsByJob = new Map<JobId, readonly number[]>();
+  /** Latest runs, by machine. */
+  private readonly runsByMachine = new Map<MachineName, readonly TaskRun[]>();
 
   constructor(private readonly options: SlowMachineOptions) {}
 
+  /** Records a finished run; runs without an estimate are ignored. */
   recordRun(machine: MachineName, run: TaskRun): void {
-    if (run.estimateS <= 0) return;
-    const all = this.classes.get(run.jobClass) ?? [];
-    this.classes.set(run.jobClass, [...all, run.durationS / run.estimateS].slice(-KEPT));
-    const peers = this.jobs.get(run.job) ?? [];
-    this.jobs.delete(run.job);
-    this.jobs.set(run.job, [...peers, run.durationS].slice(-KEPT));
-    evictOldest(this.jobs, JOBS_KEPT);
-    const own = this.machines.get(machine) ?? [];
-    this.machines.set(machine, [...own, run].slice(-this.options.runs));
+    const { job, jobClass, durationS, estimateS } = run;
+    if (estimateS <= 0) return;
+    const ratios = this.ratiosByClass.get(jobClass) ?? [];
+    this.ratiosByClass.set(jobClass, [...ratios, durationS / estimateS].slice(-MAX_RUNS_KEPT));
+    const durations = this.durationsByJob.get(job) ?? [];
+    this.durationsByJob.delete(job);
+    this.durationsByJob.set(job, [...durations, durationS].slice(-MAX_RUNS_KEPT));
+    evictOldest(this.durationsByJob, MAX_JOBS_KEPT);
+    const runs = this.runsByMachine.get(machine) ?? [];
+    this.runsByMachine.set(machine, [...runs, run].slice(-this.options.runs));
   }
 
+  /** Whether all of the machine's latest runs were slow. */
   isSlow(machine: MachineName): boolean {
-    const own = this.machines.get(machine);
-    if (own === undefined || own.length < this.options.runs) return false;
-    const { factor, samples } = this.options;
-    const guessed = new Set<JobId>();
-    return own.every(({ job, jobClass, durationS, estimateS }) => {
-      const peers = this.jobs.get(job) ?? [];
-      if (peers.length >= samples) return durationS >= median(peers) * factor;
-      // An estimate is wrong for all tasks of its job alike: against the class, one job says something only once. A job
-      // of many tasks that took twice its estimate had condemned every machine that ran three of them.
-      if (guessed.has(job)) return false;
-      guessed.add(job);
-      const all = this.classes.get(jobClass) ?? [];
-      return all.length >= samples && durationS / estimateS >= median(all) * factor;
+    const runs = this.runsByMachine.get(machine);
+    if (runs === undefined || runs.length < this.options.runs) return false;
+    const jobsComparedWithClass = new Set<JobId>();
+    return runs.every((run) => {
+      const durations = this.durationsByJob.get(run.job) ?? [];
+      if (durations.length >= this.options.samples) return this.isSlowIn(run.durationS, durations);
+      // An estimate is wrong for all tasks of its job alike, so that one job counts only once against its class.
+      if (jobsComparedWithClass.has(run.job)) return false;
+      jobsComparedWithClass.add(run.job);
+      const ratios = this.ratiosByClass.get(run.jobClass) ?? [];
+      if (ratios.length < this.options.samples) return false;
+      return this.isSlowIn(run.durationS / run.estimateS, ratios);
     });
   }
 
+  /** Forgets a machine that is gone. */
   forgetMachine(machine: MachineName): void {
-    this.machines.delete(machine);
+    this.runsByMachine.delete(machine);
   }
+
+  private isSlowIn(value: number, samples: readonly number[]): boolean {
+    return value >= median(samples) * this.options.factor;
+  }
+}
+
+function median(values: readonly number[]): number {
+  const sorted = [...values].sort((a, b) => a - b);
+  return sorted[sorted.length >> 1] ?? Number.NaN;
 }
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -1,9 +1,9 @@
-/** What is known of a machine's images, and how that outlives the controller that saw them. */
+/** Which images a machine is known to have cached, and how its record hands that to the next owner. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readOperatorSettings } from '../src/config/operator-settings.js';
 import type { ControllerContext } from '../src/controller/controller-context.js';
-import { HealthTracker } from '../src/controller/health-tracker.js';
+import { HealthTracker } from '../src/controller/health/health-tracker.js';
 import { ViewChangeFeed } from '../src/controller/view-change-feed.js';
 import type { Heartbeat } from '../src/core/model/heartbeats.js';
 import { jobId, version } from '../src/core/model/ids.js';
@@ -33,27 +33,27 @@
   };
   return new HealthTracker(context as unknown as ControllerContext, () => 0.5);
 }
-const heartbeat = (seq: number, tasks: [id: string, state: string][]): Heartbeat =>
+const heartbeat = (sequence: number, tasks: [id: string, state: string][]): Heartbeat =>
   heartbeatFromWire({
     teller: 'n-1',
     flavor: 'm',
     vault: 'a',
     shift: 1,
-    tally: seq,
+    tally: sequence,
     shards: tasks.map(([id, standing]) => ({ shard: `${id}/0`, tryNo: 1, standing })),
   })!;
 
-test('a late report about a job that is over leaves nothing behind', () => {
+test('a late exit of a job that is over is not remembered', () => {
   const health = setUp(100, []);
-  const gone = { job: jobId('wk-over') } as Allocation;
-  // Two machines on which it fails would say that it is the job.
-  for (const m of [record, machine('n-2', [])]) health.recordExit(m, gone, 'error');
-  assert.equal(health.failures.failuresOf(gone.job), null);
+  const allocation = { job: jobId('wk-over') } as Allocation;
+  // Failures on two machines would be taken for the job's fault.
+  for (const failed of [record, machine('n-2', [])]) health.recordExit(failed, allocation, 'error');
+  assert.equal(health.failures.failuresOf(allocation.job), null);
   assert.deepEqual([...health.failures.failingJobs()], []);
   assert.equal(health.failures.isFaulty(record.name), false);
 });
 
-test('a machine goes to its next owner with what is known of its images, within the size of its cache', () => {
+test('the next owner of a machine learns its cached images from the record, within the size of the cache', () => {
   const jobs: [string, string, number][] = [
     ['wk-1', 'img-a', 40],
     ['wk-2', 'img-b', 40],
@@ -66,7 +66,7 @@
       ['wk-2', 'pulling'],
     ]),
   );
-  assert.deepEqual(first.cachedImages(record), ['img-a'], 'one that is being fetched is not there yet');
+  assert.deepEqual(first.cachedImages(record), ['img-a'], 'an image that is being fetched is not cached yet');
   first.observeHeartbeat(
     heartbeat(2, [
       ['wk-1', 'running'],
@@ -75,7 +75,7 @@
   );
   const kept = { ...record, images: first.cachedImages(record) };
   assert.deepEqual(kept.images, ['img-a', 'img-b']);
-  // Another controller, which never saw the machine.
+  // Another controller, which never got a heartbeat of the machine.
   const next = setUp(100, jobs);
   assert.equal(next.hasImage(kept, 'img-a'), true);
   assert.equal(next.hasImage(kept, 'img-c'), false);
@@ -86,8 +86,8 @@
       ['wk-3', 'running'],
     ]),
   );
-  assert.deepEqual(first.cachedImages(kept), ['img-b', 'img-c'], 'the one used longest ago gives way');
-  // Its part of the record is bounded, however long the names are.
+  assert.deepEqual(first.cachedImages(kept), ['img-b', 'img-c'], 'the least recently used image is evicted');
+  // The part of the record for images is bounded, however long their names are.
   const many = [...Array(40).keys()].map((i): [string, string, number] => [
     `wk-${i}`,
     `image-number-${i}`,
--- a/test/state-usage.test.ts
+++ b/test/state-usage.test.ts
@@ -1,22 +1,22 @@
-/** What changes of the state service are spent on. */
+/** What the write budget of the state service is spent on. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runQuietly, job, submitSmall, submitTo, advanceUntil, advance } from './sim/pipeline-helpers.js';
 import { GROWN, type Simulation } from './sim/simulation.js';
 
-/** Changes written so far for one reason, by all controllers. */
-const written = (simulation: Simulation, reason: string): number => {
-  let sum = 0;
-  for (const n of simulation.controllers.values())
-    sum += n.controller!.context.state.usage.snapshot().written[reason] ?? 0;
-  return sum;
+/** Writes of all controllers so far for one reason. */
+const writesFor = (simulation: Simulation, reason: string): number => {
+  let writes = 0;
+  for (const { controller } of simulation.controllers.values())
+    writes += controller!.context.state.usage.snapshot().written[reason] ?? 0;
+  return writes;
 };
 
-test('an array whose tasks end beside one another costs no change for results but that of its end', async () => {
+test('an array whose tasks finish in parallel costs no write for results but those of its end', async () => {
   const simulation = await runQuietly(4);
   // Later than its users submit anything by themselves, so that nothing else writes results.
   await advance(simulation, 110_000);
-  const before = { results: written(simulation, 'results'), end: written(simulation, 'end') };
+  const before = { results: writesFor(simulation, 'results'), end: writesFor(simulation, 'end') };
   const id = simulation.submit({
     kind: 'sweep',
     isNeverCancelled: true,
@@ -25,20 +25,20 @@
     fields: { cards: 0, vcpus: 1, memoryGb: 1, loaner: true, expectedS: 15 },
   });
   await advanceUntil(simulation, () => job(simulation, id).observedFinalState === 'done', 60_000);
-  assert.equal(written(simulation, 'results') - before.results, 0);
-  assert.equal(written(simulation, 'end') - before.end, 2);
+  assert.equal(writesFor(simulation, 'results') - before.results, 0);
+  assert.equal(writesFor(simulation, 'end') - before.end, 2);
 });
 
-test('results of a job that runs for long are written all the same', async () => {
+test('results of a job that runs for long are written before its end', async () => {
   const simulation = await runQuietly(4);
   await advance(simulation, 110_000);
-  const before = written(simulation, 'results');
+  const before = writesFor(simulation, 'results');
   const id = submitSmall(simulation, [], 200, { vcpus: 8, expectedS: 3 });
   await advanceUntil(simulation, () => job(simulation, id).observedFinalState === 'done', 400_000);
-  assert.ok(written(simulation, 'results') - before >= 3, `${written(simulation, 'results') - before}`);
+  assert.ok(writesFor(simulation, 'results') - before >= 3, `${writesFor(simulation, 'results') - before}`);
 });
 
-test('a submission that the budget refuses for a moment is accepted; in an outage it is refused at once', async () => {
+test('a submission that the write budget delays for a moment is accepted; in an outage it is refused at once', async () => {
   const simulation = await runQuietly(4, GROWN);
   const { budget } = simulation.state;
   for (let i = 0; i < 5; i++) {
@@ -46,13 +46,13 @@
     simulation.time.after(100, () => {
       simulation.state.budget = budget;
     });
-    const r = await submitTo(simulation, 'c-0', { nameId: `wk-moment${i}` });
-    assert.equal(r.kind, 'accepted');
+    const result = await submitTo(simulation, 'c-0', { nameId: `wk-moment${i}` });
+    assert.equal(result.kind, 'accepted');
     await advance(simulation, 2000);
   }
   simulation.state.setOutage(true);
   const start = simulation.time.now;
-  const r = await submitTo(simulation, 'c-0', { nameId: 'wk-outage' });
-  assert.equal(r.kind, 'later');
+  const result = await submitTo(simulation, 'c-0', { nameId: 'wk-outage' });
+  assert.equal(result.kind, 'later');
   assert.ok(simulation.time.now - start < 200);
 });
