--- a/test/planning.ts
+++ b/test/planning.ts
@@ -1,23 +1,29 @@
-/** Jobs, teams and plans as several tests of scheduling use them. */
-import { planScaling } from '../src/core/scaling/scaling-plan.js';
-import type { ScalingInput } from '../src/core/scaling/scaling-types.js';
-import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+/** Jobs, teams, allocations and scaling plans that several tests of scheduling use. */
 import { allocationFor } from '../src/core/state/allocations.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
 import { attempt, nodeName, teamName } from '../src/core/model/ids.js';
 import type { JobRecord } from '../src/core/model/jobs.js';
-import type { MachineRecord } from '../src/core/model/machines.js';
+import type { Allocation, MachineRecord } from '../src/core/model/machines.js';
+import { MICRO_UNITS } from '../src/core/model/resources.js';
 import { wallClockMs } from '../src/core/model/time.js';
+import { planScaling } from '../src/core/scaling/scaling-plan.js';
+import type { ScalingInput, ScalingPlan } from '../src/core/scaling/scaling-types.js';
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission, type, types } from './samples.js';
 
+/** A team with a guarantee of so many GPUs and no limit. */
 export const team = (name: string, gpus: number) => ({
   name: teamName(name),
-  guarantee: [0, 0, gpus * 1e6] as const,
+  guarantee: [0, 0, gpus * MICRO_UNITS] as const,
   limitCpu: null,
   limitGpu: null,
 });
-export const teams = new Map([team('red', 4), team('blue', 4)].map((t) => [t.name, t]));
-export const job = (id: string, over: Record<string, unknown>): JobRecord => ({
+
+/** Two teams with the same guarantee. */
+export const teams = new Map([team('red', 4), team('blue', 4)].map((each) => [each.name, each]));
+
+/** The record of an active job of team `red`, with the given fields of its submission. */
+export const job = (id: string, fields: Record<string, unknown>): JobRecord => ({
   spec: jobFromWire(
     submission({
       nameId: id,
@@ -26,16 +32,24 @@
       cards: 1,
       memoryGb: 16,
       loaner: false,
-      ...over,
+      ...fields,
     }) as never,
   ),
   phase: 'active',
   done: { base: 0, bits: '', count: 0 },
   submitted: wallClockMs(0),
 });
-export const on = (j: JobRecord, ...tasks: number[]) => allocationFor(j.spec, attempt(1), tasks);
 
-export const planned = (jobs: JobRecord[], machines: MachineRecord[], over: Partial<ScalingInput> = {}) =>
+/** Some tasks of the job, allocated on a machine by its first attempt. */
+export const allocated = ({ spec }: JobRecord, ...tasks: number[]): Allocation =>
+  allocationFor(spec, attempt(1), tasks);
+
+/** A plan for a cloud that has no machines, unless the input says otherwise. */
+export const scalingPlan = (
+  jobs: JobRecord[],
+  machines: MachineRecord[],
+  input: Partial<ScalingInput> = {},
+): ScalingPlan =>
   planScaling({
     jobs,
     machines,
@@ -54,5 +68,5 @@
     headroom: [],
     isAvailable: () => false,
     isIdle: () => true,
-    ...over,
+    ...input,
   });
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -10,7 +10,7 @@
 import type { JobRecord } from '../src/core/model/jobs.js';
 import type { MachineRecord } from '../src/core/model/machines.js';
 import { wallClockMs } from '../src/core/model/time.js';
-import { job, on, planned, team, teams } from './planning.js';
+import { allocated, job, scalingPlan, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
 
 const choose = (wanted: JobRecord, others: JobRecord[], machines: MachineRecord[]) =>
@@ -56,13 +56,13 @@
   const wanted = job('wk-1', { shape: 'daemon', tier: 'standard', shards: 1 });
   const same = job('wk-2', { tier: 'standard', tenant: 'blue', shards: 4 });
   // Blue uses exactly its guarantee of four.
-  assert.equal(choose(wanted, [same], [machine('n-1', [on(same, 0, 1, 2, 3)])]), null);
+  assert.equal(choose(wanted, [same], [machine('n-1', [allocated(same, 0, 1, 2, 3)])]), null);
   // With one more it is beyond it, and red has nothing yet of its own.
   const more = job('wk-3', { tier: 'production', tenant: 'blue', shards: 1 });
   const found = choose(
     wanted,
     [same, more],
-    [machine('n-1', [on(same, 0, 1, 2, 3)]), machine('n-2', [on(more, 0)])],
+    [machine('n-1', [allocated(same, 0, 1, 2, 3)]), machine('n-2', [allocated(more, 0)])],
   );
   assert.equal(found?.machine.name, 'n-1');
 });
@@ -76,9 +76,9 @@
     wanted,
     [savable, lost, service],
     [
-      machine('n-1', [on(lost, 0, 1), on(service, 0, 1)]),
-      machine('n-2', [on(savable, 0, 1, 2, 3)]),
-      machine('n-3', [on(service, 2, 3), on(lost, 2, 3)]),
+      machine('n-1', [allocated(lost, 0, 1), allocated(service, 0, 1)]),
+      machine('n-2', [allocated(savable, 0, 1, 2, 3)]),
+      machine('n-3', [allocated(service, 2, 3), allocated(lost, 2, 3)]),
     ],
   );
   assert.equal(found?.machine.name, 'n-2');
@@ -86,12 +86,12 @@
     found.victims.map((v) => v.job),
     ['wk-2'],
   );
-  assert.equal(choose(wanted, [service], [machine('n-1', [on(service, 0, 1, 2, 3)])]), null);
+  assert.equal(choose(wanted, [service], [machine('n-1', [allocated(service, 0, 1, 2, 3)])]), null);
 });
 
 test('the tasks of an array share machines that fit alike, so that few records are written', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue', cards: 4, vcpus: 4 });
-  const shard = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [on(busy, i)]));
+  const shard = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [allocated(busy, i)]));
   const array = job('wk-2', { shards: 12, cards: 0, vcpus: 1, memoryGb: 6 });
   const cached = (m: MachineRecord) => (m.name === 'n-4' || m.name === 'n-5' ? 0 : 2);
   const used = (fetchRank: PlacementInput['fetchRank'], wanted = array) =>
@@ -112,7 +112,7 @@
 test('an empty machine is opened only when nothing in use fits, so gangs find whole ones', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue' });
   const small = job('wk-2', { shards: 4 });
-  const shard = [machine('n-1', []), machine('n-2', [on(busy, 0)])];
+  const shard = [machine('n-1', []), machine('n-2', [allocated(busy, 0)])];
   const place = (jobs: JobRecord[]) => pass(jobs, shard).placements;
   assert.deepEqual(
     place([small]).map((p) => p.machine.name),
@@ -130,7 +130,7 @@
 test('the waiting team with the lowest weighted share is served first', () => {
   const red = job('wk-1', { shards: 6, tenant: 'red' });
   const blue = job('wk-2', { shards: 6, tenant: 'blue' });
-  const shard = [machine('n-1', [on(blue, 0)]), machine('n-2', [])];
+  const shard = [machine('n-1', [allocated(blue, 0)]), machine('n-2', [])];
   const { placements } = pass([red, blue], shard, {
     maxPlacements: 4,
     preferPartlyUsedMachines: false,
@@ -148,7 +148,7 @@
   const running = job('wk-1', { shards: 1 });
   const gang = job('wk-2', { shape: 'ensemble', shards: 4, tier: 'urgent' });
   const small = job('wk-3', { shards: 3, tier: 'low' });
-  const shard = [machine('n-1', [on(running, 0)]), machine('n-2', [])];
+  const shard = [machine('n-1', [allocated(running, 0)]), machine('n-2', [])];
   const place = (jobs: JobRecord[], machines: MachineRecord[]) => pass(jobs, machines, {}, limited);
   const held = place([running, gang, small], shard);
   assert.equal(held.placements.length, 0);
@@ -164,7 +164,8 @@
   // Where a service holds the limit for good, waiting would help nobody.
   const service = job('wk-4', { shards: 1, shape: 'daemon' });
   assert.equal(
-    place([service, gang, small], [machine('n-1', [on(service, 0)]), machine('n-2', [])]).placements.length,
+    place([service, gang, small], [machine('n-1', [allocated(service, 0)]), machine('n-2', [])]).placements
+      .length,
     3,
   );
 });
@@ -199,7 +200,7 @@
   // Each round one machine comes free and another small gang is submitted that it would fit.
   const gang = job('wk-0', { shape: 'ensemble', shards: 32, tier: 'urgent', vcpus: 14, samePlace: true });
   const busy = job('wk-9', { shape: 'ensemble', shards: 40, tier: 'urgent', vcpus: 14 });
-  const fleet = [...Array(40).keys()].map((i) => machine(`n-${i}`, [on(busy, i)]));
+  const fleet = [...Array(40).keys()].map((i) => machine(`n-${i}`, [allocated(busy, i)]));
   const waiting = [gang];
   for (let round = 0; round < 40; round++) {
     fleet[round] = machine(`n-${round}`, []);
@@ -219,21 +220,25 @@
 test('machines kept for a gang are not returned, and one that never heard its owner changes no slice', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 3, tier: 'urgent', vcpus: 14, samePlace: true });
   const own = [machine('n-1', []), machine('n-2', [])];
-  assert.deepEqual(planned([gang], own).releases, []);
-  assert.equal(planned([], own).releases.length, 2);
+  assert.deepEqual(scalingPlan([gang], own).releases, []);
+  assert.equal(scalingPlan([], own).releases.length, 2);
   const other = { ...machine('n-3', []), owner: nodeName('c-1') };
   assert.deepEqual(
-    planned([gang], [...own, other]).moves.map((m) => m.machine.name),
+    scalingPlan([gang], [...own, other]).moves.map((m) => m.machine.name),
     ['n-3'],
   );
-  assert.deepEqual(planned([gang], [...own, other], { isMovable: (m) => m.owner === 'c-0' }).moves, []);
+  assert.deepEqual(scalingPlan([gang], [...own, other], { isMovable: (m) => m.owner === 'c-0' }).moves, []);
 });
 
 test('the plan for a grown fleet rents what is missing, once, and looks at each machine a few times only', () => {
   const full = job('wk-0', { shards: 4000, tenant: 'blue' });
   let looked = 0;
   const fleet = [...Array(600).keys()].map((i) => {
-    const m = machine(`n-${i}`, [on(full, ...[0, 1, 2, 3].map((k) => i * 4 + k))], i % 2 === 0 ? 'a' : 'b');
+    const m = machine(
+      `n-${i}`,
+      [allocated(full, ...[0, 1, 2, 3].map((k) => i * 4 + k))],
+      i % 2 === 0 ? 'a' : 'b',
+    );
     return new Proxy(m, {
       get: (target, name) => {
         if (name === 'phase') looked++;
@@ -242,7 +247,7 @@
     });
   });
   const waiting = [...Array(300).keys()].map((i) => job(`wk-${i + 1}`, { shards: 10 }));
-  const plan = planned(waiting, fleet, { isAvailable: () => true });
+  const plan = scalingPlan(waiting, fleet, { isAvailable: () => true });
   assert.equal(plan.rentals.length, 750, 'four tasks a machine');
   assert.deepEqual(plan.moves, []);
   // Full machines are set aside once, not for each job or task.
@@ -253,7 +258,7 @@
   const array = job('wk-1', { shards: 6, loaner: true });
   const service = job('wk-9', { shape: 'daemon', shards: 9, tier: 'production' });
   const spot = { ...machine('n-3', []), spot: true };
-  const shard = [machine('n-1', []), machine('n-2', [on(service, 0)]), spot];
+  const shard = [machine('n-1', []), machine('n-2', [allocated(service, 0)]), spot];
   const used = (yields: boolean) =>
     new Set(
       pass([array], shard, {
@@ -263,12 +268,12 @@
     );
   assert.deepEqual(used(true), new Set(['n-3', 'n-2']));
   assert.ok(pass([array], [machine('n-1', [])], {}).placements.length > 0);
-  const plan = planned([array], [machine('n-1', [])], {
+  const plan = scalingPlan([array], [machine('n-1', [])], {
     isAvailable: () => true,
     leavesWholeMachinesToGangs: () => true,
   });
   assert.deepEqual(new Set(plan.rentals.map((r) => r.spot)), new Set([true]));
-  assert.equal(planned([array], [machine('n-1', [])], { isAvailable: () => true }).rentals.length, 1);
+  assert.equal(scalingPlan([array], [machine('n-1', [])], { isAvailable: () => true }).rentals.length, 1);
 });
 
 test('where there is not room for all, slices are levelled by weight, a few machines at a time, and stay so', () => {
@@ -277,12 +282,12 @@
   const service = job('wk-2', { shards: 4, tenant: 'blue', shape: 'daemon' });
   // As in a burst: blue came first, has all of a fleet of 900, and keeps it busy with what waits.
   let fleet: MachineRecord[] = [...Array(900).keys()].map((i) => ({
-    ...machine(`n-${i}`, [on(i === 0 ? service : blue, ...[0, 1, 2, 3].map((k) => i * 4 + k))]),
+    ...machine(`n-${i}`, [allocated(i === 0 ? service : blue, ...[0, 1, 2, 3].map((k) => i * 4 + k))]),
     owner: nodeName('c-1'),
   }));
   const count = () => fleet.filter((m) => m.owner === 'c-0').length;
   const step = (jobs: JobRecord[], over: Partial<ScalingInput> = {}) => {
-    const { moves } = planned(jobs, fleet, over);
+    const { moves } = scalingPlan(jobs, fleet, over);
     const to = new Map(moves.map((m) => [m.machine.name, m.to]));
     assert.equal(to.size, moves.length);
     fleet = fleet.map((m) => ({ ...m, owner: to.get(m.name) ?? m.owner }));
--- a/test/reclaim.test.ts
+++ b/test/reclaim.test.ts
@@ -1,84 +1,91 @@
-/** Background work and teams without a guarantee give way to what has priority or a guarantee. */
+/** Background work and teams without a guarantee are preempted for jobs with a higher priority or a guarantee. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { AllocationTotals } from '../src/core/state/allocation-totals.js';
-import { selectGangVictims, selectVictims } from '../src/core/placement/preemption.js';
 import { nodeName, teamName } from '../src/core/model/ids.js';
 import type { JobRecord } from '../src/core/model/jobs.js';
-import type { MachineRecord } from '../src/core/model/machines.js';
-import { job, on, planned, team, teams } from './planning.js';
+import type { Allocation, MachineRecord } from '../src/core/model/machines.js';
+import { selectGangVictims, selectVictims } from '../src/core/placement/preemption.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { allocated, job, scalingPlan, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
 
-const GUEST = 'guest';
-const withGuest = new Map([...teams, [teamName(GUEST), team(GUEST, 0)]]);
+const UNGUARANTEED = 'guest';
+const teamsWithUnguaranteed = new Map([...teams, [teamName(UNGUARANTEED), team(UNGUARANTEED, 0)]]);
 
-test('all that a team without a guarantee runs may be stopped for a guarantee, and shares are defined for it', () => {
+const byId = (jobs: readonly JobRecord[]) => new Map(jobs.map((each) => [each.spec.id, each]));
+
+test('all tasks of a team without a guarantee may be preempted for a guarantee, and its share is defined', () => {
   const wanted = job('wk-1', { shape: 'daemon', tier: 'low', shards: 1 });
-  const guest = job('wk-2', { tier: 'urgent', tenant: GUEST, shards: 4 });
-  const machines = [machine('n-1', [on(guest, 0, 1, 2, 3)])];
-  const totals = new AllocationTotals(machines, types, withGuest);
+  const unguaranteed = job('wk-2', { tier: 'urgent', tenant: UNGUARANTEED, shards: 4 });
+  const machines = [machine('n-1', [allocated(unguaranteed, 0, 1, 2, 3)])];
+  const totals = new AllocationTotals(machines, types, teamsWithUnguaranteed);
   const found = selectVictims({
     job: wanted.spec,
-    jobs: new Map([wanted, guest].map((j) => [j.spec.id, j])),
+    jobs: byId([wanted, unguaranteed]),
     machines,
     totals,
-    teams: withGuest,
+    teams: teamsWithUnguaranteed,
     isClaimed: () => false,
   });
   assert.equal(found?.victims.length, 1);
-  assert.ok(
-    Number.isFinite(totals.dominantShareOf(teamName(GUEST))) && totals.dominantShareOf(teamName(GUEST)) > 0,
-  );
+  const share = totals.dominantShareOf(teamName(UNGUARANTEED));
+  assert.ok(Number.isFinite(share) && share > 0);
   assert.equal(totals.dominantShareOf(teamName('red')), 0);
 });
 
-test('low-priority work gives whole machines to a gang of higher priority, the cheapest of one zone', () => {
+test('a gang of higher priority preempts low-priority arrays on whole machines, the cheapest of one zone', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 2, tier: 'urgent', vcpus: 14, samePlace: true });
   const low = job('wk-2', { tier: 'low', tenant: 'blue', shards: 9, snapshotEveryS: 10, snapshotS: 2 });
   const costly = job('wk-3', { tier: 'low', tenant: 'blue', shards: 9, snapshotEveryS: 0, expectedS: 600 });
   const normal = job('wk-4', { tier: 'standard', tenant: 'blue', shards: 9 });
-  const find = (wanted: JobRecord, machines: MachineRecord[]) =>
+  const victimCounts = (wanted: JobRecord, machines: MachineRecord[]) =>
     selectGangVictims({
       job: wanted.spec,
-      jobs: new Map([gang, low, costly, normal].map((j) => [j.spec.id, j])),
+      jobs: byId([gang, low, costly, normal]),
       machines,
       totals: new AllocationTotals(machines, types, teams),
       teams,
       isClaimed: () => false,
-    })?.map((p) => [p.machine.name, p.victims.length]);
-  const shard = [
-    machine('n-1', [on(low, 0, 1)], 'a'),
-    machine('n-2', [on(normal, 0)], 'a'),
-    machine('n-3', [on(costly, 0, 1)], 'a'),
-    machine('n-4', [on(low, 2, 3)], 'b'),
+    })?.map((place) => [place.machine.name, place.victims.length]);
+  const machines = [
+    machine('n-1', [allocated(low, 0, 1)], 'a'),
+    machine('n-2', [allocated(normal, 0)], 'a'),
+    machine('n-3', [allocated(costly, 0, 1)], 'a'),
+    machine('n-4', [allocated(low, 2, 3)], 'b'),
     machine('n-5', [], 'b'),
   ];
-  assert.deepEqual(find(gang, shard), [
+  assert.deepEqual(victimCounts(gang, machines), [
     ['n-5', 0],
     ['n-4', 1],
   ]);
-  assert.equal(find(gang, shard.slice(0, 2)), undefined, 'work of normal priority stays');
+  assert.equal(
+    victimCounts(gang, machines.slice(0, 2)),
+    undefined,
+    'tasks of normal priority are not preempted',
+  );
   const standard = job('wk-1', { shape: 'ensemble', shards: 2, tier: 'standard', vcpus: 14 });
-  assert.equal(find(standard, shard), undefined, 'only for what has priority');
+  assert.equal(victimCounts(standard, machines), undefined, 'only for a priority above normal');
 });
 
-test('machines with nothing but low-priority work go to where work of priority finds no room anywhere', () => {
+test('machines with nothing but low-priority arrays are reclaimed for higher priorities that the cloud has none for', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 2, tier: 'urgent', vcpus: 14, samePlace: true });
   const low = job('wk-2', { tier: 'low', tenant: 'blue', shards: 40 });
   const normal = job('wk-3', { tier: 'standard', tenant: 'blue', shards: 40 });
-  const other = (name: string, placed: MachineRecord['placed'], zone = 'a') => ({
-    ...machine(name, placed, zone),
+  const ofOtherShard = (name: string, allocations: readonly Allocation[], zone = 'a') => ({
+    ...machine(name, allocations, zone),
     owner: nodeName('c-1'),
   });
-  const fleet = [
-    other('n-1', [on(low, 0, 1, 2, 3)]),
-    other('n-2', [on(normal, 0, 1, 2, 3)]),
-    other('n-3', [on(low, 4, 5, 6, 7)]),
-    other('n-4', [on(low, 8, 9, 10, 11)], 'b'),
-    other('n-5', [on(low, 12, 13, 14, 15)]),
+  const machines = [
+    ofOtherShard('n-1', [allocated(low, 0, 1, 2, 3)]),
+    ofOtherShard('n-2', [allocated(normal, 0, 1, 2, 3)]),
+    ofOtherShard('n-3', [allocated(low, 4, 5, 6, 7)]),
+    ofOtherShard('n-4', [allocated(low, 8, 9, 10, 11)], 'b'),
+    ofOtherShard('n-5', [allocated(low, 12, 13, 14, 15)]),
   ];
-  const moves = (available: boolean) =>
-    planned([gang], fleet, { isAvailable: () => available }).moves.map((m) => m.machine.name as string);
-  assert.deepEqual(moves(false), ['n-1', 'n-3'], 'as many as it needs, in one zone');
-  assert.deepEqual(moves(true), [], 'new ones are rented where they can be');
+  const movedMachines = (isCloudAvailable: boolean) =>
+    scalingPlan([gang], machines, { isAvailable: () => isCloudAvailable }).moves.map(
+      (move) => move.machine.name as string,
+    );
+  assert.deepEqual(movedMachines(false), ['n-1', 'n-3'], 'as many as it needs, in one zone');
+  assert.deepEqual(movedMachines(true), [], 'new machines are rented where they can be');
 });
