--- a/eslint.config.js
+++ b/eslint.config.js
@@ -22,7 +22,6 @@
  */
 const EXCEPTIONS = {
   'src/core/jobs/dependencies.ts': { complexity: 22 },
-  'src/core/placement/preemption.ts': { complexity: 21 },
   'src/controller/api/job-service.ts': { complexity: 18 },
   'src/io/state/transactions.ts': { complexity: 16 },
   'src/io/users/http-server.ts': { 'max-lines-per-function': 100 },
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -9,12 +9,9 @@
 import type { Allocation, MachineRecord } from '../../core/model/machines.js';
 import { monotonicMs, type MonotonicMs } from '../../core/model/time.js';
 import type { WaitReason } from '../../core/placement/placement-types.js';
-import {
-  isWithinGuarantee,
-  selectGangVictims,
-  selectVictims,
-  type PreemptionInput,
-} from '../../core/placement/preemption.js';
+import { isWithinGuarantee } from '../../core/placement/guarantees.js';
+import { selectGangVictims } from '../../core/placement/gang-preemption.js';
+import { selectVictims, type PreemptionInput } from '../../core/placement/preemption.js';
 import { markStopping } from '../../core/state/allocations.js';
 import { key } from '../../core/records/keys.js';
 import type { ChangeSet } from '../../io/state/transactions.js';
--- a/src/core/state/allocations.ts
+++ b/src/core/state/allocations.ts
@@ -48,3 +48,27 @@
 
 const isSameEntry = (a: Allocation, b: Allocation): boolean =>
   a.job === b.job && a.attempt === b.attempt && a.stop === b.stop;
+
+/** The allocations of a machine with the victims' tasks marked as stopping; an allocation that stops in part is split. */
+export function markStopping(
+  allocations: readonly Allocation[],
+  victims: readonly Allocation[],
+): Allocation[] {
+  return allocations.flatMap((allocation) => {
+    const stopping = tasksStopping(allocation, victims);
+    const remaining = allocation.tasks.filter((index) => !stopping.has(index));
+    if (allocation.stop === true || remaining.length === allocation.tasks.length) return [allocation];
+    const stopped = {
+      ...allocation,
+      tasks: allocation.tasks.filter((index) => stopping.has(index)),
+      stop: true,
+    };
+    return remaining.length === 0 ? [stopped] : [{ ...allocation, tasks: remaining }, stopped];
+  });
+}
+
+function tasksStopping(allocation: Allocation, victims: readonly Allocation[]): ReadonlySet<TaskIndex> {
+  const { job, attempt } = allocation;
+  const matching = victims.filter((victim) => victim.job === job && victim.attempt === attempt);
+  return new Set(matching.flatMap(({ tasks }) => tasks));
+}
