--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -1,14 +1,13 @@
 /** Resolves the dependencies of waiting jobs: reads the final states that decide them and caches what follows. */
 import {
-  dependenciesOf,
   resolveDependencies,
   resolveDependency,
-  transitiveDependencies,
   unreadFinalStates,
   type DependencyGraph,
   type DependencyInput,
   type DependencyStatus,
 } from '../core/jobs/dependencies.js';
+import { dependenciesOf, transitiveDependencies } from '../core/jobs/dependency-order.js';
 import type { Clock } from '../core/model/clock.js';
 import type { JobId } from '../core/model/ids.js';
 import type { JobRecord } from '../core/model/jobs.js';
--- /dev/null
+++ b/src/core/jobs/dependency-order.ts
@@ -0,0 +1,60 @@
+/** The graph of jobs that depend on others, and its topological order. */
+import type { JobId } from '../model/ids.js';
+import type { JobRecord } from '../model/jobs.js';
+
+const NO_DEPENDENCIES: readonly JobId[] = [];
+
+/** The jobs that a job names as its dependencies. */
+export const dependenciesOf = (job: JobRecord): readonly JobId[] => job.spec.needs ?? NO_DEPENDENCIES;
+
+/**
+ * The jobs that have dependencies, each after those of its dependencies that are unfinished and have some, too. Nothing
+ * recurses, so that a chain may have any length.
+ */
+export function topologicalOrder(
+  candidates: Iterable<JobRecord>,
+  unfinished: ReadonlyMap<JobId, JobRecord>,
+): JobRecord[] {
+  const missingCounts = new Map<JobId, number>();
+  const dependents = new Map<JobId, JobRecord[]>();
+  const ordered: JobRecord[] = [];
+  for (const job of candidates) {
+    if (!hasDependencies(job)) continue;
+    const earlier = dependenciesOf(job).filter((id) => hasDependencies(unfinished.get(id)));
+    for (const id of earlier) addDependent(dependents, id, job);
+    if (earlier.length === 0) ordered.push(job);
+    else missingCounts.set(job.spec.id, earlier.length);
+  }
+  // The list grows while it is iterated over.
+  for (const { spec } of ordered)
+    for (const dependent of dependents.get(spec.id) ?? []) {
+      const missing = missingCounts.get(dependent.spec.id)! - 1;
+      missingCounts.set(dependent.spec.id, missing);
+      if (missing === 0) ordered.push(dependent);
+    }
+  return ordered;
+}
+
+/** The job and the unfinished ones that it depends on, directly or through others. */
+export function transitiveDependencies(
+  job: JobRecord,
+  unfinished: ReadonlyMap<JobId, JobRecord>,
+): ReadonlySet<JobRecord> {
+  const found = new Set<JobRecord>([job]);
+  // A set is iterated over in the order of insertion, including what is added meanwhile.
+  for (const dependent of found)
+    for (const id of dependenciesOf(dependent)) {
+      const dependency = unfinished.get(id);
+      if (dependency !== undefined) found.add(dependency);
+    }
+  return found;
+}
+
+const hasDependencies = (job: JobRecord | undefined): boolean =>
+  job !== undefined && dependenciesOf(job).length > 0;
+
+function addDependent(dependents: Map<JobId, JobRecord[]>, dependency: JobId, job: JobRecord): void {
+  const list = dependents.get(dependency);
+  if (list === undefined) dependents.set(dependency, [job]);
+  else list.push(job);
+}
--- a/src/core/jobs/done-tasks.ts
+++ b/src/core/jobs/done-tasks.ts
@@ -1,53 +1,60 @@
 /** The compact set of a job's finished tasks: a base index and a bitmap over a bounded window. */
+import { InvariantError } from '../errors.js';
 import type { TaskIndex } from '../model/ids.js';
 import type { DoneSet, JobRecord } from '../model/jobs.js';
 
 /**
- * Only this many tasks beyond the first unfinished one may be under way. It bounds the bitmap of a job with
- * 100,000 tasks, whose record must stay below the state service's limit for a value.
+ * How many tasks from the first unfinished one on may be under way. It bounds the bitmap of a job with 100,000 tasks,
+ * whose record must stay below the state service's limit for a value.
  */
 export const TASK_WINDOW = 8192;
 
-/** The results of a job that has none. */
+/** The set of a job of which no task is done. */
 export const NO_TASKS_DONE: DoneSet = { base: 0, bits: '', count: 0 };
 
 /** Whether the task is done. */
 export function isDone(set: DoneSet, index: TaskIndex): boolean {
   if (index < set.base) return true;
   if (set.bits === '') return false;
-  const at = index - set.base;
-  const bytes = Buffer.from(set.bits, 'base64');
-  return ((bytes[at >> 3] ?? 0) & (1 << (at & 7))) !== 0;
+  return hasBit(Buffer.from(set.bits, 'base64'), index - set.base);
 }
 
-/** The results with further tasks done; throws where one lies beyond the window. */
+/**
+ * The set with further tasks done.
+ *
+ * @throws InvariantError where a task lies beyond the window of its job
+ */
 export function markDone(set: DoneSet, indexes: Iterable<TaskIndex>): DoneSet {
-  const bytes = Buffer.alloc(TASK_WINDOW >> 3);
-  Buffer.from(set.bits, 'base64').copy(bytes);
-  let count = set.count;
+  const bitmap = Buffer.alloc(TASK_WINDOW >> 3);
+  Buffer.from(set.bits, 'base64').copy(bitmap);
+  let { count } = set;
   for (const index of indexes) {
-    const at = index - set.base;
-    if (at < 0) continue;
-    if (at >= TASK_WINDOW) throw new Error(`task ${index} lies beyond the window of its job`);
-    const bit = 1 << (at & 7);
-    if ((bytes[at >> 3]! & bit) !== 0) continue;
-    bytes[at >> 3]! |= bit;
+    const position = index - set.base;
+    if (position >= TASK_WINDOW) throw new InvariantError(`task ${index} lies beyond the window of its job`);
+    if (position < 0 || hasBit(bitmap, position)) continue;
+    bitmap[position >> 3]! |= 1 << (position & 7);
     count++;
   }
-  let whole = 0;
-  while (whole < bytes.length && bytes[whole] === 0xff) whole++;
-  let last = bytes.length;
-  while (last > whole && bytes[last - 1] === 0) last--;
-  return { base: set.base + whole * 8, bits: bytes.subarray(whole, last).toString('base64'), count };
+  return trimmed(set.base, bitmap, count);
 }
 
-/** The tasks that may be started, as far as the job alone can tell, in order. */
-export function* unfinishedTasks(job: JobRecord): Generator<TaskIndex> {
-  const { spec, done } = job;
-  const bytes = Buffer.from(done.bits, 'base64');
+/** The unfinished tasks within the job's window, in order; some of them may be on machines already. */
+export function* unfinishedTasks({ spec, done }: JobRecord): Generator<TaskIndex> {
+  const bitmap = Buffer.from(done.bits, 'base64');
   const end = Math.min(spec.tasks, done.base + TASK_WINDOW);
-  for (let i = done.base; i < end; i++) {
-    const at = i - done.base;
-    if (((bytes[at >> 3] ?? 0) & (1 << (at & 7))) === 0) yield i;
-  }
+  for (let index = done.base; index < end; index++) if (!hasBit(bitmap, index - done.base)) yield index;
+}
+
+/** A position beyond the end of the bitmap counts as not set. */
+function hasBit(bitmap: Buffer, position: number): boolean {
+  return ((bitmap[position >> 3] ?? 0) & (1 << (position & 7))) !== 0;
+}
+
+/** The set without the full bytes at the start of the bitmap, which move its base, and without the empty ones at its end. */
+function trimmed(base: number, bitmap: Buffer, count: number): DoneSet {
+  let start = 0;
+  while (start < bitmap.length && bitmap[start] === 0xff) start++;
+  let end = bitmap.length;
+  while (end > start && bitmap[end - 1] === 0) end--;
+  return { base: base + start * 8, bits: bitmap.subarray(start, end).toString('base64'), count };
 }
--- a/src/core/jobs/feasibility.ts
+++ b/src/core/jobs/feasibility.ts
@@ -47,19 +47,23 @@
 ): Feasibility {
   const team = teams.get(spec.team);
   if (team === undefined) return 'unknown_team';
-  let fitting = false;
-  for (const t of types) {
-    if (!allowsMachineType(spec, t.name)) continue;
-    if (spec.zone !== null && !t.zones.includes(spec.zone)) continue;
-    if (fitsWithin(spec.demand, t.capacity)) fitting = true;
-  }
-  if (!fitting) return 'fits_no_type';
-  const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
-  if (team.limitCpu !== null && spec.demand[CPU] * atOnce > team.limitCpu) return 'over_limit';
-  if (team.limitGpu !== null && spec.demand[GPU] * atOnce > team.limitGpu) return 'over_limit';
-  return 'ok';
+  if (![...types].some((type) => fitsType(spec, type))) return 'fits_no_type';
+  // An array may run one task after the other; the tasks of all other jobs run at the same time.
+  const tasksAtOnce = spec.kind === 'array' ? 1 : spec.tasks;
+  const isOverLimit =
+    exceedsLimit(spec.demand[CPU] * tasksAtOnce, team.limitCpu) ||
+    exceedsLimit(spec.demand[GPU] * tasksAtOnce, team.limitGpu);
+  return isOverLimit ? 'over_limit' : 'ok';
 }
 
+function fitsType(spec: JobSpec, type: MachineType): boolean {
+  if (!allowsMachineType(spec, type.name)) return false;
+  if (spec.zone !== null && !type.zones.includes(spec.zone)) return false;
+  return fitsWithin(spec.demand, type.capacity);
+}
+
+const exceedsLimit = (amount: number, limit: number | null): boolean => limit !== null && amount > limit;
+
 /** At most this many tasks of a spread job may be in one zone. */
 export function maxTasksPerZone(spec: JobSpec): number {
   return spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
