--- a/packages/warm-standby/src/log-entries.ts
+++ b/packages/warm-standby/src/log-entries.ts
@@ -63,7 +63,11 @@
     case 'task_preempted':
       return ofMachine(event.task.machine, { kind: 'preempt', task: event.task });
     case 'task_exited':
-      return ofMachine(event.task.machine, { kind: 'exited', task: event.task, why: event.why ?? 'absent' });
+      return ofMachine(event.task.machine, {
+        kind: 'exited',
+        task: event.task,
+        why: event.reason ?? 'absent',
+      });
     case 'heartbeat_recorded': {
       const { machine, address, agentEpoch, sequence, token } = event.heartbeat;
       const heardAt = now.wallClock as WallClockMs;
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -115,7 +115,7 @@
       context.events.emit({
         kind: 'task_exited',
         task: { job, index, attempt, machine: machine.name },
-        why: reason,
+        reason,
       });
     context.log.info(
       {
--- a/src/core/bounded-map.ts
+++ b/src/core/bounded-map.ts
@@ -1,8 +1,8 @@
-/** Collections that are kept within a size by forgetting what was added first. */
+/** Maps of bounded size, which evict the entries that were added first. */
 
-/** Forgets the entry that was added first where the map has more than so many. */
-export function evictOldest<K>(map: Map<K, unknown>, most: number): void {
-  if (map.size <= most) return;
+/** Evicts the entry that was added first if the map has more entries than `maxSize`. */
+export function evictOldest<Key>(map: Map<Key, unknown>, maxSize: number): void {
+  if (map.size <= maxSize) return;
   const oldest = map.keys().next();
   if (oldest.done !== true) map.delete(oldest.value);
 }
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -1,14 +1,11 @@
-/**
- * What a controller tells of its work while it does it, for packages that follow, trace or count it. Nobody has to listen:
- * without a listener an event is not even made.
- */
+/** Events of a controller's work, for packages that follow, trace or count it. Without a subscriber no event is created. */
 import type { JobFailures } from './health/failure-tracker.js';
 import type { TaskRun } from './health/slow-machine-detector.js';
 import type { AgentCommand, ExitReason, Heartbeat } from './model/heartbeats.js';
 import type { Attempt, JobId, MachineName, TaskIndex, TeamName } from './model/ids.js';
 import type { MonotonicMs } from './model/time.js';
 
-/** One start of a task on a machine. */
+/** One attempt of a task on a machine. */
 export interface TaskOnMachine {
   readonly job: JobId;
   readonly index: TaskIndex;
@@ -19,7 +16,7 @@
 /** How a transaction ended, as far as its sender knows. */
 export type TransactionOutcome = 'ok' | 'conflict' | 'refused' | 'unknown' | 'other';
 
-/** Something that a controller did or learned. */
+/** Something that a controller did or observed. Times are those at which the work began. */
 export type ServiceEvent =
   | {
       readonly kind: 'job_accepted';
@@ -27,14 +24,14 @@
       readonly team: TeamName;
       readonly since: MonotonicMs;
     }
-  /** Decided, and not yet committed. */
+  /** A start was decided; it is not committed yet. */
   | { readonly kind: 'task_placed'; readonly task: TaskOnMachine; readonly team: TeamName }
-  /** Decided, and not yet committed. */
+  /** A preemption was decided; it is not committed yet. */
   | { readonly kind: 'task_preempted'; readonly task: TaskOnMachine; readonly inFavourOf: JobId }
   | { readonly kind: 'command_sent'; readonly machine: MachineName; readonly command: AgentCommand }
-  /** A report, or the answer to a direct message, was taken in under the machine's present token. */
+  /** A heartbeat, or the answer to a direct command, was recorded under the machine's present fencing token. */
   | { readonly kind: 'heartbeat_recorded'; readonly heartbeat: Heartbeat }
-  | { readonly kind: 'task_exited'; readonly task: TaskOnMachine; readonly why: ExitReason | null }
+  | { readonly kind: 'task_exited'; readonly task: TaskOnMachine; readonly reason: ExitReason | null }
   | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: TaskRun }
   | { readonly kind: 'job_failing'; readonly job: JobId; readonly failures: JobFailures }
   | {
@@ -44,22 +41,24 @@
       readonly since: MonotonicMs;
     };
 
-/** Takes in events; must neither throw nor wait. */
+/** Receives events; must neither throw nor block. */
 export type EventListener = (event: ServiceEvent) => void;
 
-/** Hands events to those who listen. */
+/** Delivers events to subscribers, synchronously and in the order of their subscription. */
 export class EventBus {
   private readonly listeners: EventListener[] = [];
 
-  /** Whether anybody listens: whoever makes events asks first. */
+  /** Whether there are subscribers: checked before an event is created. */
   get isActive(): boolean {
     return this.listeners.length > 0;
   }
 
+  /** Adds a subscriber for the life of the process. */
   subscribe(listener: EventListener): void {
     this.listeners.push(listener);
   }
 
+  /** Delivers an event to all subscribers. */
   emit(event: ServiceEvent): void {
     for (const listener of this.listeners) listener(event);
   }
--- a/src/core/model/address.ts
+++ b/src/core/model/address.ts
@@ -2,6 +2,6 @@
 
 /** Host and port of an address. */
 export function splitAddress(address: string): [host: string, port: number] {
-  const at = address.lastIndexOf(':');
-  return [address.slice(0, at), Number(address.slice(at + 1))];
+  const colon = address.lastIndexOf(':');
+  return [address.slice(0, colon), Number(address.slice(colon + 1))];
 }
--- a/src/core/model/cluster.ts
+++ b/src/core/model/cluster.ts
@@ -1,48 +1,52 @@
-/** Teams, shards, sessions and leadership: who schedules what. */
-import type { TeamName, NodeName, Incarnation, Zone, MachineName } from './ids.js';
+/** Teams, shards, sessions and leadership: which controller schedules what. */
+import type { Incarnation, MachineName, NodeName, TeamName, Zone } from './ids.js';
 import type { ResourceVector } from './resources.js';
 
-/** A team with its guarantee and its limit. */
+/** A team with its guarantee and its quota. */
 export interface Team {
   readonly name: TeamName;
-  /** [cpu, memory (never guaranteed), gpu]; 0 means none. */
+  /** What the team may get by preempting others; 0 for a resource without guarantee, as memory always is. */
   readonly guarantee: ResourceVector;
-  /** Null where the settings give 0: no limit of that kind. */
+  /** Quota of CPUs in micro-units; null for none, where the settings give 0. */
   readonly limitCpu: number | null;
+  /** Quota of GPUs in micro-units; null for none, where the settings give 0. */
   readonly limitGpu: number | null;
 }
 
 /** What the state service keeps of a team. */
 export interface TeamRecord {
-  /** The slice whose holder schedules the team. */
+  /** The shard whose holder schedules the team. */
   readonly owner: NodeName;
 }
 
-/** Who holds a slice: its machines and its teams. Written only when that changes. */
+/** Which controller holds a shard, its machines and its teams. Written only when that changes. */
 export interface ShardRecord {
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
 }
 
-/** A controller's session; it goes with its lease. */
+/** A controller's session; the state service deletes it with its lease. */
 export interface SessionRecord {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
+  /** Id of the lease in the state service. */
   readonly lease: number;
   readonly zone: Zone;
-  /** It has handed over what it held and is about to end: it is given nothing. */
+  /** The controller has handed over its shards and is shutting down: it is assigned nothing. */
   readonly draining?: boolean;
 }
 
-/** The leadership; it goes with its lease. */
+/** The leadership; the state service deletes it with its lease. */
 export interface LeaderRecord {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
+  /** Id of the lease in the state service. */
   readonly lease: number;
 }
 
-/** Machines that answer to a controller which is not their owner, since they do not reach that one. */
+/** Machines for which a controller answers as a proxy, since they cannot reach their owner. */
 export interface ProxiedMachinesRecord {
   readonly machines: readonly MachineName[];
+  /** Id of the lease in the state service. */
   readonly lease: number;
 }
--- a/src/core/model/dominant-share.ts
+++ b/src/core/model/dominant-share.ts
@@ -3,12 +3,15 @@
  * Systems", Sec. 4 and 5.2, with the GPU as a third resource.
  */
 import type { Team } from './cluster.js';
-import { CPU, GPU, type ResourceVector } from './resources.js';
+import { CPU, GPU, MEMORY, MICRO_UNITS, type ResourceVector } from './resources.js';
 
-/** Each resource of `a` as a share of the fleet's total; a resource the fleet lacks counts as none. */
-export function resourceShares(a: ResourceVector, total: ResourceVector): [number, number, number] {
-  const s = (i: 0 | 1 | 2) => (total[i] > 0 ? a[i] / total[i] : 0);
-  return [s(0), s(1), s(2)];
+type ResourceIndex = typeof CPU | typeof MEMORY | typeof GPU;
+
+/** Each amount as a share of the fleet's total; 0 for a resource that the fleet lacks. */
+export function resourceShares(amounts: ResourceVector, total: ResourceVector): [number, number, number] {
+  const shareOf = (resource: ResourceIndex) =>
+    total[resource] > 0 ? amounts[resource] / total[resource] : 0;
+  return [shareOf(CPU), shareOf(MEMORY), shareOf(GPU)];
 }
 
 /** The largest of the shares. */
@@ -16,30 +19,40 @@
   return Math.max(...resourceShares(demand, total));
 }
 
-/** The team's guarantee, in whole units of the resource it is given in; 1 for a team without one. */
+/** The team's guarantee, in whole units of the resource that it is given in; 1 for a team without one. */
 export function teamWeight(team: Team): number {
-  const most = Math.max(team.guarantee[GPU], team.guarantee[CPU]) / 1_000_000;
-  return most > 0 ? most : 1;
+  const weight = Math.max(team.guarantee[GPU], team.guarantee[CPU]) / MICRO_UNITS;
+  return weight > 0 ? weight : 1;
 }
 
 /**
- * H(i, l) = |D/D1 - c/c1| summed over the resources, D the demand and c the machine's free room, both as
- * shares of the fleet's totals. Index 1 is the CPU, or the dominant resource for a task that asks no CPU.
+ * Fitness H(i, l) = |D/D1 - c/c1| summed over the resources, D the demand and c the machine's free resources, both as
+ * shares of the fleet's totals: 0 for a machine whose free resources have the shape of the demand, infinite where the
+ * reference resource is missing. That is the CPU, or the dominant resource of a task that asks for no CPU.
+ *
+ * Called for every task and machine of a shard: creates no objects.
  */
 export function fitness(demand: ResourceVector, free: ResourceVector, total: ResourceVector): number {
-  // Called for every machine of a slice and every task: nothing is allocated here.
-  let first = CPU as 0 | 1 | 2;
-  if (demand[CPU] <= 0 || total[CPU] <= 0)
-    for (const r of [1, 2] as const)
-      if (total[r] > 0 && (total[first] <= 0 || demand[r] / total[r] > demand[first] / total[first]))
-        first = r;
-  const d1 = demand[first] / total[first];
-  const c1 = free[first] / total[first];
-  if (!(d1 > 0 && c1 > 0)) return Number.POSITIVE_INFINITY;
-  let h = 0;
-  for (let r = 0; r < 3; r++) {
-    const t = total[r]!;
-    if (t > 0) h += Math.abs(demand[r]! / t / d1 - free[r]! / t / c1);
+  const reference = referenceResource(demand, total);
+  const demandShare = demand[reference] / total[reference];
+  const freeShare = free[reference] / total[reference];
+  if (!(demandShare > 0 && freeShare > 0)) return Number.POSITIVE_INFINITY;
+  let distance = 0;
+  for (let resource = 0; resource < 3; resource++) {
+    const whole = total[resource]!;
+    if (whole > 0)
+      distance += Math.abs(demand[resource]! / whole / demandShare - free[resource]! / whole / freeShare);
+  }
+  return distance;
+}
+
+function referenceResource(demand: ResourceVector, total: ResourceVector): ResourceIndex {
+  if (demand[CPU] > 0 && total[CPU] > 0) return CPU;
+  let dominant: ResourceIndex = CPU;
+  for (let resource = MEMORY as ResourceIndex; resource <= GPU; resource++) {
+    if (total[resource] <= 0) continue;
+    const share = demand[resource] / total[resource];
+    if (total[dominant] <= 0 || share > demand[dominant] / total[dominant]) dominant = resource;
   }
-  return h;
+  return dominant;
 }
--- a/src/core/model/heartbeats.ts
+++ b/src/core/model/heartbeats.ts
@@ -1,18 +1,20 @@
 /** Heartbeats with status from node agents, and commands to them. */
-import type { JobId, TaskIndex, Attempt, MachineName, TypeName, Zone, FencingToken } from './ids.js';
+import type { Attempt, FencingToken, JobId, MachineName, TaskIndex, TypeName, Zone } from './ids.js';
 
-/** State of a task on its machine. */
+/** State of a task on its machine: fetching its image, waiting to start, running, saving a checkpoint, or exited. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
+
 /** Why a task has left its machine. */
 export type ExitReason =
   'done' | 'stopped' | 'peers' | 'incomplete' | 'error' | 'full' | 'in_use' | 'unknown';
 
-/** A task as its worker reports it. */
+/** A task as its agent reports it. */
 export interface ReportedTask {
   readonly job: JobId;
   readonly index: TaskIndex;
   readonly attempt: Attempt;
   readonly state: TaskState;
+  /** Null unless the task has exited. */
   readonly exitReason: ExitReason | null;
   readonly hasCheckpoint: boolean;
 }
@@ -27,23 +29,40 @@
 /** A heartbeat with status, as an agent sends it. */
 export interface Heartbeat extends HeartbeatId {
   readonly machine: MachineName;
+  /** Where the agent takes direct commands, as host and port. */
   readonly address: string;
   readonly type: TypeName;
   readonly zone: Zone;
   readonly spot: boolean;
+  /** The highest fencing token that the agent has seen. */
   readonly token: FencingToken;
+  /** Seconds until the cloud reclaims the spot machine; null without a notice. */
   readonly preemptionNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
-/** A command to a worker. */
-export type AgentCommand =
-  | { readonly op: 'start'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt }
-  | {
-      readonly op: 'stop';
-      readonly job: JobId;
-      readonly index: TaskIndex;
-      readonly attempt: Attempt;
-      readonly gracePeriodS: number;
-    }
-  | { readonly op: 'forget'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt };
+interface CommandTarget {
+  readonly job: JobId;
+  readonly index: TaskIndex;
+  readonly attempt: Attempt;
+}
+
+/** Starts a task. */
+export interface StartCommand extends CommandTarget {
+  readonly op: 'start';
+}
+
+/** Stops a task. */
+export interface StopCommand extends CommandTarget {
+  readonly op: 'stop';
+  /** Seconds that the task has to save a checkpoint. */
+  readonly gracePeriodS: number;
+}
+
+/** Lets the agent drop an exited task from its heartbeats. */
+export interface ForgetCommand extends CommandTarget {
+  readonly op: 'forget';
+}
+
+/** A command to an agent. */
+export type AgentCommand = StartCommand | StopCommand | ForgetCommand;
--- a/src/core/model/jobs.ts
+++ b/src/core/model/jobs.ts
@@ -1,37 +1,54 @@
 /** Jobs: what users submit, what the state service keeps of them, and what users are told. */
 import type { ExitReason } from './heartbeats.js';
-import type { JobId, TeamName, TypeName, Zone, MachineName } from './ids.js';
+import type { JobId, MachineName, TeamName, TypeName, Zone } from './ids.js';
 import type { ResourceVector } from './resources.js';
 import type { WallClockMs } from './time.js';
 
-/** Array: independent tasks. Gang: all tasks at the same time or none. Service: replicas until cancelled. */
+/** Array: independent tasks. Gang: all tasks at the same time or none. Service: replicas that run until cancelled. */
 export type JobKind = 'array' | 'gang' | 'service';
 /** Priorities, from the highest to the lowest. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 /** A smaller rank is a higher priority. */
-export const PRIORITY_RANK: Record<Priority, number> = { production: 0, high: 1, normal: 2, low: 3 };
+export const PRIORITY_RANK: Readonly<Record<Priority, number>> = {
+  production: 0,
+  high: 1,
+  normal: 2,
+  low: 3,
+};
 
 /** A job as its user described it. */
 export interface JobSpec {
   readonly id: JobId;
+  /** The class of jobs that it belongs to; the settings state objectives by class. */
   readonly class: string;
   readonly team: TeamName;
   readonly kind: JobKind;
   readonly priority: Priority;
+  /** Number of tasks. */
   readonly tasks: number;
+  /** What one task needs. */
   readonly demand: ResourceVector;
   readonly image: string;
   readonly imageGb: number;
+  /** The machine types that the job may run on; null for all. */
   readonly types: readonly TypeName[] | null;
+  /** The zone that the job must run in; null for any. */
   readonly zone: Zone | null;
+  /** All tasks have to run in the same zone. */
   readonly oneZone: boolean;
+  /** At most half of the tasks, rounded up, may run in one zone. */
   readonly spread: boolean;
+  /** The job may run on spot machines. */
   readonly spot: boolean;
+  /** The user's estimate of a task's run time. */
   readonly estimateS: number;
+  /** Progress between two checkpoints; 0 for tasks without checkpoints, whose work is lost when they are stopped. */
   readonly checkpointS: number;
+  /** How long a task takes to save a checkpoint when it is stopped. */
   readonly saveS: number;
+  /** Deadline, in seconds after the submission; null for none. */
   readonly deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts; only those that were not when it came. */
+  /** Jobs that have to be done before any task of this one starts; only those that were not at its submission. */
   readonly needs?: readonly JobId[];
 }
 
@@ -39,21 +56,23 @@
 export type JobPhase = 'active' | 'cancelling';
 /** How a job has ended. */
 export type FinalState = 'done' | 'cancelled';
-/** A job's state as its user is told. */
+/** A job's state as its user sees it. */
 export type JobState = 'pending' | 'running' | FinalState;
 
-/** A job as its user is shown it. */
+/** A job as its user sees it. */
 export interface JobStatus {
   readonly state: JobState;
+  /** Number of tasks that are done. */
   readonly done: number;
+  /** Number of tasks that are running. */
   readonly running: number;
-  /** What the job still waits for. */
+  /** The jobs that it still waits for. */
   readonly needs?: readonly JobId[];
-  /** What it inherits from jobs that need it. */
+  /** What it inherits from jobs that depend on it. */
   readonly inherited?: { readonly priority: Priority; readonly dueInS: number | null };
   /** The job whose cancellation withdrew this one. */
   readonly because?: JobId;
-  /** How often, with what and where it failed, and when it is tried next. */
+  /** Its failures on every machine, and when it is tried next. */
   readonly failing?: {
     readonly rounds: number;
     readonly why: ExitReason;
@@ -66,37 +85,38 @@
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly phase: JobPhase;
-  /** Tasks below `base` are done; of those from it on, the ones whose bit is set. */
   readonly done: DoneSet;
   readonly submitted: WallClockMs;
-  /** It fails wherever it runs; gone with the next task that is done. */
+  /** The job fails on every machine; removed when its next task is done. */
   readonly failing?: JobFailureRecord;
 }
 
-/** What a job's record says of its failures, so that another owner goes on with its waits, and its user can see them. */
+/** A job's failures, stored so that another owner continues its backoff and its user can see them. */
 export interface JobFailureRecord {
-  /** How often it was tried and failed since it is taken to fail everywhere. */
+  /** Number of failed tries since the job was found to fail on every machine. */
   readonly rounds: number;
   readonly why: ExitReason;
-  /** The machines where it failed last. */
+  /** The machines of its last failures. */
   readonly machines: readonly MachineName[];
-  /** It is not tried again before. */
+  /** End of the backoff: it is not tried again before. */
   readonly until: WallClockMs;
 }
 
-/** Which tasks of a job are done. */
+/** Which tasks of a job are done: all below `base`, and those from it on whose bit is set. */
 export interface DoneSet {
   readonly base: number;
-  /** Base64 of a bitmap whose first bit is task `base`. */
+  /** Base64 of a bitmap whose first bit, the lowest of its first byte, stands for task `base`. */
   readonly bits: string;
+  /** Number of tasks that are done. */
   readonly count: number;
 }
 
-/** What remains of a job for ever. */
+/** What the state service keeps of a finished job for ever. */
 export interface FinalRecord {
   readonly state: FinalState;
+  /** Number of tasks that were done. */
   readonly done: number;
-  /** When it was over; versions before pipelines did not write it. */
+  /** When the job ended; missing in records of versions without dependencies between jobs. */
   readonly at?: WallClockMs;
   /** The job whose cancellation withdrew this one, where it was not its own. */
   readonly because?: JobId;
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -1,45 +1,57 @@
 /** Resource vectors: demands, capacities and their arithmetic in exact integers. */
 
 /**
- * Amounts of the three resources in whole millionths, so that adding and taking away loses nothing:
- * [cpu, memory in GB, gpu].
+ * Amounts of [CPUs, memory in GB, GPUs] in whole micro-units, so that adding and subtracting is exact.
  */
 export type ResourceVector = readonly [number, number, number];
-/** Amounts are whole numbers of this part of a unit. */
+
+/** Micro-units in one unit of a resource. */
 export const MICRO_UNITS = 1_000_000;
-/** Index of the CPUs in amounts. */
+
+/** Index of the CPUs in a resource vector. */
 export const CPU = 0;
-/** Index of the memory. */
+/** Index of the memory in a resource vector. */
 export const MEMORY = 1;
-/** Index of the GPUs. */
+/** Index of the GPUs in a resource vector. */
 export const GPU = 2;
-/** A demand is rounded up and a capacity down, so no machine is ever promised more than it has. */
+
+/** No amount of any resource. */
+export const NO_RESOURCES: ResourceVector = [0, 0, 0];
+
+/** Absorbs the rounding errors of decimal fractions, in micro-units. */
+const ROUNDING_TOLERANCE = 1e-3;
+
+/** A demand, rounded up: with capacities rounded down, no machine is promised more than it has. */
 export const demandVector = (cpus: number, memoryGb: number, gpus: number): ResourceVector => [
-  Math.ceil(cpus * MICRO_UNITS - 1e-3),
-  Math.ceil(memoryGb * MICRO_UNITS - 1e-3),
-  Math.ceil(gpus * MICRO_UNITS - 1e-3),
+  Math.ceil(cpus * MICRO_UNITS - ROUNDING_TOLERANCE),
+  Math.ceil(memoryGb * MICRO_UNITS - ROUNDING_TOLERANCE),
+  Math.ceil(gpus * MICRO_UNITS - ROUNDING_TOLERANCE),
 ];
+
 /** A machine's capacity, rounded down. */
 export const capacityVector = (cpus: number, memoryGb: number, gpus: number): ResourceVector => [
-  Math.floor(cpus * MICRO_UNITS + 1e-3),
-  Math.floor(memoryGb * MICRO_UNITS + 1e-3),
-  Math.floor(gpus * MICRO_UNITS + 1e-3),
+  Math.floor(cpus * MICRO_UNITS + ROUNDING_TOLERANCE),
+  Math.floor(memoryGb * MICRO_UNITS + ROUNDING_TOLERANCE),
+  Math.floor(gpus * MICRO_UNITS + ROUNDING_TOLERANCE),
 ];
-/** The sum of `a` and so many times `b`. */
-export const addResources = (a: ResourceVector, b: ResourceVector, times = 1): ResourceVector => [
-  a[0] + b[0] * times,
-  a[1] + b[1] * times,
-  a[2] + b[2] * times,
+
+/** The sum of `amounts` and so many times `added`. */
+export const addResources = (amounts: ResourceVector, added: ResourceVector, times = 1): ResourceVector => [
+  amounts[CPU] + added[CPU] * times,
+  amounts[MEMORY] + added[MEMORY] * times,
+  amounts[GPU] + added[GPU] * times,
 ];
-/** Whether a need fits into the room, in every resource. */
-export const fitsWithin = (need: ResourceVector, room: ResourceVector) =>
-  need[0] <= room[0] && need[1] <= room[1] && need[2] <= room[2];
-/** How many times the need fits into the room. */
-export const tasksThatFit = (need: ResourceVector, room: ResourceVector): number => {
-  let n = Number.POSITIVE_INFINITY;
-  for (const r of [CPU, MEMORY, GPU] as const)
-    if (need[r] > 0) n = Math.min(n, Math.max(0, Math.floor(room[r] / need[r])));
-  return n;
-};
-/** No amount of anything. */
-export const NO_RESOURCES: ResourceVector = [0, 0, 0];
+
+/** Whether the demand fits into the free resources, for each resource. */
+export const fitsWithin = (demand: ResourceVector, free: ResourceVector): boolean =>
+  demand[CPU] <= free[CPU] && demand[MEMORY] <= free[MEMORY] && demand[GPU] <= free[GPU];
+
+/** How many tasks of the demand fit into the free resources; infinite for a demand of nothing. */
+export function tasksThatFit(demand: ResourceVector, free: ResourceVector): number {
+  let tasks = Number.POSITIVE_INFINITY;
+  for (const resource of [CPU, MEMORY, GPU] as const) {
+    if (demand[resource] <= 0) continue;
+    tasks = Math.min(tasks, Math.max(0, Math.floor(free[resource] / demand[resource])));
+  }
+  return tasks;
+}
--- a/src/core/model/time.ts
+++ b/src/core/model/time.ts
@@ -1,11 +1,12 @@
 /** Monotonic and wall-clock time, as branded numbers of milliseconds. */
 import type { Brand } from './ids.js';
 
-/** Milliseconds on this process's steady clock. */
-export type MonotonicMs = Brand<number, 'Steady'>;
-/** Milliseconds of the time of day; only ever used with slack. */
-export type WallClockMs = Brand<number, 'WallMs'>;
-/** Takes milliseconds for a time of the steady clock. */
-export const monotonicMs = (n: number) => n as MonotonicMs;
-/** Takes milliseconds for a time of day. */
-export const wallClockMs = (n: number) => n as WallClockMs;
+/** Milliseconds on this process's monotonic clock; not comparable between processes. */
+export type MonotonicMs = Brand<number, 'MonotonicMs'>;
+/** Milliseconds since the Unix epoch. Clocks of different machines disagree: comparisons need tolerance. */
+export type WallClockMs = Brand<number, 'WallClockMs'>;
+
+/** Takes milliseconds for a time on the monotonic clock. */
+export const monotonicMs = (ms: number): MonotonicMs => ms as MonotonicMs;
+/** Takes milliseconds for a time on the wall clock. */
+export const wallClockMs = (ms: number): WallClockMs => ms as WallClockMs;
--- a/src/core/records/keys.ts
+++ b/src/core/records/keys.ts
@@ -1,8 +1,8 @@
 /**
- * Keys of the state service: how they are built, and what a key found there stands for.
+ * Keys of the state service: how they are built, and which record a key stands for.
  *
  * All keys but those of final states begin with one prefix, so that a single watch delivers their changes in one order.
- * The version in production reads and writes the same keys: their form never changes.
+ * Other versions of the program read and write the same keys: their form never changes.
  */
 import {
   jobId,
@@ -33,7 +33,7 @@
 const LEADER = 'p/leader';
 const TYPES = 'p/types';
 
-/** Builds the key of each kind of record. */
+/** Builds the key of each kind of record. Names that users choose are encoded. */
 export const key = {
   job: (id: JobId) => PREFIX.job + id,
   machine: (name: MachineName) => PREFIX.machine + name,
@@ -41,19 +41,19 @@
   shard: (name: string) => PREFIX.shard + encodeURIComponent(name),
   session: (node: string) => PREFIX.session + encodeURIComponent(node),
   rental: (name: string) => PREFIX.rental + name,
-  /** Machines that a controller answers in place of their owners; a long list goes on in further parts. */
+  /** Machines for which a controller is the proxy; a long list continues in further parts. */
   proxiedMachines: (node: string, part = 0) =>
     PREFIX.proxiedMachines + encodeURIComponent(node) + (part === 0 ? '' : `/${part}`),
   cancellation: (id: JobId) => PREFIX.cancellation + id,
   leader: LEADER,
-  /** The list of machine types; what does not fit into one value goes on in `moreTypes`. */
+  /** The list of machine types; what does not fit into one value continues in `moreTypes`. */
   types: TYPES,
   moreTypes: (part: number) => `${PREFIX.moreTypes}${part}`,
   /** Outside the watched prefix: finished jobs are kept for ever and read only when asked for. */
   final: (id: JobId) => PREFIX.final + id,
 };
 
-/** What a key stands for. */
+/** The record that a key stands for. */
 export type ParsedKey =
   | { readonly kind: 'job'; readonly job: JobId }
   | { readonly kind: 'machine'; readonly machine: MachineName }
@@ -68,6 +68,7 @@
   | { readonly kind: 'final'; readonly job: JobId }
   | { readonly kind: 'unknown' };
 
+/** How the rest of a key is parsed, by prefix; no prefix begins with another. */
 const PARSERS: readonly (readonly [string, (rest: string) => ParsedKey])[] = [
   [PREFIX.job, (rest) => ({ kind: 'job', job: jobId(rest) })],
   [PREFIX.machine, (rest) => ({ kind: 'machine', machine: machineName(rest) })],
@@ -84,16 +85,16 @@
   [PREFIX.final, (rest) => ({ kind: 'final', job: jobId(rest) })],
 ];
 
-/** Says what a key stands for; a key of no known form is `unknown`. */
+/** The record that a key stands for; `unknown` for a key of another form. */
 export function parseKey(text: string): ParsedKey {
   if (text === LEADER) return { kind: 'leader' };
   if (text === TYPES) return { kind: 'types' };
   try {
     for (const [prefix, parse] of PARSERS)
       if (text.startsWith(prefix)) return parse(text.slice(prefix.length));
-  } catch (e) {
-    // A name that was not encoded as a key was not written by any version of this program.
-    if (!(e instanceof URIError)) throw e;
+  } catch (error) {
+    // The name is not encoded: no version of this program wrote the key.
+    if (!(error instanceof URIError)) throw error;
   }
   return { kind: 'unknown' };
 }
