--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,6 +1,6 @@
 /** Keeps the records in step with the cloud: machine types, machines that failed or are gone, and machines without records. */
-import { LOG_EVENT } from '../../core/log-events.js';
 import { addToCount } from '../../core/collections.js';
+import { LOG_EVENT } from '../../core/log-events.js';
 import type { MachineName, NodeName } from '../../core/model/ids.js';
 import type { MachineRecord, MachineType } from '../../core/model/machines.js';
 import type { MonotonicMs } from '../../core/model/time.js';
--- a/src/controller/leader/misrouted-agents.ts
+++ b/src/controller/leader/misrouted-agents.ts
@@ -2,16 +2,19 @@
  * Misrouted agents: machines whose heartbeats another controller answers as a proxy, because they do not reach their
  * owner. After a while such a machine is moved to the shard of its proxy.
  */
+import { AGENT_ANSWER_TIMEOUT_MS, AGENT_FAILOVER_PAUSE_MS } from '../../core/agents/agent-timing.js';
+import { addToCount } from '../../core/collections.js';
 import type { MachineName, NodeName, FencingToken } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import { monotonicMs, type MonotonicMs } from '../../core/model/time.js';
 import type { MachineMove } from '../../core/scaling/scaling-types.js';
 import type { LiveController } from '../../core/state/shard-assignment.js';
-import { addToCount } from '../../core/collections.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** An agent without an answer has turned to the next controller after this time. */
-const FAILOVER_MS = 6000;
+/** Allowance for delays while an agent turns to the next controller. */
+const FAILOVER_SLACK_MS = 1000;
+/** Longest time from a heartbeat without an answer to the one that the next controller receives. */
+const MAX_FAILOVER_MS = AGENT_ANSWER_TIMEOUT_MS + AGENT_FAILOVER_PAUSE_MS + FAILOVER_SLACK_MS;
 /** A machine is moved to its proxy's shard after so many heartbeat intervals. */
 const INTERVALS_BEFORE_MOVE = 1.6;
 /** A controller that reaches none of at least so many machines counts as cut off from its agents. */
@@ -87,7 +90,7 @@
   private forgetReturned(): void {
     const { clock, settings, view } = this.context;
     const now = clock.now();
-    const maxAgeMs = FAILOVER_MS * settings.nodes;
+    const maxAgeMs = MAX_FAILOVER_MS * settings.nodes;
     for (const [name, proxiedAt] of this.lastProxiedAt)
       if (now - proxiedAt > maxAgeMs || !view.machines.has(name)) this.lastProxiedAt.delete(name);
   }
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -1,5 +1,6 @@
 /** Rents machines. Each rental is committed before the cloud is asked for it, so that no machine is rented twice. */
 import { groupBy } from '../../core/collections.js';
+import type { MachineTraits } from '../../core/jobs/feasibility.js';
 import { LOG_EVENT } from '../../core/log-events.js';
 import {
   NO_VERSION,
@@ -12,7 +13,6 @@
 import { monotonicMs, type MonotonicMs } from '../../core/model/time.js';
 import { key } from '../../core/records/keys.js';
 import { jsonBytes } from '../../core/records/stored-records.js';
-import type { MachineTraits } from '../../core/jobs/feasibility.js';
 import type { RentalRequest } from '../../core/scaling/scaling-types.js';
 import type { CloudClient } from '../../io/cloud/cloud-client.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
--- a/src/core/scaling/packing-bins.ts
+++ b/src/core/scaling/packing-bins.ts
@@ -2,8 +2,8 @@
 import type { NodeName } from '../model/ids.js';
 import type { MachineRecord } from '../model/machines.js';
 import { fitsWithin, type ResourceVector } from '../model/resources.js';
-import type { PackingBin, ScalingInput } from './scaling-types.js';
 import type { RentalOption } from './rental-options.js';
+import type { PackingBin, ScalingInput } from './scaling-types.js';
 
 /** A bin whose machine exists. */
 export type MachineBin = PackingBin & { readonly machine: MachineRecord };
@@ -38,7 +38,7 @@
 }
 
 /** Bins that can take one of the demands; empty ones are kept even if they cannot, since they may be released. */
-export function openBins(bins: readonly PackingBin[], demands: readonly ResourceVector[]): PackingBin[] {
+export function candidateBins(bins: readonly PackingBin[], demands: readonly ResourceVector[]): PackingBin[] {
   return bins.filter((bin) => bin.isEmpty || demands.some((demand) => fitsWithin(demand, bin.free)));
 }
 
--- a/src/core/scaling/packing-state.ts
+++ b/src/core/scaling/packing-state.ts
@@ -1,11 +1,11 @@
 /** The working state of a scaling plan: bins that are filled with pending tasks, and the moves and rentals that this takes. */
-import { allowsMachine, maxTasksPerZone, zoneChoices } from '../jobs/feasibility.js';
 import { addToCount } from '../collections.js';
+import { allowsMachine, maxTasksPerZone, zoneChoices } from '../jobs/feasibility.js';
 import type { Zone } from '../model/ids.js';
 import type { JobSpec } from '../model/jobs.js';
 import type { MachineRecord } from '../model/machines.js';
 import { addResources, tasksThatFit, type ResourceVector } from '../model/resources.js';
-import { existingBins, isUp, openBins, rentalBin } from './packing-bins.js';
+import { existingBins, isUp, candidateBins, rentalBin } from './packing-bins.js';
 import { chooseRentalOption, rentalOptions } from './rental-options.js';
 import type {
   BinMove,
@@ -40,8 +40,8 @@
   readonly bins: readonly PackingBin[];
   /** Tasks that neither the fleet nor the cloud has machines for. */
   readonly unmet: UnmetDemand[] = [];
-  /** Bins that are worth looking at, with those that the plan rents. */
-  private readonly open: PackingBin[];
+  /** Bins that can take tasks of the demands, followed by those that the plan rents. */
+  private readonly candidates: PackingBin[];
   /** Zones in which some machine type is offered. */
   private readonly zones: readonly Zone[];
   private readonly machinesPerZone = new Map<Zone, number>();
@@ -55,7 +55,7 @@
   ) {
     this.bins = existingBins(input);
     for (const { zone } of this.bins) addToCount(this.machinesPerZone, zone, 1);
-    this.open = openBins(this.bins, demands);
+    this.candidates = candidateBins(this.bins, demands);
     this.zones = [...new Set(input.types.flatMap((type) => type.zones))];
   }
 
@@ -123,7 +123,7 @@
       const rented = rentalBin(option, shard);
       this.rentals.push({ type: rented.type, zone: rented.zone, spot: rented.spot, shard });
       addToCount(this.machinesPerZone, rented.zone, 1);
-      this.open.push(rented);
+      this.candidates.push(rented);
       left -= this.fill(demand, left, (bin) => bin === rented);
     }
   }
@@ -157,7 +157,7 @@
 
   private binsByScore(demand: PendingDemand, isAdmitted: BinFilter): PackingBin[] {
     const { spec, zone } = demand;
-    const bins = this.open.filter(
+    const bins = this.candidates.filter(
       (bin) => isAdmitted(bin) && !isLeftToGangs(bin, demand) && placesOn(bin, spec, zone) > 0,
     );
     if (bins.length <= 1) return bins;
@@ -182,7 +182,7 @@
   /** Tasks of the gang that do not fit on the bins that the filter admits in the zone. */
   private missingTasks(spec: JobSpec, zone: Zone | null, isAdmitted: BinFilter): number {
     let missing = spec.tasks;
-    for (const bin of this.open) {
+    for (const bin of this.candidates) {
       if (missing <= 0) break;
       if (isAdmitted(bin)) missing -= placesOn(bin, spec, zone);
     }
@@ -200,7 +200,7 @@
 
   private machinesToRelease(): MachineRecord[] {
     const machines: MachineRecord[] = [];
-    for (const { machine, isEmpty, plannedTasks } of this.open)
+    for (const { machine, isEmpty, plannedTasks } of this.candidates)
       if (machine !== null && isEmpty && plannedTasks === 0 && this.input.isIdle(machine))
         machines.push(machine);
     return machines;
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -1,6 +1,4 @@
 /** Jobs, teams, allocations and scaling plans that several tests of scheduling use. */
-import { allocationFor } from '../src/core/state/allocations.js';
-import { AllocationTotals } from '../src/core/state/allocation-totals.js';
 import { attempt, nodeName, teamName } from '../src/core/model/ids.js';
 import type { JobRecord } from '../src/core/model/jobs.js';
 import type { Allocation, MachineRecord } from '../src/core/model/machines.js';
@@ -8,6 +6,8 @@
 import { wallClockMs } from '../src/core/model/time.js';
 import { planScaling } from '../src/core/scaling/scaling-plan.js';
 import type { ScalingInput, ScalingPlan } from '../src/core/scaling/scaling-types.js';
+import { AllocationTotals } from '../src/core/state/allocation-totals.js';
+import { allocationFor } from '../src/core/state/allocations.js';
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission, type, types } from './samples.js';
 
