--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -240,12 +240,12 @@
   assert.equal(first(150, []), 'wk-1', 'neither runs: the one that has waited longer');
 });
 
-test('a slice that a process has given itself is its own once its view holds what was committed before', () => {
+test('a shard that a process has acquired is its own once its view holds the commits made before', () => {
   const view = new ClusterView();
   view.advanceTo(revision(10));
   const shard = key.shard('c-1');
   view.apply({ key: shard, value: { holder: 'c-0', incarnation: 'me' }, version: version(20) });
-  assert.equal(view.isHeldBy('c-1', incarnation('me')), false, 'a start of its former holder may be at 19');
+  assert.equal(view.isHeldBy('c-1', incarnation('me')), false, 'a start by its former holder may be at 19');
   view.advanceTo(revision(20));
   assert.equal(view.isHeldBy('c-1', incarnation('me')), true);
   assert.equal(view.isHeldBy('c-1', incarnation('another')), false);
