--- a/src/controller/heartbeats/heartbeat-router.ts
+++ b/src/controller/heartbeats/heartbeat-router.ts
@@ -76,8 +76,8 @@
     if (context.ownership.isAcquiring(machine)) return { kind: 'ok', token, commands: [] };
     if (!this.isStateFresh()) return this.isolatedAnswers.answer(machine, heartbeat);
     const owner = context.ownership.holderOf(machine);
-    if (!this.proxiedAgents.shouldProxy(machine, heartbeat, owner !== null))
-      return { kind: 'elsewhere', node: owner };
+    if (!this.proxiedAgents.shouldProxy(machine, heartbeat, { hasLiveOwner: owner !== null }))
+      return { kind: 'redirect', node: owner };
     return { kind: 'ok', token, commands: this.proxyCommandsFor(heartbeat) };
   }
 
@@ -105,9 +105,9 @@
   /** The leader registers machines without a record. */
   private answerUnregistered(heartbeat: Heartbeat): HeartbeatReply {
     const leader = leaderOf(this.context);
-    if (leader !== this.context.settings.node) return { kind: 'elsewhere', node: leader };
+    if (leader !== this.context.settings.node) return { kind: 'redirect', node: leader };
     this.options.leader.recordUnregistered(heartbeat);
-    return { kind: 'elsewhere', node: null };
+    return { kind: 'redirect', node: null };
   }
 
   private answerOwned(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
--- a/src/controller/heartbeats/isolated-answers.ts
+++ b/src/controller/heartbeats/isolated-answers.ts
@@ -36,7 +36,7 @@
     const { context, availability, redirects, returns } = this.options;
     const { ownership, settings, view } = context;
     if (!availability.isIsolated)
-      return { kind: 'elsewhere', node: ownership.owns(machine) ? null : ownership.holderOf(machine) };
+      return { kind: 'redirect', node: ownership.owns(machine) ? null : ownership.holderOf(machine) };
     const token = view.fencingTokenOf(machine);
     const reachesNobodyElse = this.reachesNobodyElse(machine, heartbeat, token);
     // After the length of a lease the agent is redirected again: another controller that waits for it would otherwise
@@ -45,7 +45,7 @@
     if (heartbeat.token > token || !(reachesNobodyElse || isKept)) {
       returns.delete(machine.name);
       redirects.record(machine.name, token);
-      return { kind: 'elsewhere', node: null };
+      return { kind: 'redirect', node: null };
     }
     if (!isKept) returns.record(machine.name, token);
     redirects.delete(machine.name);
--- a/src/controller/heartbeats/proxied-agents.ts
+++ b/src/controller/heartbeats/proxied-agents.ts
@@ -37,6 +37,12 @@
   keepMs: number;
 }
 
+/** What the view shows about the holder of a machine's shard. */
+export interface OwnerState {
+  /** A controller with a session holds the shard. */
+  readonly hasLiveOwner: boolean;
+}
+
 /** Owns the set of agents that are answered as a proxy. */
 export class ProxiedAgents {
   private readonly agents = new Map<MachineName, ProxiedAgent>();
@@ -57,7 +63,7 @@
   }
 
   /** Whether the heartbeat is answered here; false: the agent is redirected to its owner. */
-  shouldProxy(machine: MachineRecord, heartbeat: Heartbeat, hasLiveOwner: boolean): boolean {
+  shouldProxy(machine: MachineRecord, heartbeat: Heartbeat, { hasLiveOwner }: OwnerState): boolean {
     const { clock, view } = this.context;
     const now = clock.now();
     const token = view.fencingTokenOf(machine);
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -6,6 +6,7 @@
 import { newAgentSession, recordHeartbeat, type AgentSession } from '../../core/agents/agent-session.js';
 import { confirmedExits } from '../../core/agents/confirmed-exits.js';
 import type { DesiredState } from '../../core/agents/desired-state.js';
+import { taskKey } from '../../core/agents/task-key.js';
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
 import { taskId, type FencingToken, type MachineName, type NodeName } from '../../core/model/ids.js';
@@ -27,8 +28,8 @@
 /** Reply to an agent's heartbeat. */
 export type HeartbeatReply =
   | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly AgentCommand[] }
-  /** Another controller answers: the named one, or any other where null. */
-  | { readonly kind: 'elsewhere'; readonly node: NodeName | null }
+  /** The agent is to turn to another controller: the named one, or any other where null. */
+  | { readonly kind: 'redirect'; readonly node: NodeName | null }
   | { readonly kind: 'busy' };
 
 /** Something new is known about a machine. */
@@ -90,7 +91,7 @@
     const { context } = this;
     const session = this.current(machine);
     const { token } = session;
-    if (heartbeat.token > token) return { kind: 'elsewhere', node: null };
+    if (heartbeat.token > token) return { kind: 'redirect', node: null };
     const isFirst = session.heartbeat === null;
     const now = context.clock.now();
     const arrival = { now, isPushed: true, heartbeatIntervalMs: this.heartbeatIntervalMs };
@@ -158,7 +159,7 @@
 
   /** Whether the stop has not been sent directly within the resend interval; if so, it counts as sent now. */
   private takeStopTurn(machine: MachineName, stop: AgentCommand): boolean {
-    const key = `${machine} ${stop.job}/${stop.index}@${stop.attempt}`;
+    const key = `${machine} ${taskKey(stop.job, stop.index, stop.attempt)}`;
     const sentAt = this.stopSentAt.get(key);
     const now = this.context.clock.now();
     if (sentAt !== undefined && now - sentAt < STOP_RESEND_INTERVAL_MS) return false;
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -207,7 +207,7 @@
     const { clock, state } = this.context;
     const now = clock.now();
     const { hasSpareBudget } = state;
-    const delayMs = cleanupDelayMs(hasSpareBudget, remaining.length === 0);
+    const delayMs = cleanupDelayMs({ hasSpareBudget, isEmpty: remaining.length === 0 });
     if (removableExits.some((exit) => now - exitedAt(session, exit) > delayMs)) return true;
     const hasShownToken = session.heartbeat?.token === session.token;
     const isTokenUnrecorded =
@@ -218,12 +218,11 @@
   }
 
   private changeSetFor(value: MachineRecord, isUrgent: boolean): ChangeSet {
-    const { guards } = this.context;
-    const machineKey = key.machine(value.name);
+    const reason = isUrgent ? 'machine_state' : 'tidying';
     return {
-      operations: [{ key: machineKey, value, reason: isUrgent ? 'machine_state' : 'tidying' }],
+      operations: [{ key: key.machine(value.name), value, reason }],
       // Guarded on the shard, too: a controller that has lost it must not write the records of its machines.
-      guards: [guards.forKey(machineKey), guards.forKey(key.shard(value.owner))],
+      guards: this.context.guards.forMachine(value),
     };
   }
 
@@ -241,7 +240,13 @@
   return hasBooted ? 'up' : machine.phase;
 }
 
-function cleanupDelayMs(hasSpareBudget: boolean, isEmpty: boolean): number {
+interface CleanupConditions {
+  readonly hasSpareBudget: boolean;
+  /** No task that still runs is allocated to the machine. */
+  readonly isEmpty: boolean;
+}
+
+function cleanupDelayMs({ hasSpareBudget, isEmpty }: CleanupConditions): number {
   if (hasSpareBudget) return CLEANUP_DELAY_SPARE_MS;
   return isEmpty ? CLEANUP_DELAY_EMPTY_MS : MAX_CLEANUP_DELAY_MS;
 }
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -73,7 +73,10 @@
     return { gangs: [], nonGangs: this.preemptor.preempt(this.waitReasons, this.availableMachines()) };
   }
 
-  /** Commits a plan, gangs first: a gang that is committed in part would have to stop again. False: not all was committed. */
+  /**
+   * Commits a plan, gangs first: a gang that is committed in part would have to stop again. Returns whether all of the plan
+   * was committed.
+   */
   async commit({ gangs, nonGangs }: PlacementPlan): Promise<boolean> {
     const { state, watcher } = this.context;
     const areGangsCommitted = await commitChangeSets(state, watcher, gangs, REQUEST_PRIORITY.starts);
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -23,6 +23,15 @@
   readonly until: MonotonicMs;
 }
 
+/** Tasks that are stopped for a job. */
+interface Preemption {
+  readonly job: JobRecord;
+  readonly machine: MachineRecord;
+  readonly victim: Allocation;
+  /** The job is within the guarantee of its team. */
+  readonly isEntitled: boolean;
+}
+
 /** Chooses tasks to preempt and reserves their room for the job that they were stopped for. */
 export class Preemptor {
   private readonly claims = new Map<MachineName, Claim>();
@@ -131,34 +140,29 @@
 
   /** The change that stops the victims; claims their room for the job. */
   private stopVictims(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): ChangeSet {
-    const { guards } = this.context;
     this.claim(job, machine);
     const isEntitled = this.isEntitled(job);
-    for (const victim of victims) this.reportPreemption(job, machine, victim, isEntitled);
+    for (const victim of victims) this.reportPreemption({ job, machine, victim, isEntitled });
     const value: MachineRecord = { ...machine, placed: markStopping(machine.placed, victims) };
-    const machineKey = key.machine(machine.name);
     return {
-      operations: [{ key: machineKey, value, reason: 'preemption' }],
-      guards: [guards.forKey(machineKey), guards.forKey(key.shard(machine.owner))],
+      operations: [{ key: key.machine(machine.name), value, reason: 'preemption' }],
+      guards: this.context.guards.forMachine(machine),
     };
   }
 
-  private reportPreemption(
-    { spec }: JobRecord,
-    machine: MachineRecord,
-    { job, tasks, attempt }: Allocation,
-    isEntitled: boolean,
-  ): void {
+  private reportPreemption({ job: preemptor, machine, victim, isEntitled }: Preemption): void {
     const { events, log } = this.context;
+    const { job, tasks, attempt } = victim;
+    const preemptorId = preemptor.spec.id;
     if (events.isActive)
       for (const index of tasks)
         events.emit({
           kind: 'task_preempted',
           task: { job, index, attempt, machine: machine.name },
-          inFavourOf: spec.id,
+          inFavourOf: preemptorId,
         });
     log.info(
-      { job, tasks, attempt, machine: machine.name, for: spec.id, entitled: isEntitled },
+      { job, tasks, attempt, machine: machine.name, for: preemptorId, entitled: isEntitled },
       LOG_EVENT.taskPreempted,
     );
   }
--- a/src/controller/shard/start-transactions.ts
+++ b/src/controller/shard/start-transactions.ts
@@ -1,6 +1,7 @@
 /** Turns placements into changes of machine records: one for each machine. */
+import { groupBy } from '../../core/collections.js';
 import { LOG_EVENT } from '../../core/log-events.js';
-import { attempt, taskId, type Attempt, type MachineName, type TeamName } from '../../core/model/ids.js';
+import { attempt, taskId, type Attempt, type TeamName } from '../../core/model/ids.js';
 import type { JobSpec } from '../../core/model/jobs.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import type { Placement } from '../../core/placement/placement-types.js';
@@ -41,7 +42,8 @@
   build(placements: readonly Placement[]): PlacementPlan {
     const gangs: ChangeSet[] = [];
     const nonGangs: ChangeSet[] = [];
-    for (const [name, onMachine] of byMachine(placements)) {
+    const byMachine = groupBy(placements, (placement) => placement.machine.name);
+    for (const [name, onMachine] of byMachine) {
       const machine = this.context.view.machines.get(name)!;
       const hasGang = onMachine.some(({ job }) => job.kind === 'gang');
       (hasGang ? gangs : nonGangs).push(this.startOn(machine, onMachine));
@@ -52,9 +54,8 @@
   /** The change that starts tasks on one machine and removes durable exits from its record. */
   private startOn(machine: MachineRecord, placements: readonly Placement[]): ChangeSet {
     const { guards: guardsOf, state } = this.context;
-    const machineKey = key.machine(machine.name);
     const guards = new GuardSet(state.limits.operationsPerTransaction * GUARDS_PER_OPERATION);
-    guards.add([guardsOf.forKey(machineKey), guardsOf.forKey(key.shard(machine.owner))]);
+    guards.add(guardsOf.forMachine(machine));
     const exits = this.taskExits.confirmedExitsOn(machine);
     const durableExits = exits.filter((exit) => this.taskExits.isDurable(exit));
     let placed = removeExits(machine.placed, durableExits);
@@ -75,7 +76,10 @@
       placed,
       ...this.machines.observedFields(machine, this.sessions.current(machine)),
     };
-    return { operations: [{ key: machineKey, value, reason: 'start' }], guards: guards.list() };
+    return {
+      operations: [{ key: key.machine(machine.name), value, reason: 'start' }],
+      guards: guards.list(),
+    };
   }
 
   /** Unique among all starts of the job: two holders of the team's shard have different epochs. */
@@ -111,15 +115,4 @@
   }
 }
 
-function byMachine(placements: readonly Placement[]): ReadonlyMap<MachineName, readonly Placement[]> {
-  const groups = new Map<MachineName, Placement[]>();
-  for (const placement of placements) {
-    const { name } = placement.machine;
-    const group = groups.get(name);
-    if (group === undefined) groups.set(name, [placement]);
-    else group.push(placement);
-  }
-  return groups;
-}
-
 const kindRank = (job: JobSpec): number => (job.kind === 'gang' ? 0 : 1);
--- a/src/core/agents/agent-session.ts
+++ b/src/core/agents/agent-session.ts
@@ -84,7 +84,7 @@
   const { now, isPushed } = arrival;
   const isAfterGap = isPushed && recordPush(session, heartbeat, arrival);
   if (session.heartbeat !== null && !isNewer(heartbeat, session.heartbeat)) return false;
-  if (isSignOfContact(session, heartbeat, isPushed, isAfterGap)) session.lastContactAt = now;
+  if (showsContact(session, heartbeat, { isPushed, isAfterGap })) session.lastContactAt = now;
   session.heartbeat = heartbeat;
   session.firstHeartbeatAt ??= now;
   for (const task of heartbeat.tasks) session.observedTasks.add(taskKey(task.job, task.index, task.attempt));
@@ -110,11 +110,10 @@
  * Whether the heartbeat shows that the agent receives its owner's answers. A pushed one under an older token is a late
  * copy, or its agent has not got this owner's answers; after a gap only the next one tells whether it does.
  */
-function isSignOfContact(
+function showsContact(
   session: AgentSession,
   heartbeat: Heartbeat,
-  isPushed: boolean,
-  isAfterGap: boolean,
+  { isPushed, isAfterGap }: { readonly isPushed: boolean; readonly isAfterGap: boolean },
 ): boolean {
   if (session.heartbeat === null || !isPushed) return true;
   return heartbeat.token === session.token && !isAfterGap;
--- a/src/core/health/failure-tracker.ts
+++ b/src/core/health/failure-tracker.ts
@@ -3,6 +3,7 @@
  * until its user cancels it: it must neither quarantine machines nor keep taking their room, so that it is retried with
  * exponential backoff. A faulty machine fails jobs that run on other machines.
  */
+import { addToCount } from '../collections.js';
 import type { ExitReason } from '../model/heartbeats.js';
 import type { JobId, MachineName } from '../model/ids.js';
 import { monotonicMs, type MonotonicMs } from '../model/time.js';
@@ -159,7 +160,7 @@
 
   private countFailure(machine: MachineName, job: JobId): void {
     const failures = this.machines.get(machine) ?? new Map<JobId, number>();
-    failures.set(job, (failures.get(job) ?? 0) + 1);
+    addToCount(failures, job, 1);
     this.machines.set(machine, failures);
   }
 
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -208,18 +208,18 @@
 
 test('a finished task frees its machine at once, and its part of the quota only once its result is durable', () => {
   const team = spec.team;
-  const m = machine(allocation([0, 1]));
-  const totals = new AllocationTotals([m], types, new Map());
+  const target = machine(allocation([0, 1]));
+  const totals = new AllocationTotals([target], types, new Map());
   const used = totals.usedBy(team);
-  const free = totals.freeByMachine.get(m.name)!;
-  totals.releaseProvisionally(m, allocation([0]), { includesQuota: false });
+  const free = totals.freeByMachine.get(target.name)!;
+  totals.releaseProvisionally(target, allocation([0]), { includesQuota: false });
   assert.deepEqual(totals.usedBy(team), used);
-  assert.notDeepEqual(totals.freeByMachine.get(m.name), free);
-  totals.restoreAllocation(m, allocation([0]), { includesQuota: false });
-  totals.releaseProvisionally(m, allocation([0]), { includesQuota: true });
+  assert.notDeepEqual(totals.freeByMachine.get(target.name), free);
+  totals.restoreAllocation(target, allocation([0]), { includesQuota: false });
+  totals.releaseProvisionally(target, allocation([0]), { includesQuota: true });
   assert.equal(totals.usedBy(team)[0], used[0] / 2);
-  totals.restoreAllocation(m, allocation([0]), { includesQuota: true });
-  assert.deepEqual([totals.usedBy(team), totals.freeByMachine.get(m.name)], [used, free]);
+  totals.restoreAllocation(target, allocation([0]), { includesQuota: true });
+  assert.deepEqual([totals.usedBy(team), totals.freeByMachine.get(target.name)], [used, free]);
 });
 
 test('totals updated record by record equal totals computed from all records', () => {
@@ -230,35 +230,36 @@
     ],
   ]);
   let seed = 7;
-  const int = (n: number) => (seed = (seed * 48_271) % 2_147_483_647) % n;
+  const nextInt = (below: number) => (seed = (seed * 48_271) % 2_147_483_647) % below;
   const totals = new AllocationTotals([], types, teams);
   const records = new Map<string, MachineRecord>();
   for (let step = 0; step < 400; step++) {
-    const name = machineName(`n-${int(8)}`);
-    if (int(5) === 0) records.delete(name);
+    const name = machineName(`n-${nextInt(8)}`);
+    if (nextInt(5) === 0) records.delete(name);
     else {
-      const list = [...Array(int(3)).keys()].map((i) => ({
-        ...allocation([int(6) * 3 + i], int(3)),
-        job: jobId(`wk-${int(4)}`),
-        stop: int(4) === 0,
+      const allocations = [...Array(nextInt(3)).keys()].map((i) => ({
+        ...allocation([nextInt(6) * 3 + i], nextInt(3)),
+        job: jobId(`wk-${nextInt(4)}`),
+        stop: nextInt(4) === 0,
       }));
-      records.set(name, { ...machine(...list), name, phase: int(6) === 0 ? 'releasing' : 'up' });
+      records.set(name, { ...machine(...allocations), name, phase: nextInt(6) === 0 ? 'releasing' : 'up' });
     }
     totals.setMachine(name, records.get(name));
-    const anew = new AllocationTotals(records.values(), types, teams);
-    assert.deepEqual(totals.freeByMachine, anew.freeByMachine);
-    assert.deepEqual(totals.fleetCapacity, anew.fleetCapacity);
-    assert.deepEqual(totals.usedBy(teamName('vision')), anew.usedBy(teamName('vision')));
+    const recomputed = new AllocationTotals(records.values(), types, teams);
+    assert.deepEqual(totals.freeByMachine, recomputed.freeByMachine);
+    assert.deepEqual(totals.fleetCapacity, recomputed.fleetCapacity);
+    assert.deepEqual(totals.usedBy(teamName('vision')), recomputed.usedBy(teamName('vision')));
     assert.ok(
-      Math.abs(totals.dominantShareOf(teamName('vision')) - anew.dominantShareOf(teamName('vision'))) < 1e-9,
+      Math.abs(totals.dominantShareOf(teamName('vision')) - recomputed.dominantShareOf(teamName('vision'))) <
+        1e-9,
     );
-    assert.deepEqual(new Set(totals.jobs.keys()), new Set(anew.jobs.keys()));
-    for (const [id, j] of anew.jobs) {
-      const mine = totals.jobs.get(id)!;
-      assert.deepEqual(new Set(mine.tasks.keys()), new Set(j.tasks.keys()));
-      assert.deepEqual(mine.tasksPerZone, j.tasksPerZone);
-      assert.deepEqual(mine.tasksPerAttempt, j.tasksPerAttempt);
-      assert.equal(mine.stoppingAllocations, j.stoppingAllocations);
+    assert.deepEqual(new Set(totals.jobs.keys()), new Set(recomputed.jobs.keys()));
+    for (const [id, expected] of recomputed.jobs) {
+      const actual = totals.jobs.get(id)!;
+      assert.deepEqual(new Set(actual.tasks.keys()), new Set(expected.tasks.keys()));
+      assert.deepEqual(actual.tasksPerZone, expected.tasksPerZone);
+      assert.deepEqual(actual.tasksPerAttempt, expected.tasksPerAttempt);
+      assert.equal(actual.stoppingAllocations, expected.stoppingAllocations);
     }
   }
 });
--- a/test/sim/agent-network.ts
+++ b/test/sim/agent-network.ts
@@ -113,7 +113,7 @@
   assert.ok(heartbeat !== null);
   const answer = controller.heartbeats.answer(heartbeat);
   if (answer.kind === 'busy') return { status: 503, body: null };
-  if (answer.kind === 'elsewhere') return { status: 421, body: redirectToWire(answer.node) };
+  if (answer.kind === 'redirect') return { status: 421, body: redirectToWire(answer.node) };
   const commands = JSON.parse(JSON.stringify(commandsToWire(answer.token, answer.commands))) as Json;
   return { status: 200, body: commands };
 }
