--- a/eslint.config.js
+++ b/eslint.config.js
@@ -22,7 +22,6 @@
  */
 const EXCEPTIONS = {
   'src/controller/api/job-service.ts': { complexity: 18 },
-  'src/io/state/transactions.ts': { complexity: 16 },
   'src/io/users/http-server.ts': { 'max-lines-per-function': 100 },
   'src/io/agents/agent-messages.ts': { complexity: 23 },
 };
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -5,7 +5,7 @@
 import { nodeName, version, type NodeName } from '../../../src/core/model/ids.js';
 import { ShardTransfer } from '../../../src/controller/membership/shard-transfer.js';
 import type { ShardTransferOutcome } from '../../../src/plugin-host/api.js';
-import { Unavailable } from '../../../src/io/state/state-client.js';
+import { UnavailableError } from '../../../src/core/errors.js';
 import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
 import { runUntilBusy } from '../../../test/sim/fault-scenario.js';
 import { advance, allControllers, currentLeader } from '../../../test/sim/run-helpers.js';
@@ -44,7 +44,7 @@
     (k) => k === key.session(victim.name) || k === key.leader,
   );
   assert.equal(before.length, 2);
-  taker.controller!.context.state.revokeLease = () => Promise.reject(new Unavailable('revoke'));
+  taker.controller!.context.state.revokeLease = () => Promise.reject(new UnavailableError('revoke'));
   assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(fact)), 'committed');
   assert.equal(holderOf(simulation, shard), taker.name);
   assert.equal(simulation.state.rows.has(key.session(victim.name)), false);
--- a/src/controller/api/job-service.ts
+++ b/src/controller/api/job-service.ts
@@ -6,7 +6,7 @@
 import { NO_VERSION, type JobId } from '../../core/model/ids.js';
 import type { FinalRecord, JobRecord, JobSpec, JobState, JobStatus } from '../../core/model/jobs.js';
 import { key } from '../../core/records/keys.js';
-import { Unavailable } from '../../io/state/state-client.js';
+import { UnavailableError } from '../../core/errors.js';
 import { GroupCommit } from '../../io/state/group-commit.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { Peer } from '../../io/peers/peer-link.js';
@@ -129,7 +129,7 @@
 
   /**
    * Which of the jobs that it names are not done yet; whether they were accepted is decided as freshly as a poll is.
-   * Throws `Unavailable` where that cannot be known now.
+   * Throws `UnavailableError` where that cannot be known now.
    */
   private async judgeNeeds({ id: of, needs: named = [] }: JobSpec): Promise<JudgedNeeds> {
     const { context } = this;
@@ -157,14 +157,14 @@
 
   /**
    * The job's state, as new as anything that any controller has told anybody. Undefined: never accepted.
-   * Throws `Unavailable` where that cannot be known now.
+   * Throws `UnavailableError` where that cannot be known now.
    */
   async find(id: JobId): Promise<JobStatus | undefined> {
     const { context } = this;
     const cached = this.context.finalStates.cached(id);
     if (cached !== undefined) return this.finalStatus(cached);
     // Without the state service nothing but final states can be told: said at once, not after a wait.
-    if (!context.watcher.isReady || !context.state.isReachable(1500)) throw new Unavailable('not ready');
+    if (!context.watcher.isReady || !context.state.isReachable(1500)) throw new UnavailableError('not ready');
     await context.watcher.waitUntilFresh();
     const job = context.view.jobs.get(id);
     if (job !== undefined) {
@@ -215,7 +215,10 @@
     // Where the owner cannot be reached directly, the request is left in the state service for it.
     if (taken !== 'taken' && !context.view.cancellations.has(id)) {
       const op: WriteOperation = { key: key.cancellation(id), value: {}, reason: 'cancellation' };
-      const r = await context.state.transact([context.guards.forKey(op.key)], [op], REQUEST_PRIORITY.users);
+      const r = await context.state.transact(
+        { guards: [context.guards.forKey(op.key)], operations: [op] },
+        REQUEST_PRIORITY.users,
+      );
       if (r.kind === 'ok') context.watcher.applyCommitted([op], r.revision);
     }
     await wait;
--- a/src/controller/controller-context.ts
+++ b/src/controller/controller-context.ts
@@ -11,6 +11,7 @@
 import { viewChangesOf } from '../core/state/view-changes.js';
 import type { Transport } from '../io/http-client.js';
 import { StateClient, type StateServiceLimits } from '../io/state/state-client.js';
+import type { WriteOperation } from '../io/state/state-messages.js';
 import { StateWatcher } from '../io/state/state-watcher.js';
 import { AllocationTracker } from './allocation-tracker.js';
 import { DependencyTracker } from './dependency-tracker.js';
@@ -82,16 +83,14 @@
     this.teams = new Map(settings.teams.map((team) => [team.name, team]));
     this.state = this.createStateClient(options);
     this.finalStates = new FinalStateCache(this.state);
-    this.watcher = new StateWatcher(
-      this.state,
-      view,
-      (keys) => {
+    this.watcher = new StateWatcher(this.state, view, {
+      onChanged: (keys) => {
         viewChanges.publish(viewChangesOf(keys));
       },
-      (operations) => {
+      onCommitted: (operations) => {
         this.finalStates.recordCommitted(operations);
       },
-    );
+    });
     this.allocations = new AllocationTracker(view, this.teams);
     this.ownership = new ShardOwnership(view, this.incarnation);
     this.guards = new TransactionGuards(view);
@@ -115,18 +114,21 @@
     watchTransport,
   }: ControllerContextOptions): StateClient {
     const { events } = this;
-    return new StateClient(
-      stateLimitsOf(settings),
+    return new StateClient({
+      limits: stateLimitsOf(settings),
       clock,
-      stateTransport,
+      transport: stateTransport,
       watchTransport,
-      (operations, answer) => {
-        log.error({ keys: operations.map((o) => o.key), answer }, LOG_EVENT.transactionRejected);
+      onRejected: (operations, answer) => {
+        log.error({ keys: keysOf(operations), answer }, LOG_EVENT.transactionRejected);
       },
-      (operations, outcome, since) => {
-        if (events.isActive)
-          events.emit({ kind: 'transaction', keys: operations.map((o) => o.key), outcome, since });
+      onFinished: (operations, outcome, since) => {
+        if (!events.isActive) return;
+        events.emit({ kind: 'transaction', keys: keysOf(operations), outcome, since });
       },
-    );
+    });
   }
 }
+
+const keysOf = (operations: readonly WriteOperation[]): string[] =>
+  operations.map((operation) => operation.key);
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -13,7 +13,7 @@
 import type { JobRecord } from '../core/model/jobs.js';
 import type { ClusterView } from '../core/state/cluster-view.js';
 import { viewChangesOfJobs } from '../core/state/view-changes.js';
-import { Unavailable } from '../io/state/state-client.js';
+import { UnavailableError } from '../core/errors.js';
 import type { AllocationTracker } from './allocation-tracker.js';
 import type { FinalStateCache } from './final-state-cache.js';
 import type { ViewChangeFeed } from './view-change-feed.js';
@@ -83,7 +83,7 @@
 
   /**
    * The dependencies of one job, with all final states read that decide it; undefined where it has none. Throws
-   * `Unavailable` where they cannot be read now.
+   * `UnavailableError` where they cannot be read now.
    */
   async resolve(job: JobRecord): Promise<DependencyStatus | undefined> {
     if (dependenciesOf(job).length === 0) return undefined;
@@ -95,7 +95,7 @@
       if (unread.length === 0) return status;
       for (const id of unread.slice(0, MAX_CONCURRENT_READS))
         if ((await finalStates.read(id, view.revision)) === undefined)
-          throw new Unavailable(`${id} is neither unfinished nor finished`);
+          throw new UnavailableError(`${id} is neither unfinished nor finished`);
       this.graph = null;
     }
   }
--- a/src/controller/heartbeats/proxied-machine-list.ts
+++ b/src/controller/heartbeats/proxied-machine-list.ts
@@ -49,7 +49,10 @@
     if (content === this.written[part] || (machines.length === 0 && this.isRemoved(part))) return;
     const recordKey = this.keyOf(part);
     const operation = operationFor(recordKey, machines, lease);
-    const result = await state.transact([guards.forKey(recordKey)], [operation], REQUEST_PRIORITY.users);
+    const result = await state.transact(
+      { guards: [guards.forKey(recordKey)], operations: [operation] },
+      REQUEST_PRIORITY.users,
+    );
     if (result.kind !== 'ok') return;
     watcher.applyCommitted([operation], result.revision);
     this.written[part] = content;
--- a/src/controller/leader/leader-transactions.ts
+++ b/src/controller/leader/leader-transactions.ts
@@ -2,7 +2,9 @@
 import { key, parseKey } from '../../core/records/keys.js';
 import type { RequestPriority } from '../../io/rate-limiter.js';
 import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
-import { commit, packTransactions, type ChangeSet } from '../../io/state/transactions.js';
+import { commit } from '../../io/state/transaction-commit.js';
+import { packTransactions } from '../../io/state/transaction-packing.js';
+import type { ChangeSet } from '../../io/state/change-set.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from '../membership/membership.js';
 
@@ -17,7 +19,12 @@
   async commit({ operations, guards }: ChangeSet, priority: RequestPriority): Promise<boolean> {
     if (!this.membership.isLeader) return false;
     const { state, watcher } = this.context;
-    const outcome = await commit(state, watcher, [this.leaderGuard(), ...guards], operations, priority);
+    const outcome = await commit(
+      state,
+      watcher,
+      { guards: [this.leaderGuard(), ...guards], operations },
+      priority,
+    );
     return outcome === 'ok';
   }
 
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -16,7 +16,7 @@
 import type { RentalRequest } from '../../core/scaling/scaling-types.js';
 import type { CloudClient } from '../../io/cloud/cloud-client.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import type { ChangeSet } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/change-set.js';
 import { BackgroundTask } from '../background-task.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { LeaderTransactions } from './leader-transactions.js';
--- a/src/controller/membership/membership.ts
+++ b/src/controller/membership/membership.ts
@@ -4,7 +4,7 @@
 import type { SessionRecord, LeaderRecord, ShardRecord } from '../../core/model/cluster.js';
 import { key } from '../../core/records/keys.js';
 import type { WriteOperation } from '../../io/state/state-messages.js';
-import { Unavailable } from '../../io/state/state-client.js';
+import { UnavailableError } from '../../core/errors.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { ControllerContext } from '../controller-context.js';
 import { Notification } from '../notification.js';
@@ -75,7 +75,7 @@
       try {
         if (this.context.watcher.isReady) await this.step();
       } catch (e) {
-        if (!(e instanceof Unavailable)) throw e;
+        if (!(e instanceof UnavailableError)) throw e;
         await this.context.clock.sleep(150);
       }
       await this.notification.wait(
@@ -144,7 +144,10 @@
     const k = key.shard(context.settings.node);
     const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
     const op: WriteOperation = { key: k, value, reason: 'membership' };
-    const r = await context.state.transact([context.guards.forKey(k)], [op], REQUEST_PRIORITY.session);
+    const r = await context.state.transact(
+      { guards: [context.guards.forKey(k)], operations: [op] },
+      REQUEST_PRIORITY.session,
+    );
     if (r.kind === 'ok') {
       context.watcher.applyCommitted([op], r.revision);
       context.log.info({ slice: context.settings.node, token: r.revision }, LOG_EVENT.shardAcquired);
@@ -154,7 +157,10 @@
   private async putWithLease(k: string, value: { lease: number }): Promise<boolean> {
     const { context } = this;
     const op: WriteOperation = { key: k, value, lease: value.lease, reason: 'membership' };
-    const r = await context.state.transact([context.guards.forKey(k)], [op], REQUEST_PRIORITY.session);
+    const r = await context.state.transact(
+      { guards: [context.guards.forKey(k)], operations: [op] },
+      REQUEST_PRIORITY.session,
+    );
     if (r.kind === 'ok') {
       context.watcher.applyCommitted([op], r.revision);
       return true;
--- a/src/controller/membership/shard-transfer.ts
+++ b/src/controller/membership/shard-transfer.ts
@@ -7,7 +7,7 @@
 import type { SessionRecord, ShardRecord } from '../../core/model/cluster.js';
 import type { NodeName } from '../../core/model/ids.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import { Unavailable } from '../../io/state/state-client.js';
+import { UnavailableError } from '../../core/errors.js';
 import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
 import type { ShardControl, ShardFact, ShardTransferOutcome } from '../../plugin-host/api.js';
 import type { ControllerContext } from '../controller-context.js';
@@ -60,7 +60,7 @@
     try {
       await this.context.state.revokeLease(lease);
     } catch (e) {
-      if (!(e instanceof Unavailable)) throw e;
+      if (!(e instanceof UnavailableError)) throw e;
     }
   }
 
@@ -121,7 +121,7 @@
     operations: readonly WriteOperation[],
   ): Promise<ShardTransferOutcome> {
     const { state, watcher } = this.context;
-    const result = await state.transact(guards, operations, REQUEST_PRIORITY.session);
+    const result = await state.transact({ guards, operations }, REQUEST_PRIORITY.session);
     if (result.kind === 'ok') {
       watcher.applyCommitted(operations, result.revision);
       return { kind: 'committed', revision: result.revision };
--- a/src/controller/shard/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -5,7 +5,7 @@
 import type { WallClockMs } from '../../core/model/time.js';
 import { key } from '../../core/records/keys.js';
 import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
-import type { ChangeSet } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/change-set.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health/health-tracker.js';
 import type { PreparedResults } from './task-exits.js';
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -11,7 +11,7 @@
 import type { Allocation, MachinePhase, MachineRecord } from '../../core/model/machines.js';
 import { key } from '../../core/records/keys.js';
 import { removeExits } from '../../core/state/allocations.js';
-import type { ChangeSet } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/change-set.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health/health-tracker.js';
 import type { AgentSessions } from './agent-sessions.js';
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -10,7 +10,7 @@
 } from '../../core/placement/placement-types.js';
 import { placeTasks } from '../../core/placement/placement.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import { commitChangeSets } from '../../io/state/transactions.js';
+import { commitChangeSets } from '../../io/state/transaction-commit.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health/health-tracker.js';
 import type { AgentSessions } from './agent-sessions.js';
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -14,7 +14,7 @@
 import { selectVictims, type PreemptionInput } from '../../core/placement/preemption.js';
 import { markStopping } from '../../core/state/allocations.js';
 import { key } from '../../core/records/keys.js';
-import type { ChangeSet } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/change-set.js';
 import type { ControllerContext } from '../controller-context.js';
 
 /** Room on a machine that is reserved for the job that tasks were stopped for. */
--- a/src/controller/shard/start-transactions.ts
+++ b/src/controller/shard/start-transactions.ts
@@ -7,7 +7,7 @@
 import type { Placement } from '../../core/placement/placement-types.js';
 import { key } from '../../core/records/keys.js';
 import { addAllocation, allocationFor, removeExits } from '../../core/state/allocations.js';
-import { GUARDS_PER_OPERATION, GuardSet, type ChangeSet } from '../../io/state/transactions.js';
+import { GUARDS_PER_OPERATION, GuardSet, type ChangeSet } from '../../io/state/change-set.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { AgentSessions } from './agent-sessions.js';
 import type { MachineReconciler } from './machine-reconciler.js';
--- a/src/controller/shard/task-exits.ts
+++ b/src/controller/shard/task-exits.ts
@@ -10,7 +10,7 @@
 import type { MachineRecord } from '../../core/model/machines.js';
 import type { MonotonicMs } from '../../core/model/time.js';
 import { key } from '../../core/records/keys.js';
-import type { ChangeSet } from '../../io/state/transactions.js';
+import type { ChangeSet } from '../../io/state/change-set.js';
 import type { ControllerContext } from '../controller-context.js';
 import { FULL_RECONCILE_INTERVAL_MS, MAX_CLEANUP_DELAY_MS } from './timing.js';
 
--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -14,3 +14,8 @@
 export class InvariantError extends CodedError {
   readonly code = 'invariant_violated';
 }
+
+/** Something cannot be known or done now, such as while the state service is out of reach; a later attempt may succeed. */
+export class UnavailableError extends CodedError {
+  readonly code = 'unavailable';
+}
--- a/src/io/cloud/cloud-client.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -15,6 +15,8 @@
 } from './cloud-messages.js';
 import { paths } from '../paths.js';
 
+const MAX_QUEUED_REQUESTS = 50;
+
 /** What the cloud answered to a rental. */
 export type RentalResult =
   | { readonly kind: 'rented'; readonly machines: readonly MachineName[] }
@@ -32,7 +34,13 @@
     clock: Clock,
   ) {
     const rate = rps * 0.9;
-    this.limiter = new RateLimiter({ high: rate, low: rate }, { high: 1, low: 1 }, 50, 1, clock);
+    this.limiter = new RateLimiter({
+      requestRates: { high: rate, low: rate },
+      writeRates: { high: 1, low: 1 },
+      maxQueued: MAX_QUEUED_REQUESTS,
+      maxBorrowFactor: 1,
+      clock,
+    });
   }
 
   private async call(
--- a/src/io/rate-limiter.ts
+++ b/src/io/rate-limiter.ts
@@ -1,13 +1,14 @@
 /**
- * Keeps this process within its part of a shared budget. Waiting requests go by priority, then by age; the
- * queue is bounded, and what does not fit is refused at once.
+ * Keeps this process within its share of a budget of requests and changes. Waiting requests are granted by priority, then
+ * by age; the queue is bounded, and what does not fit is refused at once.
  */
-
 import type { Clock } from '../core/model/clock.js';
+import type { MonotonicMs } from '../core/model/time.js';
+import { TokenBucket, type RateRange } from './token-bucket.js';
 
-/** The lower, the sooner a request goes. */
+/** The lower, the sooner a request is granted. */
 export type RequestPriority = 0 | 1 | 2 | 3;
-/** Sessions and leadership, then what users' requests wait for, then what is over, then starts. */
+/** Sessions and leadership; what users' requests wait for; results of ended tasks; starts. */
 export const REQUEST_PRIORITY: Record<'session' | 'users' | 'results' | 'starts', RequestPriority> = {
   session: 0,
   users: 1,
@@ -15,149 +16,144 @@
   starts: 3,
 };
 
-interface Waiting {
-  readonly urgency: RequestPriority;
-  readonly writes: number;
-  readonly go: (granted: boolean) => void;
+/** For this time after a refusal the whole budget counts as short. */
+const SHORTAGE_MS = 5000;
+/** The shortest time until the queue is looked at again. */
+const MIN_RETRY_MS = 2;
+/** Shortfalls up to this many seconds are rounding errors. */
+const ROUNDING_TOLERANCE_S = 1e-9;
+
+/** What a rate limiter keeps to. */
+export interface RateLimiterOptions {
+  /** Requests per second. */
+  readonly requestRates: RateRange;
+  /** Changes per second. */
+  readonly writeRates: RateRange;
+  readonly maxQueued: number;
+  /** How many times its share of the changes this process may use while nothing is refused. */
+  readonly maxBorrowFactor: number;
+  readonly clock: Clock;
 }
 
-/** For so long after a refusal the whole budget counts as short. */
-const SHORT_MS = 5000;
-/** The part of the usual rate by which a rate that was refused comes back in a second. */
-const COMES_BACK = 0.005;
-
-/** What the service usually allows this process for its part, and what that may fall to without notice. */
-export interface RateRange {
-  readonly high: number;
-  readonly low: number;
+interface QueuedRequest {
+  readonly priority: RequestPriority;
+  readonly writes: number;
+  readonly resolve: (isGranted: boolean) => void;
 }
 
-/** Keeps requests and changes within this process's part of the budget, in order of urgency. */
+/** Grants requests and changes within this process's share of the budget, in order of priority. */
 export class RateLimiter {
-  /** What is taken now of the whole budget: between this process's fair part and nearly all of it. */
-  private borrowFactor = 1;
-  private requests: number;
-  private writes: number;
-  private last: number;
-  private readonly queue: Waiting[] = [];
-  private stopTimer: () => void = () => undefined;
-  private exhaustedAt = Number.NEGATIVE_INFINITY;
-
-  /** This process's part as the refusals of late suggest it, between what is usual and what it may fall to. */
-  private requestRate: number;
-  private writeRate: number;
-
-  constructor(
-    private readonly requestRates: RateRange,
-    private readonly writeRates: RateRange,
-    private readonly maxQueued: number,
-    /** How many times its fair part this process may take while nobody is refused. */
-    private readonly maxBorrowFactor: number,
-    private readonly clock: Clock,
-  ) {
-    this.requests = this.requestRate = requestRates.high;
-    this.writes = this.writeRate = writeRates.high;
-    this.last = clock.now();
+  private readonly requestBucket: TokenBucket;
+  private readonly writeBucket: TokenBucket;
+  private readonly maxQueued: number;
+  private readonly clock: Clock;
+  private readonly queue: QueuedRequest[] = [];
+  private refilledAt: MonotonicMs;
+  private writesExhaustedAt = Number.NEGATIVE_INFINITY;
+  private cancelRetry: () => void = () => undefined;
+
+  constructor({ requestRates, writeRates, maxQueued, maxBorrowFactor, clock }: RateLimiterOptions) {
+    this.requestBucket = new TokenBucket(requestRates, 1);
+    this.writeBucket = new TokenBucket(writeRates, maxBorrowFactor);
+    this.maxQueued = maxQueued;
+    this.clock = clock;
+    this.refilledAt = clock.now();
   }
 
-  /** Resolves to false at once where the queue is full. */
+  /** Waits for one request with so many changes; resolves to false at once where the queue is full. */
   acquire(priority: RequestPriority, writes: number): Promise<boolean> {
     if (this.queue.length >= this.maxQueued && priority > 0) return Promise.resolve(false);
-    return new Promise((go) => {
-      const w: Waiting = { urgency: priority, writes, go };
-      let at = this.queue.length;
-      while (at > 0 && this.queue[at - 1]!.urgency > priority) at--;
-      this.queue.splice(at, 0, w);
+    return new Promise((resolve) => {
+      let position = this.queue.length;
+      while (position > 0 && this.queue[position - 1]!.priority > priority) position--;
+      this.queue.splice(position, 0, { priority, writes, resolve });
       this.grantQueued();
     });
   }
 
   /**
-   * Nothing waits, at least half of what may be written at once is left, and the service has refused nothing of late:
-   * where this process has little to write, the budget may still be what the others wait for.
+   * Nothing waits, at least half of the changes of a second are left, and no changes were refused recently: a process
+   * that has little to write itself may still compete with others for the budget.
    */
   get isIdle(): boolean {
     this.refill();
-    const short = this.last - this.exhaustedAt < SHORT_MS;
-    return this.queue.length === 0 && this.writes >= this.writeRate / 2 && !short;
+    const isShort = this.refilledAt - this.writesExhaustedAt < SHORTAGE_MS;
+    return this.queue.length === 0 && this.writeBucket.tokens >= this.writeBucket.rate / 2 && !isShort;
   }
 
-  /** How many changes this process can make within the time, as it looks now. */
+  /** How many changes this process can make within the time at the present rate. */
   writesWithin(ms: number): number {
     this.refill();
-    return Math.max(0, Math.floor(this.writes + (this.writeRate * this.borrowFactor * ms) / 1000));
+    return Math.max(0, Math.floor(this.writeBucket.tokens + (this.writeBucket.borrowedRate * ms) / 1000));
   }
 
-  /** What was taken was not used after all. */
+  /** Returns changes that were granted and not made. */
   refund(writes: number): void {
-    this.writes += writes;
+    this.writeBucket.tokens += writes;
     this.grantQueued();
   }
 
-  /** The service said that the whole budget is spent: of changes, where the refused request had any. */
+  /** The service said that its budget is spent: that of changes if the refused request had any, else that of requests. */
   noteExhausted(writes: number): void {
     this.refill();
     if (writes === 0) {
-      this.requests = Math.min(this.requests, 0);
-      this.requestRate = Math.max(this.requestRates.low, this.requestRate * 0.8);
+      this.requestBucket.noteExhausted();
       return;
     }
-    this.exhaustedAt = this.last;
-    // Refused at no more than its own part: the whole budget is smaller than it was.
-    if (this.borrowFactor <= 1.1) this.writeRate = Math.max(this.writeRates.low, this.writeRate * 0.8);
-    this.borrowFactor = 1;
-    this.writes = Math.min(this.writes, 0);
+    this.writesExhaustedAt = this.refilledAt;
+    this.writeBucket.noteExhausted();
   }
 
   private refill(): void {
     const now = this.clock.now();
-    const s = Math.max(0, now - this.last) / 1000;
-    this.last = now;
-    // The others seldom use theirs: their part is borrowed step by step, until the service refuses something.
-    this.requestRate = recoverRate(this.requestRate, this.requestRates, s);
-    this.writeRate = recoverRate(this.writeRate, this.writeRates, s);
-    this.borrowFactor = Math.min(this.maxBorrowFactor, this.borrowFactor + s * 0.1 * this.maxBorrowFactor);
-    this.requests = Math.min(this.requestRate, this.requests + s * this.requestRate);
-    const rate = this.writeRate * this.borrowFactor;
-    this.writes = Math.min(rate, this.writes + s * rate);
+    const seconds = Math.max(0, now - this.refilledAt) / 1000;
+    this.refilledAt = now;
+    this.requestBucket.refill(seconds);
+    this.writeBucket.refill(seconds);
   }
 
   private grantQueued(): void {
-    this.stopTimer();
+    this.cancelRetry();
     this.refill();
     for (;;) {
-      const w = this.queue[0];
-      if (w === undefined) return;
-      // A transaction larger than the bucket may go once the bucket is full; the debt is paid afterwards.
-      const need = Math.min(w.writes, this.writeRate);
-      const short = Math.max(
-        (1 - this.requests) / this.requestRate,
-        (need - this.writes) / (this.writeRate * this.borrowFactor),
-      );
-      // What only reads needs none of the changes that the first in line waits for: behind a large transaction, polls
-      // waited for seconds, and users were refused for it.
-      if (short > 1e-9 && this.requests >= 1) {
-        const at = this.queue.findIndex((x) => x.writes === 0);
-        if (at > 0) {
-          const [reader] = this.queue.splice(at, 1);
-          this.requests -= 1;
-          reader!.go(true);
-          continue;
-        }
+      const next = this.queue[0];
+      if (next === undefined) return;
+      const shortfallS = this.shortfallOf(next);
+      if (shortfallS <= ROUNDING_TOLERANCE_S) {
+        this.queue.shift();
+        this.grant(next);
+        continue;
       }
-      if (short > 1e-9) {
-        this.stopTimer = this.clock.after(Math.max(2, Math.ceil(short * 1000)), () => {
-          this.grantQueued();
-        });
-        return;
-      }
-      this.queue.shift();
-      this.requests -= 1;
-      this.writes -= w.writes;
-      w.go(true);
+      if (this.grantQueuedRead()) continue;
+      this.cancelRetry = this.clock.after(Math.max(MIN_RETRY_MS, Math.ceil(shortfallS * 1000)), () => {
+        this.grantQueued();
+      });
+      return;
     }
   }
-}
 
-const recoverRate = (rate: number, { high }: RateRange, s: number): number =>
-  Math.min(high, rate + high * COMES_BACK * s);
+  /**
+   * Seconds until the request can be granted. A transaction larger than the bucket is granted once the bucket is full;
+   * the debt is paid off afterwards.
+   */
+  private shortfallOf({ writes }: QueuedRequest): number {
+    const neededWrites = Math.min(writes, this.writeBucket.rate);
+    return Math.max(this.requestBucket.secondsUntil(1), this.writeBucket.secondsUntil(neededWrites));
+  }
+
+  /** Grants the first queued request without changes: it need not wait for the changes that the first in line needs. */
+  private grantQueuedRead(): boolean {
+    if (this.requestBucket.tokens < 1) return false;
+    const position = this.queue.findIndex(({ writes }) => writes === 0);
+    if (position <= 0) return false;
+    const [read] = this.queue.splice(position, 1);
+    this.grant(read!);
+    return true;
+  }
+
+  private grant({ writes, resolve }: QueuedRequest): void {
+    this.requestBucket.tokens -= 1;
+    this.writeBucket.tokens -= writes;
+    resolve(true);
+  }
+}
--- a/src/io/state/state-client.ts
+++ b/src/io/state/state-client.ts
@@ -1,33 +1,54 @@
 /** The client of the state service: paced requests, leases, transactions, listings and the watch. */
-import type { Clock } from '../../core/model/clock.js';
+import { ProtocolError } from '../protocol-error.js';
+import { UnavailableError } from '../../core/errors.js';
 import type { TransactionOutcome } from '../../core/events.js';
-import { WATCHED_PREFIX } from '../../core/records/keys.js';
+import type { Clock } from '../../core/model/clock.js';
 import { NO_VERSION, revision, type Revision, type Version } from '../../core/model/ids.js';
 import type { MonotonicMs } from '../../core/model/time.js';
+import { WATCHED_PREFIX } from '../../core/records/keys.js';
 import type { KeyChange } from '../../core/state/cluster-view.js';
-import type { Method, HttpResponse, Transport } from '../http-client.js';
-import { RateLimiter, REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
+import type { HttpResponse, Method, Transport } from '../http-client.js';
 import { paths } from '../paths.js';
+import { RateLimiter, REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
+import type { ChangeSet } from './change-set.js';
+import { retryWhile } from './retry.js';
 import {
-  revisionFromWire,
   entryFromWire,
-  transactionToWire,
+  eventsFromWire,
   failedFromWire,
-  leaseToWire,
   leaseFromWire,
+  leaseToWire,
   listKeysQuery,
+  revisionFromWire,
   rowsFromWire,
+  transactionToWire,
   watchQuery,
-  eventsFromWire,
+  type WatchedChanges,
+  type WriteOperation,
 } from './state-messages.js';
-import type { Guard, WriteOperation } from './state-messages.js';
 import { StateUsage, type RequestKind } from './state-usage.js';
 
+const TIMEOUT_MS = 2000;
+/** The parts of this controller's share of the limits that it uses; the rest absorbs differences between clocks. */
+const REQUEST_RATE_FRACTION = 0.9;
+const WRITE_RATE_FRACTION = 0.95;
+const MAX_QUEUED_REQUESTS = 200;
+/** The part of the whole write budget that one controller may borrow while nothing is refused. */
+const MAX_BORROWED_FRACTION = 0.8;
+/**
+ * The part of this controller's requests that may be spent on waiting for changes. Each change ends a wait, so that
+ * without this limit many small changes by other controllers would use up the requests of users.
+ */
+const WATCH_FRACTION = 0.3;
+/** How often a transaction that a user waits for is sent again after a refusal. */
+const MAX_RETRIES = 2;
+
 /** The limits of the state service, and how many controllers share them. */
 export interface StateServiceLimits {
+  /** Requests per second, and changes per second. */
   readonly rps: number;
   readonly writeRps: number;
-  /** What the rates may fall to, without notice. */
+  /** What the rates may fall to without notice. */
   readonly lowRps: number;
   readonly lowWriteRps: number;
   readonly operationsPerTransaction: number;
@@ -35,266 +56,329 @@
   readonly nodes: number;
 }
 
-/** 'unknown': no answer came; it may have been carried out or may yet be. */
+/** What became of a transaction, as far as its sender knows. */
 export type TransactionResult =
   | { readonly kind: 'ok'; readonly revision: Revision }
   | { readonly kind: 'conflict'; readonly revision: Revision; readonly failed: readonly string[] }
+  /** A lease that it names is over. */
   | { readonly kind: 'no_lease' }
+  /** Not carried out: the budget is spent, or the service is in an outage. */
   | { readonly kind: 'refused' }
   /** Malformed or above a limit: sent again, it would be rejected again. */
   | { readonly kind: 'rejected' }
   /** Not sent: its guards had failed already when its turn came. */
   | { readonly kind: 'stale' }
+  /** No answer came: it may have been carried out or may yet be. */
   | { readonly kind: 'unknown' };
 
-const outcomeOf = ({ kind }: TransactionResult): TransactionOutcome =>
-  kind === 'ok' || kind === 'conflict' || kind === 'refused' || kind === 'unknown' ? kind : 'other';
+/** What a client of the state service is made of. */
+export interface StateClientOptions {
+  readonly limits: StateServiceLimits;
+  readonly clock: Clock;
+  readonly transport: Transport;
+  /** Apart from the other requests, since a watch holds its connection. */
+  readonly watchTransport: Transport;
+  /** Called for each transaction that the service rejects for good. */
+  readonly onRejected?: (operations: readonly WriteOperation[], answer: unknown) => void;
+  /** Called for each transaction with changes; `since` is when it was begun. */
+  readonly onFinished?: (
+    operations: readonly WriteOperation[],
+    outcome: TransactionOutcome,
+    since: MonotonicMs,
+  ) => void;
+}
+
+/** A key's value, and a revision at which the answer held: that of the key, or of the service where it does not exist. */
+export interface KeyState {
+  readonly value: unknown;
+  readonly version: Version;
+  readonly revision: Revision;
+}
 
-/** Something cannot be known or done now: come back later. */
-export class Unavailable extends Error {}
+/** All watched keys, the revision from which to watch, and the one at which the listing is complete. */
+export interface KeyListing {
+  readonly rows: KeyChange[];
+  readonly from: Revision;
+  readonly upTo: Revision;
+}
 
 interface StateRequest {
   readonly kind: RequestKind;
   readonly method: Method;
   readonly path: string;
   readonly body?: unknown;
-  readonly urgency: RequestPriority;
-  /** Changes that it makes. */
+  readonly priority: RequestPriority;
+  /** Number of changes that it makes. */
   readonly writes?: number;
 }
 
-const TIMEOUT_MS = 2000;
-/**
- * The part of this process's requests that may be spent on waiting for changes. Each change ends a wait, and while many
- * controllers write many small ones, all requests went into that, and users' questions were refused.
- */
-const WATCH_PART = 0.3;
-/** How often a transaction that a user waits for is sent again after a refusal. */
-const MOST_RETRIES = 2;
+type RequestResult =
+  | { readonly kind: 'answered'; readonly response: HttpResponse }
+  | { readonly kind: 'refused' }
+  | { readonly kind: 'stale' }
+  | { readonly kind: 'unknown'; readonly cause: unknown };
 
-/** Requests to the state service, each within the budget. */
+/** Sends requests to the state service, each within the budget. */
 export class StateClient {
-  private readonly limiter: RateLimiter;
-  /** When the newest answered request was sent: the state was in reach then. */
+  readonly limits: StateServiceLimits;
+  readonly clock: Clock;
+  readonly usage = new StateUsage();
+  /** When the newest answered request was sent: the service was reachable then. */
   lastContactAt = Number.NEGATIVE_INFINITY;
   /** When the service last refused or failed to answer. */
   lastFailureAt = Number.NEGATIVE_INFINITY;
-  readonly usage = new StateUsage();
-
-  constructor(
-    readonly limits: StateServiceLimits,
-    readonly clock: Clock,
-    private readonly http: Transport,
-    /** Apart from the others, since a watch holds its connection. */
-    private readonly watchHttp: Transport,
-    /** Told of each transaction that the service rejects for good. */
-    private readonly onRejected: (operations: readonly WriteOperation[], answer: unknown) => void = () =>
-      undefined,
-    /** Told of each transaction with changes, and since when it was under way. */
-    private readonly onFinished: (
-      operations: readonly WriteOperation[],
-      outcome: TransactionOutcome,
-      since: MonotonicMs,
-    ) => void = () => undefined,
-  ) {
-    this.limiter = new RateLimiter(
-      { high: (limits.rps / limits.nodes) * 0.9, low: (limits.lowRps / limits.nodes) * 0.9 },
-      {
-        high: (limits.writeRps / limits.nodes) * 0.95,
-        low: (limits.lowWriteRps / limits.nodes) * 0.95,
-      },
-      200,
-      Math.max(1, limits.nodes * 0.8),
-      clock,
-    );
-  }
+  private readonly limiter: RateLimiter;
 
-  private async call(
-    { kind, method, path, body, urgency: priority, writes = 0 }: StateRequest,
-    stale: () => boolean = () => false,
-  ): Promise<HttpResponse | 'refused' | 'stale' | 'unknown'> {
-    if (!(await this.limiter.acquire(priority, writes))) return 'refused';
-    if (stale()) {
-      this.limiter.refund(writes);
-      return 'stale';
-    }
-    const sent = this.clock.now();
-    this.usage.sent(kind);
-    try {
-      const r = await this.http.request(method, path, body, TIMEOUT_MS);
-      if (r.status === 429) {
-        this.usage.limited++;
-        this.limiter.noteExhausted(writes);
-        return 'refused';
-      }
-      if (r.status === 503) {
-        this.usage.refused++;
-        this.lastFailureAt = this.clock.now();
-        return 'refused';
-      }
-      this.lastContactAt = Math.max(this.lastContactAt, sent);
-      return r;
-    } catch {
-      this.usage.lost++;
-      this.lastFailureAt = this.clock.now();
-      return 'unknown';
-    }
+  constructor(private readonly options: StateClientOptions) {
+    const { limits, clock } = options;
+    this.limits = limits;
+    this.clock = clock;
+    this.limiter = createLimiter(limits, clock);
   }
 
-  /** There is budget left for what could also be written later. */
+  /** Whether there is budget left for changes that could also be written later. */
   get hasSpareBudget(): boolean {
     return this.limiter.isIdle;
   }
 
+  /** How many changes this process can write within the time at the present rate. */
   writesWithin(ms: number): number {
     return this.limiter.writesWithin(ms);
   }
 
-  /** True where nothing since the last answer suggests that the service is out of reach. */
+  /** Whether nothing since the last answer suggests that the service is unreachable, or the answer is recent. */
   isReachable(withinMs: number): boolean {
-    return this.lastContactAt > this.lastFailureAt || this.clock.now() - this.lastContactAt < withinMs;
+    return this.hasAnsweredLast || this.clock.now() - this.lastContactAt < withinMs;
   }
 
-  /** A key's value; `rev` is a revision at which the answer held: that of the key, or of the service where it has none. */
-  async get(
-    k: string,
-    priority: RequestPriority,
-  ): Promise<{ value: unknown; version: Version; rev: Revision }> {
-    const path = `${paths.kv}/${k}`;
-    const r = await this.call({ kind: 'read', method: 'GET', path, urgency: priority });
-    if (typeof r === 'string') throw new Unavailable(k);
-    if (r.status === 404) return { value: undefined, version: NO_VERSION, rev: revisionFromWire(r.body) };
-    if (r.status !== 200) throw new Unavailable(`${k}: ${r.status}`);
-    const entry = entryFromWire(r.body);
-    return { ...entry, rev: revision(entry.version) };
+  /** Reads a key. Throws `UnavailableError` where no usable answer came. */
+  async get(key: string, priority: RequestPriority): Promise<KeyState> {
+    const path = `${paths.kv}/${key}`;
+    const result = await this.call({ kind: 'read', method: 'GET', path, priority });
+    const { status, body } = answerOf(result, key);
+    if (status === 404) return { value: undefined, version: NO_VERSION, revision: revisionFromWire(body) };
+    if (status !== 200) throw new UnavailableError(`${key}: ${status}`);
+    const entry = entryFromWire(body);
+    return { ...entry, revision: revision(entry.version) };
   }
 
+  /** Sends a transaction once; it is not sent where `isStale` holds when its turn comes. */
   async transact(
-    guards: readonly Guard[],
-    operations: readonly WriteOperation[],
+    changeSet: ChangeSet,
     priority: RequestPriority,
-    stale?: () => boolean,
+    isStale?: () => boolean,
   ): Promise<TransactionResult> {
     const since = this.clock.now();
-    const result = await this.sendTransaction(guards, operations, priority, stale);
-    if (operations.length > 0) this.onFinished(operations, outcomeOf(result), since);
+    const result = await this.sendTransaction(changeSet, priority, isStale);
+    const { operations } = changeSet;
+    if (operations.length > 0) this.options.onFinished?.(operations, outcomeOf(result), since);
     return result;
   }
 
-  private async sendTransaction(
-    guards: readonly Guard[],
-    operations: readonly WriteOperation[],
-    priority: RequestPriority,
-    stale?: () => boolean,
-  ): Promise<TransactionResult> {
-    const body = transactionToWire(guards, operations);
-    const kind = operations.length === 0 ? 'barrier' : 'transaction';
-    const path = paths.txn;
-    const writes = operations.length;
-    const r = await this.call({ kind, method: 'POST', path, body, urgency: priority, writes }, stale);
-    if (typeof r === 'string') return { kind: r };
-    if (r.status === 200) {
-      for (const o of operations) this.usage.wrote(o.reason ?? 'other');
-      return { kind: 'ok', revision: revisionFromWire(r.body) };
-    }
-    if (r.status === 409) this.usage.conflicted += operations.length;
-    if (r.status === 409)
-      return {
-        kind: 'conflict',
-        revision: revisionFromWire(r.body),
-        failed: failedFromWire(r.body),
-      };
-    if (r.status === 400 && operations.some((o) => o.lease !== undefined)) return { kind: 'no_lease' };
-    if (r.status === 400) {
-      this.onRejected(operations, r.body);
-      return { kind: 'rejected' };
-    }
-    throw new Error(`transaction: ${r.status} ${JSON.stringify(r.body)}`);
-  }
-
   /**
-   * As `txn`, sent again where the service's budget was spent for the moment: it is back within a fraction of a second,
-   * and a user who is told to come back does so after a second at the earliest. In an outage nothing is sent again.
+   * As `transact`, sent again where the service's budget was spent for the moment: it recovers within a fraction of a
+   * second, and a user who is asked to retry does so after a second at the earliest. In an outage nothing is sent again.
    */
-  async transactWithRetry(
-    guards: readonly Guard[],
-    operations: readonly WriteOperation[],
-    priority: RequestPriority,
-  ): Promise<TransactionResult> {
-    let result = await this.transact(guards, operations, priority);
-    for (
-      let i = 0;
-      i < MOST_RETRIES && result.kind === 'refused' && this.lastContactAt > this.lastFailureAt;
-      i++
-    )
-      result = await this.transact(guards, operations, priority);
-    return result;
+  transactWithRetry(changeSet: ChangeSet, priority: RequestPriority): Promise<TransactionResult> {
+    return retryWhile(
+      () => this.transact(changeSet, priority),
+      (result) => result.kind === 'refused' && this.hasAnsweredLast,
+      MAX_RETRIES,
+    );
   }
 
-  /** The service's present revision: whatever was committed before the call is at or below it. */
+  /**
+   * The service's present revision: whatever was committed before the call is at or below it. Throws `UnavailableError`
+   * where it cannot be read.
+   */
   async currentRevision(priority: RequestPriority): Promise<Revision> {
-    const r = await this.transactWithRetry([], [], priority);
-    if (r.kind !== 'ok') throw new Unavailable('present');
-    return r.revision;
-  }
-
-  private sendLeaseRequest(method: Method, path: string, body?: unknown) {
-    return this.call({ kind: 'lease', method, path, body, urgency: REQUEST_PRIORITY.session });
+    const result = await this.transactWithRetry({ guards: [], operations: [] }, priority);
+    if (result.kind !== 'ok') throw new UnavailableError(`current revision: ${result.kind}`);
+    return result.revision;
   }
 
+  /** Grants a lease and returns its id. Throws `UnavailableError` where the outcome is not known. */
   async grantLease(ttlMs: number): Promise<number> {
-    const r = await this.sendLeaseRequest('POST', paths.leases, leaseToWire(ttlMs));
-    if (typeof r === 'string' || r.status !== 200) throw new Unavailable('grant');
-    return leaseFromWire(r.body);
+    const result = await this.sendLeaseRequest('POST', paths.leases, leaseToWire(ttlMs));
+    const { status, body } = answerOf(result, 'grant lease');
+    if (status !== 200) throw new UnavailableError(`grant lease: ${status}`);
+    return leaseFromWire(body);
   }
 
-  /** True: renewed; false: the lease is over. */
+  /** True: renewed; false: the lease is over. Throws `UnavailableError` where that is not known. */
   async renewLease(lease: number): Promise<boolean> {
-    const r = await this.sendLeaseRequest('POST', `${paths.leases}/${lease}/touch`);
-    if (typeof r === 'string') throw new Unavailable('renew');
-    if (r.status === 404) return false;
-    if (r.status !== 200) throw new Unavailable(`renew: ${r.status}`);
+    const result = await this.sendLeaseRequest('POST', `${paths.leases}/${lease}/touch`);
+    const { status } = answerOf(result, 'renew lease');
+    if (status === 404) return false;
+    if (status !== 200) throw new UnavailableError(`renew lease: ${status}`);
     return true;
   }
 
+  /** Ends a lease, and with it all keys that are bound to it. Throws `UnavailableError` where no answer came. */
   async revokeLease(lease: number): Promise<void> {
-    const r = await this.sendLeaseRequest('DELETE', `${paths.leases}/${lease}`);
-    if (typeof r === 'string') throw new Unavailable('revoke');
+    answerOf(await this.sendLeaseRequest('DELETE', `${paths.leases}/${lease}`), 'revoke lease');
   }
 
-  /** Reads everything below the root; the first page's revision is where the watch must begin. */
-  async list(): Promise<{ rows: KeyChange[]; from: Revision; upTo: Revision }> {
+  /** Reads all watched keys, page by page; the watch must begin at the first page's revision. */
+  async list(): Promise<KeyListing> {
     const rows: KeyChange[] = [];
     let from: Revision | null = null;
     let after: string | null = null;
     for (;;) {
       const path: string = paths.kv + listKeysQuery(WATCHED_PREFIX, after);
-      const r = await this.call({ kind: 'list', method: 'GET', path, urgency: REQUEST_PRIORITY.session });
-      if (typeof r === 'string' || r.status !== 200) throw new Unavailable('list');
-      const page = rowsFromWire(r.body);
-      from ??= page.rev;
+      const priority = REQUEST_PRIORITY.session;
+      const { status, body } = answerOf(
+        await this.call({ kind: 'list', method: 'GET', path, priority }),
+        'list',
+      );
+      if (status !== 200) throw new UnavailableError(`list: ${status}`);
+      const page = rowsFromWire(body);
+      from ??= page.revision;
       rows.push(...page.rows);
-      if (!page.more || page.rows.length === 0) return { rows, from, upTo: page.rev };
+      if (!page.hasMore || page.rows.length === 0) return { rows, from, upTo: page.revision };
       after = page.rows[page.rows.length - 1]!.key;
     }
   }
 
-  /** The least time between two waits for changes, so that these leave most of the requests to others. */
+  /** The shortest time between two waits for changes, so that these leave most of the requests to others. */
   get minWatchIntervalMs(): number {
-    return (1000 * this.limits.nodes) / (this.limits.rps * WATCH_PART);
+    return (1000 * this.limits.nodes) / (this.limits.rps * WATCH_FRACTION);
   }
 
-  /** One wait for changes. Null: the revision is too old, list again. */
-  async watch(from: Revision, waitMs: number): Promise<{ events: KeyChange[]; rev: Revision } | null> {
-    if (!(await this.limiter.acquire(REQUEST_PRIORITY.session, 0))) throw new Unavailable('watch');
+  /** Waits once for changes after the revision. Null: the revision is too old, and the keys have to be listed again. */
+  async watch(from: Revision, waitMs: number): Promise<WatchedChanges | null> {
+    if (!(await this.limiter.acquire(REQUEST_PRIORITY.session, 0)))
+      throw new UnavailableError('watch: queue full');
     this.usage.sent('watch');
     const path = paths.watch + watchQuery(WATCHED_PREFIX, from, waitMs);
-    const r = await this.watchHttp.request('GET', path, undefined, waitMs + TIMEOUT_MS);
-    if (r.status === 410) return null;
-    if (r.status !== 200) {
-      if (r.status === 429) this.limiter.noteExhausted(0);
-      throw new Unavailable(`watch: ${r.status}`);
+    const { watchTransport } = this.options;
+    const { status, body } = await watchTransport.request('GET', path, undefined, waitMs + TIMEOUT_MS);
+    if (status === 410) return null;
+    if (status !== 200) {
+      if (status === 429) this.limiter.noteExhausted(0);
+      throw new UnavailableError(`watch: ${status}`);
     }
-    return eventsFromWire(r.body);
+    return eventsFromWire(body);
+  }
+
+  private get hasAnsweredLast(): boolean {
+    return this.lastContactAt > this.lastFailureAt;
+  }
+
+  private async sendTransaction(
+    { guards, operations }: ChangeSet,
+    priority: RequestPriority,
+    isStale?: () => boolean,
+  ): Promise<TransactionResult> {
+    const request: StateRequest = {
+      kind: operations.length === 0 ? 'barrier' : 'transaction',
+      method: 'POST',
+      path: paths.txn,
+      body: transactionToWire(guards, operations),
+      priority,
+      writes: operations.length,
+    };
+    const result = await this.call(request, isStale);
+    if (result.kind !== 'answered') return { kind: result.kind };
+    return this.transactionResult(operations, result.response);
+  }
+
+  private transactionResult(
+    operations: readonly WriteOperation[],
+    { status, body }: HttpResponse,
+  ): TransactionResult {
+    switch (status) {
+      case 200:
+        for (const operation of operations) this.usage.wrote(operation.reason ?? 'other');
+        return { kind: 'ok', revision: revisionFromWire(body) };
+      case 409:
+        this.usage.conflicted += operations.length;
+        return { kind: 'conflict', revision: revisionFromWire(body), failed: failedFromWire(body) };
+      case 400:
+        if (operations.some((operation) => operation.lease !== undefined)) return { kind: 'no_lease' };
+        this.options.onRejected?.(operations, body);
+        return { kind: 'rejected' };
+      default:
+        throw new ProtocolError(`transaction: ${status} ${JSON.stringify(body)}`);
+    }
+  }
+
+  private sendLeaseRequest(method: Method, path: string, body?: unknown): Promise<RequestResult> {
+    return this.call({ kind: 'lease', method, path, body, priority: REQUEST_PRIORITY.session });
+  }
+
+  private async call(
+    { kind, method, path, body, priority, writes = 0 }: StateRequest,
+    isStale: () => boolean = () => false,
+  ): Promise<RequestResult> {
+    if (!(await this.limiter.acquire(priority, writes))) return { kind: 'refused' };
+    if (isStale()) {
+      this.limiter.refund(writes);
+      return { kind: 'stale' };
+    }
+    const sentAt = this.clock.now();
+    this.usage.sent(kind);
+    try {
+      const response = await this.options.transport.request(method, path, body, TIMEOUT_MS);
+      return this.classify(response, { writes, sentAt });
+    } catch (cause) {
+      this.usage.lost++;
+      this.lastFailureAt = this.clock.now();
+      return { kind: 'unknown', cause };
+    }
+  }
+
+  private classify(
+    response: HttpResponse,
+    { writes, sentAt }: { writes: number; sentAt: MonotonicMs },
+  ): RequestResult {
+    if (response.status === 429) {
+      this.usage.limited++;
+      this.limiter.noteExhausted(writes);
+      return { kind: 'refused' };
+    }
+    if (response.status === 503) {
+      this.usage.refused++;
+      this.lastFailureAt = this.clock.now();
+      return { kind: 'refused' };
+    }
+    this.lastContactAt = Math.max(this.lastContactAt, sentAt);
+    return { kind: 'answered', response };
+  }
+}
+
+const createLimiter = (limits: StateServiceLimits, clock: Clock): RateLimiter =>
+  new RateLimiter({
+    requestRates: {
+      high: (limits.rps / limits.nodes) * REQUEST_RATE_FRACTION,
+      low: (limits.lowRps / limits.nodes) * REQUEST_RATE_FRACTION,
+    },
+    writeRates: {
+      high: (limits.writeRps / limits.nodes) * WRITE_RATE_FRACTION,
+      low: (limits.lowWriteRps / limits.nodes) * WRITE_RATE_FRACTION,
+    },
+    maxQueued: MAX_QUEUED_REQUESTS,
+    maxBorrowFactor: Math.max(1, limits.nodes * MAX_BORROWED_FRACTION),
+    clock,
+  });
+
+/** The answer to a request; throws `UnavailableError` where none came. */
+function answerOf(result: RequestResult, subject: string): HttpResponse {
+  if (result.kind === 'answered') return result.response;
+  throw new UnavailableError(
+    `${subject}: ${result.kind}`,
+    result.kind === 'unknown' ? { cause: result.cause } : undefined,
+  );
+}
+
+function outcomeOf({ kind }: TransactionResult): TransactionOutcome {
+  switch (kind) {
+    case 'ok':
+    case 'conflict':
+    case 'refused':
+    case 'unknown':
+      return kind;
+    default:
+      return 'other';
   }
 }
--- a/src/io/state/state-messages.ts
+++ b/src/io/state/state-messages.ts
@@ -1,10 +1,12 @@
 /** Requests to the state service and its answers: the protocol's field names, mapped to those of the client. */
-import { type Version, type Revision, revision, version } from '../../core/model/ids.js';
+import { revision, version, type Revision, type Version } from '../../core/model/ids.js';
 import type { KeyChange } from '../../core/state/cluster-view.js';
 import { isObject, type Json } from '../json.js';
+import { ProtocolError } from '../protocol-error.js';
 import type { WriteReason } from './state-usage.js';
 
-// State service.
+/** Keys on one page of a listing. */
+const PAGE_SIZE = 1000;
 
 /** A change to one key. */
 export interface WriteOperation {
@@ -15,58 +17,88 @@
   /** Why it is written; only counted. */
   readonly reason?: WriteReason;
 }
+
 /** The version that a key must have. */
 export interface Guard {
   readonly key: string;
   readonly version: Version;
 }
+
+/** A page of a listing of keys. */
+export interface KeyPage {
+  readonly rows: KeyChange[];
+  readonly hasMore: boolean;
+  readonly revision: Revision;
+}
+
+/** The changes that a watch has returned, and the revision up to which they are complete. */
+export interface WatchedChanges {
+  readonly events: KeyChange[];
+  readonly revision: Revision;
+}
+
 /** The body of a transaction. */
 export const transactionToWire = (guards: readonly Guard[], operations: readonly WriteOperation[]) => ({
-  guards: guards.map((g) => ({ path: g.key, entryRev: g.version })),
-  then: operations.map((o) =>
-    o.value === undefined
-      ? { remove: o.key }
-      : { write: o.key, value: o.value, ...(o.lease === undefined ? {} : { hold: o.lease }) },
-  ),
+  guards: guards.map((guard) => ({ path: guard.key, entryRev: guard.version })),
+  then: operations.map(operationToWire),
 });
-/** The revision that an answer names. */
-export const revisionFromWire = (b: unknown): Revision =>
-  revision(isObject(b) ? Number(b['ledgerRev'] ?? 0) : 0);
+
+const operationToWire = ({ key, value, lease }: WriteOperation) =>
+  value === undefined
+    ? { remove: key }
+    : { write: key, value, ...(lease === undefined ? {} : { hold: lease }) };
+
+/** The body of a request for a lease. */
+export const leaseToWire = (ttlMs: number) => ({ ttlMs });
+
+/** The query for a page of keys. */
+export const listKeysQuery = (prefix: string, after: string | null): string =>
+  `?starts=${encodeURIComponent(prefix)}&most=${PAGE_SIZE}${after === null ? '' : `&from=${encodeURIComponent(after)}`}`;
+
+/** The query of a watch. */
+export const watchQuery = (prefix: string, from: Revision, waitMs: number): string =>
+  `?starts=${encodeURIComponent(prefix)}&from=${from}&blockMs=${waitMs}`;
+
+/** The revision that an answer names; 0 where it names none. */
+export const revisionFromWire = (body: unknown): Revision =>
+  revision(isObject(body) ? Number(body['ledgerRev'] ?? 0) : 0);
+
 /** The keys whose guards failed. */
-export const failedFromWire = (b: unknown): string[] =>
-  isObject(b) && Array.isArray(b['failed']) ? (b['failed'] as string[]) : [];
-/** A page of a listing of keys. */
-export function rowsFromWire(b: unknown): { rows: KeyChange[]; more: boolean; rev: Revision } {
-  if (!isObject(b)) throw new Error('listing: no object');
-  const rows = ((b['rows'] ?? []) as Json[]).map((r) => ({
-    key: String(r['path']),
-    value: r['value'],
-    version: version(Number(r['entryRev'])),
+export const failedFromWire = (body: unknown): string[] =>
+  isObject(body) && Array.isArray(body['failed']) ? (body['failed'] as string[]) : [];
+
+/** The lease that was granted. */
+export const leaseFromWire = (body: unknown): number => (isObject(body) ? Number(body['hold']) : Number.NaN);
+
+/** A page of a listing of keys. Throws `ProtocolError` where the body is no object. */
+export function rowsFromWire(body: unknown): KeyPage {
+  const page = objectFromWire(body, 'listing');
+  const rows = ((page['rows'] ?? []) as Json[]).map((row) => ({
+    key: String(row['path']),
+    value: row['value'],
+    version: version(Number(row['entryRev'])),
   }));
-  return { rows, more: b['hasNext'] === true, rev: revisionFromWire(b) };
+  return { rows, hasMore: page['hasNext'] === true, revision: revisionFromWire(page) };
 }
-/** A key's value and version. */
-export function entryFromWire(b: unknown): { value: unknown; version: Version } {
-  if (!isObject(b)) throw new Error('key: no object');
-  return { value: b['value'], version: version(Number(b['entryRev'])) };
+
+/** A key's value and version. Throws `ProtocolError` where the body is no object. */
+export function entryFromWire(body: unknown): { value: unknown; version: Version } {
+  const entry = objectFromWire(body, 'key');
+  return { value: entry['value'], version: version(Number(entry['entryRev'])) };
 }
-/** The changes of a watch's answer. */
-export function eventsFromWire(b: unknown): { events: KeyChange[]; rev: Revision } {
-  if (!isObject(b)) throw new Error('watch: no object');
-  const events = ((b['events'] ?? []) as Json[]).map((e) => ({
-    key: String(e['write'] ?? e['remove']),
-    value: e['write'] === undefined ? undefined : e['value'],
-    version: version(Number(e['entryRev'])),
+
+/** The changes of a watch's answer. Throws `ProtocolError` where the body is no object. */
+export function eventsFromWire(body: unknown): WatchedChanges {
+  const answer = objectFromWire(body, 'watch');
+  const events = ((answer['events'] ?? []) as Json[]).map((event) => ({
+    key: String(event['write'] ?? event['remove']),
+    value: event['write'] === undefined ? undefined : event['value'],
+    version: version(Number(event['entryRev'])),
   }));
-  return { events, rev: revisionFromWire(b) };
+  return { events, revision: revisionFromWire(answer) };
+}
+
+function objectFromWire(body: unknown, subject: string): Json {
+  if (!isObject(body)) throw new ProtocolError(`${subject}: not an object`);
+  return body;
 }
-/** The query for a page of keys. */
-export const listKeysQuery = (prefix: string, after: string | null) =>
-  `?starts=${encodeURIComponent(prefix)}&most=1000${after === null ? '' : `&from=${encodeURIComponent(after)}`}`;
-/** The query of a watch. */
-export const watchQuery = (prefix: string, from: Revision, waitMs: number) =>
-  `?starts=${encodeURIComponent(prefix)}&from=${from}&blockMs=${waitMs}`;
-/** The body of a request for a lease. */
-export const leaseToWire = (ttlMs: number) => ({ ttlMs });
-/** The lease that was granted. */
-export const leaseFromWire = (b: unknown): number => (isObject(b) ? Number(b['hold']) : Number.NaN);
--- a/src/io/state/state-usage.ts
+++ b/src/io/state/state-usage.ts
@@ -1,4 +1,4 @@
-/** What a controller asks of the state service: counts for operators, and for finding out where the write budget goes. */
+/** Counts a controller's requests to the state service, and its changes by reason, for operators. */
 
 /** Why a change is written. */
 export type WriteReason =
@@ -23,37 +23,41 @@
 
 /** Counts since the process began. */
 export class StateUsage {
+  /** All requests that were sent. */
   requests = 0;
-  /** Requests above the rate (429), refused (503) and without an answer. */
+  /** Requests above the rate (429). */
   limited = 0;
+  /** Requests refused in an outage (503). */
   refused = 0;
+  /** Requests without an answer. */
   lost = 0;
-  /** Changes in transactions whose guards failed: they cost as much as those that were made. */
+  /** Changes in transactions whose guards failed; they use as much of the budget as those that were made. */
   conflicted = 0;
-  private readonly written = new Map<WriteReason, number>();
-  private readonly asked = new Map<RequestKind, number>();
+  private readonly changesByReason = new Map<WriteReason, number>();
+  private readonly requestsByKind = new Map<RequestKind, number>();
 
-  /** A request was sent. */
+  /** Counts a request. */
   sent(kind: RequestKind): void {
     this.requests++;
-    this.asked.set(kind, (this.asked.get(kind) ?? 0) + 1);
+    this.requestsByKind.set(kind, (this.requestsByKind.get(kind) ?? 0) + 1);
   }
 
+  /** Counts a change that was committed. */
   wrote(reason: WriteReason): void {
-    this.written.set(reason, (this.written.get(reason) ?? 0) + 1);
+    this.changesByReason.set(reason, (this.changesByReason.get(reason) ?? 0) + 1);
   }
 
-  /** The counts as they are logged. */
+  /** The counts in the form in which they are logged. */
   snapshot() {
     const { requests, limited, refused, lost, conflicted } = this;
     return {
       requests,
-      asked: Object.fromEntries(this.asked),
+      asked: Object.fromEntries(this.requestsByKind),
       limited,
       refused,
       lost,
       conflicted,
-      written: Object.fromEntries(this.written),
+      written: Object.fromEntries(this.changesByReason),
     };
   }
 }
--- a/src/io/state/state-watcher.ts
+++ b/src/io/state/state-watcher.ts
@@ -1,27 +1,41 @@
 /** Keeps a view of the shared state current by listing it once and watching it from then on. */
-import { WATCHED_PREFIX, parseKey } from '../../core/records/keys.js';
+import { UnavailableError } from '../../core/errors.js';
 import { revision, version, type Revision, type Version } from '../../core/model/ids.js';
-import type { KeyChange, ClusterView } from '../../core/state/cluster-view.js';
+import { WATCHED_PREFIX, parseKey } from '../../core/records/keys.js';
+import type { ClusterView } from '../../core/state/cluster-view.js';
 import { REQUEST_PRIORITY } from '../rate-limiter.js';
-import type { WriteOperation } from './state-messages.js';
-import { Unavailable, type StateClient } from './state-client.js';
+import type { KeyListing, StateClient } from './state-client.js';
+import type { WatchedChanges, WriteOperation } from './state-messages.js';
 
-/** Polls that come within so long share a barrier: each is a request of the state service's budget. */
-const BARRIER_EVERY_MS = 80;
-/** One watch request blocks for so long at most. */
+/** Calls within this time share a barrier: each barrier is a request of the state service's budget. */
+const BARRIER_INTERVAL_MS = 80;
+/** The longest time for which one watch request blocks. */
 const WATCH_MS = 8000;
-/** Pauses after a watch and a listing that failed. */
-const WATCH_AGAIN_MS = 250;
-const LIST_AGAIN_MS = 300;
+/** Pauses after a watch and after a listing that failed. */
+const WATCH_RETRY_MS = 250;
+const LIST_RETRY_MS = 300;
 /** How long a barrier waits for the watch. */
-const WATCH_LAG_MS = 1500;
+const MAX_WATCH_LAG_MS = 1500;
 
-/** Keeps a view current and lets others wait until it has reached a revision. */
+/** Whom a watcher notifies. */
+export interface StateWatcherListeners {
+  /** Called with the keys that have changed in the view. */
+  readonly onChanged: (keys: ReadonlySet<string>) => void;
+  /** Called with each change that this process has committed, before it is applied to the view. */
+  readonly onCommitted?: (operations: readonly WriteOperation[]) => void;
+}
+
+interface RevisionWaiter {
+  readonly revision: Revision;
+  readonly resolve: (isReached: boolean) => void;
+}
+
+/** Keeps a view current and lets callers wait until it has reached a revision. */
 export class StateWatcher {
-  /** The first complete picture has been reached. */
+  /** Whether the view has been complete once. */
   isReady = false;
-  private waiters: { rev: Revision; go: (ok: boolean) => void }[] = [];
-  /** Slices that this process has written before the watch told of all that was committed until then. */
+  private waiters: RevisionWaiter[] = [];
+  /** Shards that this process has written before the watch reached the revision of that write. */
   private readonly shardsAheadOfWatch = new Map<string, Version>();
   private barrier: Promise<void> | null = null;
   private queuedBarrier: Promise<void> | null = null;
@@ -29,84 +43,44 @@
   constructor(
     private readonly client: StateClient,
     readonly view: ClusterView,
-    private readonly changed: (keys: ReadonlySet<string>) => void,
-    /** Told of each change that this process has committed, before the view is. */
-    private readonly committed: (operations: readonly WriteOperation[]) => void = () => undefined,
+    private readonly listeners: StateWatcherListeners,
   ) {}
 
+  /** Lists and watches for ever; what fails is repeated after a pause. */
   async run(): Promise<never> {
     for (;;) {
       try {
-        const { rows, from, upTo } = await this.client.list();
-        this.view.resetTo(rows, from);
-        this.view.advanceTo(from);
-        this.changed(new Set(rows.map((r) => r.key)));
-        if (from >= upTo) this.isReady = true;
-        let at = from;
-        for (;;) {
-          let r: { events: KeyChange[]; rev: Revision } | null;
-          const { clock, minWatchIntervalMs } = this.client;
-          const next = clock.now() + minWatchIntervalMs;
-          try {
-            r = await this.client.watch(at, WATCH_MS);
-          } catch {
-            await this.client.clock.sleep(WATCH_AGAIN_MS);
-            continue;
-          }
-          if (r === null) break;
-          const keys = new Set<string>();
-          for (const e of r.events) if (this.view.apply(e)) keys.add(e.key);
-          at = revision(Math.max(at, r.rev));
-          this.view.advanceTo(at);
-          if (at >= upTo) this.isReady = true;
-          for (const k of this.takeCaughtUp()) keys.add(k);
-          this.resolveWaiters();
-          if (keys.size > 0) this.changed(keys);
-          if (clock.now() < next) await clock.sleep(next - clock.now());
-        }
+        const listing = await this.client.list();
+        this.applyListing(listing);
+        await this.watchFrom(listing);
       } catch {
-        await this.client.clock.sleep(LIST_AGAIN_MS);
+        await this.client.clock.sleep(LIST_RETRY_MS);
       }
     }
   }
 
-  /** What may be acted on only now that the view has reached it: listeners are told once more. */
-  private takeCaughtUp(): string[] {
-    const keys = [...this.shardsAheadOfWatch].filter(([, v]) => v <= this.view.revision).map(([k]) => k);
-    for (const k of keys) this.shardsAheadOfWatch.delete(k);
-    return keys;
-  }
-
-  private resolveWaiters(): void {
-    const rest: typeof this.waiters = [];
-    for (const w of this.waiters) {
-      if (w.rev <= this.view.revision) w.go(true);
-      else rest.push(w);
-    }
-    this.waiters = rest;
-  }
-
-  waitForRevision(rev: Revision, timeoutMs: number): Promise<boolean> {
-    if (this.view.revision >= rev) return Promise.resolve(true);
+  /** Resolves to true once the view has reached the revision, to false after the timeout. */
+  waitForRevision(target: Revision, timeoutMs: number): Promise<boolean> {
+    if (this.view.revision >= target) return Promise.resolve(true);
     return new Promise((resolve) => {
-      const w = {
-        rev,
-        go: (ok: boolean) => {
-          stop();
-          resolve(ok);
+      const waiter: RevisionWaiter = {
+        revision: target,
+        resolve: (isReached) => {
+          cancelTimeout();
+          resolve(isReached);
         },
       };
-      const stop = this.client.clock.after(timeoutMs, () => {
-        this.waiters = this.waiters.filter((x) => x !== w);
+      const cancelTimeout = this.client.clock.after(timeoutMs, () => {
+        this.waiters = this.waiters.filter((other) => other !== waiter);
         resolve(false);
       });
-      this.waiters.push(w);
+      this.waiters.push(waiter);
     });
   }
 
   /**
-   * After it, the view is at least as new as anything that any controller had told anybody before the call.
-   * Calls that come while one barrier is under way share the next one.
+   * Waits until the view is at least as new as anything that any controller had told a user before the call. Calls during
+   * one barrier share the next one. Throws `UnavailableError` where that cannot be reached now.
    */
   async waitUntilFresh(): Promise<void> {
     if (this.barrier === null) {
@@ -117,7 +91,7 @@
     }
     this.queuedBarrier ??= this.barrier
       .catch(() => undefined)
-      .then(() => this.client.clock.sleep(BARRIER_EVERY_MS))
+      .then(() => this.client.clock.sleep(BARRIER_INTERVAL_MS))
       .then(() => {
         this.queuedBarrier = null;
         return this.waitUntilFresh();
@@ -125,21 +99,80 @@
     return this.queuedBarrier;
   }
 
-  private async runBarrier(): Promise<void> {
-    const rev = await this.client.currentRevision(REQUEST_PRIORITY.users);
-    if (!(await this.waitForRevision(rev, WATCH_LAG_MS))) throw new Unavailable('the watch lags');
+  /** Applies this process's own commit to the view without waiting for the watch. */
+  applyCommitted(operations: readonly WriteOperation[], committedAt: Revision): void {
+    this.listeners.onCommitted?.(operations);
+    const keys = new Set<string>();
+    for (const { key, value } of operations) {
+      if (!key.startsWith(WATCHED_PREFIX)) continue;
+      if (!this.view.apply({ key, value, version: version(committedAt) })) continue;
+      keys.add(key);
+      if (parseKey(key).kind === 'shard') this.shardsAheadOfWatch.set(key, version(committedAt));
+    }
+    if (keys.size > 0) this.listeners.onChanged(keys);
+  }
+
+  private applyListing({ rows, from, upTo }: KeyListing): void {
+    this.view.resetTo(rows, from);
+    this.view.advanceTo(from);
+    this.listeners.onChanged(new Set(rows.map((row) => row.key)));
+    if (from >= upTo) this.isReady = true;
   }
 
-  /** Takes in this process's own commit without waiting for the watch. */
-  applyCommitted(operations: readonly WriteOperation[], rev: Revision): void {
-    this.committed(operations);
+  /** Follows all changes after the listing; returns when the keys have to be listed again. */
+  private async watchFrom({ from, upTo }: KeyListing): Promise<void> {
+    const { clock, minWatchIntervalMs } = this.client;
+    let reached = from;
+    for (;;) {
+      const nextWatchAt = clock.now() + minWatchIntervalMs;
+      let changes: WatchedChanges | null;
+      try {
+        changes = await this.client.watch(reached, WATCH_MS);
+      } catch {
+        await clock.sleep(WATCH_RETRY_MS);
+        continue;
+      }
+      if (changes === null) return;
+      reached = revision(Math.max(reached, changes.revision));
+      this.applyWatched(changes, { reached, upTo });
+      if (clock.now() < nextWatchAt) await clock.sleep(nextWatchAt - clock.now());
+    }
+  }
+
+  private applyWatched(
+    { events }: WatchedChanges,
+    { reached, upTo }: { reached: Revision; upTo: Revision },
+  ): void {
     const keys = new Set<string>();
-    for (const o of operations) {
-      if (!o.key.startsWith(WATCHED_PREFIX)) continue;
-      if (!this.view.apply({ key: o.key, value: o.value, version: version(rev) })) continue;
-      keys.add(o.key);
-      if (parseKey(o.key).kind === 'shard') this.shardsAheadOfWatch.set(o.key, version(rev));
+    for (const event of events) if (this.view.apply(event)) keys.add(event.key);
+    this.view.advanceTo(reached);
+    if (reached >= upTo) this.isReady = true;
+    for (const key of this.takeCaughtUpShards()) keys.add(key);
+    this.resolveWaiters();
+    if (keys.size > 0) this.listeners.onChanged(keys);
+  }
+
+  /** Shards that may be acted on only now that the view has reached them: listeners are notified once more. */
+  private takeCaughtUpShards(): string[] {
+    const keys = [...this.shardsAheadOfWatch]
+      .filter(([, writtenAt]) => writtenAt <= this.view.revision)
+      .map(([key]) => key);
+    for (const key of keys) this.shardsAheadOfWatch.delete(key);
+    return keys;
+  }
+
+  private resolveWaiters(): void {
+    const remaining: RevisionWaiter[] = [];
+    for (const waiter of this.waiters) {
+      if (waiter.revision <= this.view.revision) waiter.resolve(true);
+      else remaining.push(waiter);
     }
-    if (keys.size > 0) this.changed(keys);
+    this.waiters = remaining;
+  }
+
+  private async runBarrier(): Promise<void> {
+    const current = await this.client.currentRevision(REQUEST_PRIORITY.users);
+    if (!(await this.waitForRevision(current, MAX_WATCH_LAG_MS)))
+      throw new UnavailableError('the watch lags behind');
   }
 }
--- /dev/null
+++ b/src/io/state/transaction-packing.ts
@@ -0,0 +1,111 @@
+/** Packs change sets into transactions within the limits of the state service. */
+import type { MachineRecord } from '../../core/model/machines.js';
+import { parseKey } from '../../core/records/keys.js';
+import { jsonBytes, shrinkMachineRecord } from '../../core/records/stored-records.js';
+import type { ClusterView } from '../../core/state/cluster-view.js';
+import { GUARDS_PER_OPERATION, isOutdated, type ChangeSet } from './change-set.js';
+import type { StateServiceLimits } from './state-client.js';
+import type { Guard, WriteOperation } from './state-messages.js';
+
+/** Size of a transaction as estimated here, below the service's limit of 64 KiB. */
+const MAX_TRANSACTION_BYTES = 60_000;
+/** Estimated size of a transaction's frame and of one guard. */
+const TRANSACTION_OVERHEAD_BYTES = 200;
+const GUARD_BYTES = 80;
+
+/** The limits that a transaction has to keep to. */
+export type TransactionLimits = Pick<StateServiceLimits, 'operationsPerTransaction' | 'valueBytes'>;
+
+/** A transaction and the change sets that it is made of. */
+export interface PackedTransaction extends ChangeSet {
+  readonly changeSets: readonly ChangeSet[];
+}
+
+/**
+ * Packs change sets into transactions, in order, as many to each as the limits allow. Each transaction is built only when
+ * it is asked for, so that change sets that have become outdated in the meantime are left out.
+ */
+export function* packTransactions(
+  changeSets: readonly ChangeSet[],
+  baseGuards: readonly Guard[],
+  limits: TransactionLimits,
+  view: ClusterView,
+): Generator<PackedTransaction> {
+  let next = 0;
+  while (next < changeSets.length) {
+    const builder = new TransactionBuilder(baseGuards, limits.operationsPerTransaction);
+    for (; next < changeSets.length; next++) {
+      const changeSet = changeSets[next]!;
+      if (isOutdated(view, changeSet.guards)) continue;
+      const fitted = fitChangeSet(changeSet, limits.valueBytes);
+      if (fitted !== null && !builder.tryAdd(fitted)) break;
+    }
+    if (!builder.isEmpty) yield builder.build();
+  }
+}
+
+/** A transaction that is being filled. */
+class TransactionBuilder {
+  private readonly operations: WriteOperation[] = [];
+  private readonly changeSets: ChangeSet[] = [];
+  private readonly guards: Map<string, Guard>;
+  private bytes: number;
+
+  constructor(
+    baseGuards: readonly Guard[],
+    private readonly maxOperations: number,
+  ) {
+    this.guards = new Map(baseGuards.map((guard) => [guard.key, guard]));
+    this.bytes = TRANSACTION_OVERHEAD_BYTES + GUARD_BYTES * this.guards.size;
+  }
+
+  get isEmpty(): boolean {
+    return this.operations.length === 0;
+  }
+
+  /** Adds the change set unless it exceeds a limit; the first one is always taken. */
+  tryAdd(changeSet: ChangeSet): boolean {
+    const bytes = JSON.stringify(changeSet.operations).length + GUARD_BYTES * changeSet.guards.length;
+    if (!this.isEmpty && this.wouldExceedLimits(changeSet, bytes)) return false;
+    this.operations.push(...changeSet.operations);
+    this.changeSets.push(changeSet);
+    for (const guard of changeSet.guards) this.guards.set(guard.key, guard);
+    this.bytes += bytes;
+    return true;
+  }
+
+  build(): PackedTransaction {
+    return { operations: this.operations, guards: [...this.guards.values()], changeSets: this.changeSets };
+  }
+
+  private wouldExceedLimits({ operations, guards }: ChangeSet, bytes: number): boolean {
+    const newGuards = guards.filter((guard) => !this.guards.has(guard.key)).length;
+    return (
+      this.operations.length + operations.length > this.maxOperations ||
+      this.bytes + bytes > MAX_TRANSACTION_BYTES ||
+      this.guards.size + newGuards > this.maxOperations * GUARDS_PER_OPERATION
+    );
+  }
+}
+
+/**
+ * The change set with values within the limit, or null where that is impossible: the service would reject it each time,
+ * and everything behind it would wait. Only a value stored under a higher limit is that large; it is left as it is until
+ * it shrinks.
+ */
+function fitChangeSet(changeSet: ChangeSet, valueBytes: number): ChangeSet | null {
+  const operations: WriteOperation[] = [];
+  for (const operation of changeSet.operations) {
+    const fitted = fitOperation(operation, valueBytes);
+    if (fitted === null) return null;
+    operations.push(fitted);
+  }
+  return { operations, guards: changeSet.guards };
+}
+
+function fitOperation(operation: WriteOperation, valueBytes: number): WriteOperation | null {
+  if (operation.value === undefined || jsonBytes(operation.value) <= valueBytes) return operation;
+  if (parseKey(operation.key).kind !== 'machine') return null;
+  const value = shrinkMachineRecord(operation.value as MachineRecord, valueBytes);
+  return value === null ? null : { ...operation, value };
+}
--- a/src/io/users/http-server.ts
+++ b/src/io/users/http-server.ts
@@ -8,7 +8,7 @@
 import type { CancellationResult, JobService } from '../../controller/api/job-service.js';
 import type { HeartbeatRouter } from '../../controller/heartbeats/heartbeat-router.js';
 import type { PluginHost } from '../../plugin-host/plugin-host.js';
-import { Unavailable } from '../state/state-client.js';
+import { UnavailableError } from '../../core/errors.js';
 import { heartbeatFromWire, commandsToWire, redirectToWire } from '../agents/agent-messages.js';
 import { BODY_LIMIT, paths } from '../paths.js';
 import { Submission, jobFromWire, acceptedToWire, isJobId, statusToWire } from './job-messages.js';
@@ -58,7 +58,7 @@
     }
   });
   app.setErrorHandler((e: Error & { statusCode?: number; validation?: unknown }, _req, reply) => {
-    if (e instanceof Unavailable)
+    if (e instanceof UnavailableError)
       return reply.code(503).header('retry-after', '1').send({ error: 'unavailable' });
     const malformed =
       e instanceof Malformed ||
--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -5,13 +5,9 @@
 import type { HttpResponse, Transport } from '../src/io/http-client.js';
 import { StateClient, type StateServiceLimits } from '../src/io/state/state-client.js';
 import { StateWatcher } from '../src/io/state/state-watcher.js';
-import {
-  GUARDS_PER_OPERATION,
-  GuardSet,
-  commit,
-  commitChangeSets,
-  packTransactions,
-} from '../src/io/state/transactions.js';
+import { GUARDS_PER_OPERATION, GuardSet } from '../src/io/state/change-set.js';
+import { commit, commitChangeSets } from '../src/io/state/transaction-commit.js';
+import { packTransactions } from '../src/io/state/transaction-packing.js';
 import { REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
 import { version } from '../src/core/model/ids.js';
 import { StateService } from './sim/state-service.js';
@@ -35,7 +31,7 @@
   const clock = new ProcessClock(world, 1, 0);
   let first = true;
   let watchHeldUntil = 0;
-  const http: Transport = {
+  const transport: Transport = {
     request: (method, path, body, timeoutMs) =>
       new Promise<HttpResponse>((resolve, reject) => {
         clock.after(timeoutMs, () => {
@@ -60,7 +56,7 @@
         });
       }),
   };
-  const watch: Transport = {
+  const watchTransport: Transport = {
     request: (_method, path) =>
       new Promise<HttpResponse>((resolve) => {
         state.follow(path, (r) => {
@@ -70,9 +66,9 @@
         });
       }),
   };
-  const client = new StateClient(LIMITS, clock, http, watch);
+  const client = new StateClient({ limits: LIMITS, clock, transport, watchTransport });
   const view = new ClusterView();
-  const follower = new StateWatcher(client, view, () => undefined);
+  const follower = new StateWatcher(client, view, { onChanged: () => undefined });
   state.handle('POST', '/txn', { then: [{ write: 'p/m/n-1', value: { n: 0 } }] });
   void follower.run();
   return { world, state, client, follower, view };
@@ -86,12 +82,15 @@
     assert.ok(before > 0);
     let outcome = null as string | null;
     const op = { key: 'p/m/n-1', value: { n: 1 } };
-    void commit(client, follower, [{ key: op.key, version: before }], [op], REQUEST_PRIORITY.starts).then(
-      (r) => {
-        outcome = r;
-        assert.equal(view.versionOf(op.key), state.rows.get(op.key)!.revision, 'it goes on with an old view');
-      },
-    );
+    void commit(
+      client,
+      follower,
+      { guards: [{ key: op.key, version: before }], operations: [op] },
+      REQUEST_PRIORITY.starts,
+    ).then((r) => {
+      outcome = r;
+      assert.equal(view.versionOf(op.key), state.rows.get(op.key)!.revision, 'it goes on with an old view');
+    });
     while (outcome === null && world.now < 60_000) await world.runUntil(world.now + 100);
     assert.equal(outcome, 'conflict');
     const value = state.rows.get(op.key)!.value;
@@ -155,8 +154,7 @@
   const outcome = await commit(
     client,
     follower,
-    [guard],
-    [{ key: guard.key, value: {} }],
+    { guards: [guard], operations: [{ key: guard.key, value: {} }] },
     REQUEST_PRIORITY.starts,
   );
   assert.equal(outcome, 'conflict');
@@ -200,7 +198,7 @@
   const { world, state, client, follower } = setUp('lost');
   await world.runUntil(1000);
   // The first transaction of the stand-in gets no answer: that is another test's.
-  void client.transact([], [{ key: 'x', value: {} }], REQUEST_PRIORITY.starts);
+  void client.transact({ guards: [], operations: [{ key: 'x', value: {} }] }, REQUEST_PRIORITY.starts);
   await world.runUntil(4000);
   state.valueBytes = 200;
   const groups = [...Array(6).keys()].map((i) => ({
@@ -236,7 +234,7 @@
   assert.ok(guards.every((g) => g.version > 0));
   let outcome = null as string | null;
   const op = { key: large.key, value: { n: 1 } };
-  void commit(client, follower, guards, [op], REQUEST_PRIORITY.starts).then((r) => {
+  void commit(client, follower, { guards, operations: [op] }, REQUEST_PRIORITY.starts).then((r) => {
     outcome = r;
   });
   while (outcome === null && world.now < 60_000) await world.runUntil(world.now + 100);
--- a/test/group-commit.test.ts
+++ b/test/group-commit.test.ts
@@ -4,7 +4,7 @@
 import { revision } from '../src/core/model/ids.js';
 import type { StateClient, TransactionResult } from '../src/io/state/state-client.js';
 import { GroupCommit } from '../src/io/state/group-commit.js';
-import type { Guard, WriteOperation } from '../src/io/state/state-messages.js';
+import type { ChangeSet } from '../src/io/state/change-set.js';
 import { NO_VERSION } from '../src/core/model/ids.js';
 
 const change = (name: string) => ({
@@ -21,15 +21,15 @@
   const client = {
     limits: settings,
     writesWithin: () => 0,
-    transactWithRetry: (guards: readonly Guard[], ops: readonly WriteOperation[]) =>
+    transactWithRetry: ({ guards, operations }: ChangeSet) =>
       new Promise<TransactionResult>((resolve) => {
-        sent.push(ops.map((o) => o.key));
+        sent.push(operations.map((o) => o.key));
         answers.push(() => {
           const failed = guards.map((g) => g.key).filter((k) => exists.has(k));
-          if (ops.some((o) => rejects.has(o.key))) resolve({ kind: 'rejected' });
+          if (operations.some((o) => rejects.has(o.key))) resolve({ kind: 'rejected' });
           else if (failed.length > 0) resolve({ kind: 'conflict', revision: revision(5), failed });
           else {
-            for (const o of ops) exists.add(o.key);
+            for (const o of operations) exists.add(o.key);
             resolve({ kind: 'ok', revision: revision(6) });
           }
         });
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -5,8 +5,14 @@
 import { ProcessClock, VirtualTime } from './sim/virtual-time.js';
 
 /** A process whose part of both budgets does not fall, and which may borrow so many times that part. */
-const fixed = (world: VirtualTime, spare: number) =>
-  new RateLimiter({ high: 60, low: 60 }, { high: 12, low: 12 }, 200, spare, new ProcessClock(world, 1, 0));
+const fixed = (world: VirtualTime, maxBorrowFactor: number) =>
+  new RateLimiter({
+    requestRates: { high: 60, low: 60 },
+    writeRates: { high: 12, low: 12 },
+    maxQueued: 200,
+    maxBorrowFactor,
+    clock: new ProcessClock(world, 1, 0),
+  });
 
 test('reads and users never wait behind bulk changes, and nothing goes beyond the budget', async () => {
   const world = new VirtualTime(1);
@@ -60,7 +66,13 @@
   const low = 15;
   // A little less than all of it, as the client takes.
   const rate = { high: high * 0.95, low: low * 0.95 };
-  const limiter = new RateLimiter({ high: 100, low: 100 }, rate, 2000, 1, new ProcessClock(world, 1, 0));
+  const limiter = new RateLimiter({
+    requestRates: { high: 100, low: 100 },
+    writeRates: rate,
+    maxQueued: 2000,
+    maxBorrowFactor: 1,
+    clock: new ProcessClock(world, 1, 0),
+  });
   // The service's bucket: it holds a second's worth of what it allows.
   let allowed = high;
   let tokens = high;
--- a/test/sim.test.ts
+++ b/test/sim.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobId } from '../src/core/model/ids.js';
-import { Unavailable } from '../src/io/state/state-client.js';
+import { UnavailableError } from '../src/core/errors.js';
 import { injectFaults } from './sim/faults.js';
 import { scheduleRollingUpgrade } from './sim/rolling-upgrade.js';
 import { FLEET, GROWN, SMALL, Simulation, runWithoutFaults, type SimulationSize } from './sim/simulation.js';
@@ -86,7 +86,7 @@
     const [open] = [...simulation.cluster.submitted].find(
       ([, j]) => j.accepted && j.observedFinalState === null,
     )!;
-    await assert.rejects(node.controller!.jobs.find(jobId(open)), Unavailable);
+    await assert.rejects(node.controller!.jobs.find(jobId(open)), UnavailableError);
     const served = simulation.cluster.liveAgents().filter((w) => w.controller === node.name);
     assert.equal(served.length, 0, `${served.length} workers still report to ${node.name}`);
     node.unreachable.clear();
--- a/test/sim/simulated-users.ts
+++ b/test/sim/simulated-users.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import type { Controller } from '../../src/controller/controller.js';
 import { jobId } from '../../src/core/model/ids.js';
-import { Unavailable } from '../../src/io/state/state-client.js';
+import { UnavailableError } from '../../src/core/errors.js';
 import { jobFromWire } from '../../src/io/users/job-messages.js';
 import { randomInvalidJob, randomJob } from './random-jobs.js';
 import type { Simulation } from './simulation.js';
@@ -245,7 +245,7 @@
       // A controller that crashed never answers.
       return await Promise.race([answer, time.sleep(ANSWER_TIMEOUT_MS).then(() => null)]);
     } catch (error) {
-      if (error instanceof Unavailable) return null;
+      if (error instanceof UnavailableError) return null;
       throw error;
     }
   }
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -6,7 +6,7 @@
 import type { JobService, SubmissionResult } from '../src/controller/api/job-service.js';
 import type { HeartbeatRouter } from '../src/controller/heartbeats/heartbeat-router.js';
 import { fencingToken } from '../src/core/model/ids.js';
-import { Unavailable } from '../src/io/state/state-client.js';
+import { UnavailableError } from '../src/core/errors.js';
 import { buildServer } from '../src/io/users/http-server.js';
 import { submission } from './samples.js';
 
@@ -155,7 +155,7 @@
 test('what cannot be decided now is refused at once, with a time to come back', async () => {
   const { app } = server({
     submit: () => Promise.resolve({ kind: 'later' }),
-    find: () => Promise.reject(new Unavailable('state')),
+    find: () => Promise.reject(new UnavailableError('state')),
     cancel: () => Promise.resolve({ kind: 'later' }),
   });
   // What is malformed is so in every state of the service.
