--- a/src/controller/api/job-service.ts
+++ b/src/controller/api/job-service.ts
@@ -9,7 +9,7 @@
 import { UnavailableError } from '../../core/errors.js';
 import { GroupCommit } from '../../io/state/group-commit.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import type { Peer } from '../../io/peers/peer-link.js';
+import type { Peer } from '../../io/peers/peer.js';
 import type { WriteOperation } from '../../io/state/state-messages.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { ShardController } from '../shard/shard-controller.js';
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -7,7 +7,7 @@
 import type { AgentGateway } from '../io/agents/agent-client.js';
 import { CloudClient } from '../io/cloud/cloud-client.js';
 import type { Transport } from '../io/http-client.js';
-import type { Peer } from '../io/peers/peer-link.js';
+import type { Peer } from '../io/peers/peer.js';
 import type { LoadedPlugin, PluginServices } from '../plugin-host/api.js';
 import { PluginHost, ForwardingTracer } from '../plugin-host/plugin-host.js';
 import { TopicChannel } from '../plugin-host/topic-channel.js';
--- a/src/controller/membership/availability.ts
+++ b/src/controller/membership/availability.ts
@@ -1,21 +1,31 @@
 /**
- * What a controller may still do while the state service does not answer it. It cannot tell by itself whether the
- * service is out for all or only for this controller; the other controllers can.
+ * What a controller may still do while the state service does not answer it. By itself it cannot tell whether the service
+ * is out for all controllers or only for this one; the other controllers can.
  */
-import type { Peer } from '../../io/peers/peer-link.js';
+import type { Peer } from '../../io/peers/peer.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from './membership.js';
 
-const ASK_MS = 700;
-const ANSWER_MS = 1200;
-/** How long it counts what a peer said. */
-const KNOWN_MS = 5000;
+/** Interval at which contact to the state service is checked. */
+const CHECK_INTERVAL_MS = 700;
+const PEER_ANSWER_TIMEOUT_MS = 1200;
+/** How long the peers' last answers count. */
+const PEER_ANSWERS_VALID_MS = 5000;
+/** Without an answer for this long the peers are asked about their contact. */
+const CONTACT_LOST_MS = 1500;
+/** Without an answer for this long the controller is unhealthy, unless there is a state outage. */
+const UNHEALTHY_AFTER_MS = 3000;
 
-/** Decides whether this controller may answer workers and users now. */
+interface PeerContact {
+  /** Whether any peer has contact to the state service. */
+  readonly hasStateContact: boolean;
+  readonly at: number;
+}
+
+/** Decides whether this controller may answer agents and users now. */
 export class Availability {
-  /** What the peers said last: whether any of them has contact to the state service. */
-  private lastPeerReport = { contact: true, at: Number.NEGATIVE_INFINITY };
-  /** Neither the state service nor any other controller answers: they may all be gone, or this one's zone is cut off. */
+  private lastPeerContact: PeerContact = { hasStateContact: true, at: Number.NEGATIVE_INFINITY };
+  /** Neither the state service nor any other controller answers: all may have failed, or this one's zone is cut off. */
   isIsolated = false;
 
   constructor(
@@ -24,43 +34,51 @@
     private readonly peers: ReadonlyMap<string, Peer>,
   ) {}
 
-  /** A peer has no contact to the state service either, and none was heard to have any. */
-  private get isStateOutage(): boolean {
-    if (this.peers.size === 0) return true;
-    return !this.lastPeerReport.contact && this.context.clock.now() - this.lastPeerReport.at < KNOWN_MS;
-  }
-
   /**
-   * Whether this controller may answer for its slice: its session surely lives, or the service is out for everybody,
-   * so that nobody can have taken the slice. Cut off from the service and from all peers it can know neither: then
-   * its workers have to go, before their leases run out, to a controller that can act for them.
+   * Whether this controller may answer for its shard: its session is certainly alive, or the service is out for all, so
+   * that nobody can have acquired the shard. Cut off from the service and from all peers it knows neither: then its
+   * agents must go, before their leases expire, to a controller that can act for them.
    */
   get mayAnswerAgents(): boolean {
     return this.membership.hasValidLease || this.isStateOutage;
   }
 
   /**
-   * Whether users and the load balancer should come here. While nobody reaches the state service final states can
-   * still be told, and to be skipped for a time would only lengthen the outage for the users.
+   * Whether users and the load balancer should use this controller. While no controller reaches the state service, final
+   * states can still be answered, and taking all controllers out of service would only prolong the outage for users.
    */
   get isHealthy(): boolean {
     const { context } = this;
     if (!context.watcher.isReady || context.view.types === null) return false;
-    return context.state.isReachable(3000) || this.isStateOutage;
+    return context.state.isReachable(UNHEALTHY_AFTER_MS) || this.isStateOutage;
   }
 
+  /** Checks contact to the state service for ever, and asks the peers while it is lost. */
   async run(): Promise<never> {
-    const { context } = this;
+    const { clock, state } = this.context;
     for (;;) {
-      await context.clock.sleep(ASK_MS);
-      if (context.state.isReachable(1500)) {
+      await clock.sleep(CHECK_INTERVAL_MS);
+      if (state.isReachable(CONTACT_LOST_MS)) {
         this.isIsolated = false;
         continue;
       }
-      const answers = await Promise.all([...this.peers.values()].map((p) => p.contact(ANSWER_MS)));
-      const contact = answers.includes(true);
-      this.isIsolated = !contact && !answers.includes(false);
-      if (!this.isIsolated) this.lastPeerReport = { contact, at: context.clock.now() };
+      const answers = await Promise.all(
+        [...this.peers.values()].map((peer) => peer.contact(PEER_ANSWER_TIMEOUT_MS)),
+      );
+      this.recordPeerAnswers(answers);
     }
   }
+
+  /** No peer has contact to the state service either, and at least one peer said so recently. */
+  private get isStateOutage(): boolean {
+    if (this.peers.size === 0) return true;
+    const { hasStateContact, at } = this.lastPeerContact;
+    return !hasStateContact && this.context.clock.now() - at < PEER_ANSWERS_VALID_MS;
+  }
+
+  private recordPeerAnswers(answers: readonly (boolean | null)[]): void {
+    const hasStateContact = answers.includes(true);
+    this.isIsolated = !hasStateContact && !answers.includes(false);
+    if (!this.isIsolated) this.lastPeerContact = { hasStateContact, at: this.context.clock.now() };
+  }
 }
--- a/src/controller/membership/membership.ts
+++ b/src/controller/membership/membership.ts
@@ -1,172 +1,180 @@
-/** This process's session and, if it gets it, the leadership; both hang on one lease of the state service. */
+/** This process's session and, if it is elected, the leadership; both are bound to one lease of the state service. */
+import { UnavailableError } from '../../core/errors.js';
 import { LOG_EVENT } from '../../core/log-events.js';
+import type { LeaderRecord, SessionRecord, ShardRecord } from '../../core/model/cluster.js';
 import type { MonotonicMs } from '../../core/model/time.js';
-import type { SessionRecord, LeaderRecord, ShardRecord } from '../../core/model/cluster.js';
 import { key } from '../../core/records/keys.js';
-import type { WriteOperation } from '../../io/state/state-messages.js';
-import { UnavailableError } from '../../core/errors.js';
+import type { ViewChanges } from '../../core/state/view-changes.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
+import type { WriteOperation } from '../../io/state/state-messages.js';
 import type { ControllerContext } from '../controller-context.js';
 import { Notification } from '../notification.js';
 
-/** The steady clocks drift apart by at most 0.05%; twice that is allowed for. */
-const DRIFT = 0.999;
+/** The part of a lease that counts: monotonic clocks drift by at most 0.05%, and twice that is allowed for. */
+const LEASE_VALID_FRACTION = 0.999;
+/** Pause after the state service did not answer. */
+const UNAVAILABLE_RETRY_MS = 150;
+/** Interval at which this process looks whether its view is ready. */
+const READY_CHECK_MS = 30;
+/** How long the view may take to show what a transaction conflicted with. */
+const CONFLICT_VIEW_TIMEOUT_MS = 1000;
 
-/** Keeps this process's session alive, takes its own slice, and stands for leader. */
+/** Keeps this process's session alive, acquires its own shard, and stands for election as leader. */
 export class Membership {
-  private lease: number | null = null;
-  /** Until then the lease has surely not run out: counted from when the renewal was sent. */
-  private validUntil = Number.NEGATIVE_INFINITY;
   /** When this process first saw each session. */
   readonly sessionsFirstSeen = new Map<string, MonotonicMs>();
   private readonly notification: Notification;
-  /** Until then this process takes on nothing: it has handed over what it held. */
+  private lease: number | null = null;
+  /** Until then the lease has certainly not expired: counted from when the renewal was sent. */
+  private leaseValidUntil = Number.NEGATIVE_INFINITY;
+  /** Until then this process acquires nothing: it has handed over what it held. */
   private drainingUntil = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly context: ControllerContext) {
     this.notification = new Notification(context.clock);
-    context.viewChanges.subscribe(({ leader, sessions }) => {
-      if (leader || sessions.has(context.settings.node)) this.notification.notify();
-      for (const node of context.view.sessions.keys())
-        if (!this.sessionsFirstSeen.has(node)) this.sessionsFirstSeen.set(node, this.context.clock.now());
-      for (const node of [...this.sessionsFirstSeen.keys()])
-        if (!context.view.sessions.has(node)) this.sessionsFirstSeen.delete(node);
+    context.viewChanges.subscribe((changes) => {
+      this.observeSessions(changes);
     });
   }
 
+  /** Whether the session has certainly not expired. */
   get hasValidLease(): boolean {
-    return this.lease !== null && this.context.clock.now() < this.validUntil;
+    return this.lease !== null && this.context.clock.now() < this.leaseValidUntil;
   }
 
-  /** What this process's own records may hang on, or null. */
+  /** The lease to which this process's own records may be bound, or null. */
   get currentLease(): number | null {
     return this.hasValidLease ? this.lease : null;
   }
 
+  /** Whether this process is the leader under its present lease. */
   get isLeader(): boolean {
-    const l = this.context.view.leader;
-    return this.hasValidLease && l?.incarnation === this.context.incarnation && l.lease === this.lease;
+    const { view, incarnation } = this.context;
+    return this.hasValidLease && view.leader?.incarnation === incarnation && view.leader.lease === this.lease;
   }
 
-  /** This process takes on neither slices nor the leadership for so long; 0 ends that. */
+  /** For this time this process acquires neither shards nor the leadership; 0 ends that. */
   drainFor(ms: number): void {
     this.drainingUntil = this.context.clock.now() + ms;
   }
 
-  private get isDraining(): boolean {
-    return this.context.clock.now() < this.drainingUntil;
+  /** Renews the session at its interval and whenever a change of the view calls for it; throws only on defects. */
+  async run(): Promise<never> {
+    const { operator, clock, watcher } = this.context;
+    const renewIntervalMs = operator.sessions.renew_every_s * 1000;
+    for (;;) {
+      try {
+        if (watcher.isReady) await this.renew();
+      } catch (error) {
+        if (!(error instanceof UnavailableError)) throw error;
+        await clock.sleep(UNAVAILABLE_RETRY_MS);
+      }
+      await this.notification.wait(watcher.isReady ? renewIntervalMs : READY_CHECK_MS);
+    }
   }
 
-  /** Leads if nobody else could. */
-  private get mayLead(): boolean {
-    const others = [...this.context.view.sessions.values()].filter(
-      (s) => s.node !== this.context.settings.node,
-    );
-    return !this.isDraining || !others.some((s) => s.draining !== true);
+  private observeSessions({ leader, sessions }: ViewChanges): void {
+    const { view, settings, clock } = this.context;
+    if (leader || sessions.has(settings.node)) this.notification.notify();
+    for (const node of view.sessions.keys())
+      if (!this.sessionsFirstSeen.has(node)) this.sessionsFirstSeen.set(node, clock.now());
+    for (const node of [...this.sessionsFirstSeen.keys()])
+      if (!view.sessions.has(node)) this.sessionsFirstSeen.delete(node);
   }
 
-  private get ownSession(): SessionRecord | undefined {
-    return this.context.view.sessions.get(this.context.settings.node);
+  private get isDraining(): boolean {
+    return this.context.clock.now() < this.drainingUntil;
   }
 
-  async run(): Promise<never> {
-    const { operator } = this.context;
-    for (;;) {
-      try {
-        if (this.context.watcher.isReady) await this.step();
-      } catch (e) {
-        if (!(e instanceof UnavailableError)) throw e;
-        await this.context.clock.sleep(150);
-      }
-      await this.notification.wait(
-        this.context.watcher.isReady ? operator.sessions.renew_every_s * 1000 : 30,
-      );
-    }
+  /** While it drains, this process leads only if no other controller could. */
+  private get mayLead(): boolean {
+    const { view, settings } = this.context;
+    const others = [...view.sessions.values()].filter((session) => session.node !== settings.node);
+    return !this.isDraining || !others.some((session) => session.draining !== true);
   }
 
-  private async step(): Promise<void> {
-    const { context } = this;
-    const ttl = context.operator.sessions.ttl_s * 1000;
-    const sent = this.context.clock.now();
+  private async renew(): Promise<void> {
+    const { state, view, operator, settings, incarnation, clock, log } = this.context;
+    const ttlMs = operator.sessions.ttl_s * 1000;
+    const sentAt = clock.now();
     if (this.lease !== null) {
-      if (await context.state.renewLease(this.lease)) this.validUntil = sent + ttl * DRIFT;
+      if (await state.renewLease(this.lease)) this.leaseValidUntil = sentAt + ttlMs * LEASE_VALID_FRACTION;
       else {
-        context.log.info({ lease: this.lease }, LOG_EVENT.sessionLeaseExpired);
+        log.info({ lease: this.lease }, LOG_EVENT.sessionLeaseExpired);
         this.lease = null;
       }
     }
     if (this.lease === null) {
-      this.lease = await context.state.grantLease(ttl);
-      this.validUntil = sent + ttl * DRIFT;
+      this.lease = await state.grantLease(ttlMs);
+      this.leaseValidUntil = sentAt + ttlMs * LEASE_VALID_FRACTION;
     }
     await this.writeSession(this.lease);
     await this.acquireOwnShard();
-    if (context.view.leader === null && this.mayLead) {
-      const value: LeaderRecord = {
-        node: context.settings.node,
-        incarnation: context.incarnation,
-        lease: this.lease,
-      };
-      if (await this.putWithLease(key.leader, value))
-        context.log.info({ lease: this.lease }, LOG_EVENT.leadershipAcquired);
-    }
+    if (view.leader !== null || !this.mayLead) return;
+    const value: LeaderRecord = { node: settings.node, incarnation, lease: this.lease };
+    if (await this.putWithLease(key.leader, value))
+      log.info({ lease: this.lease }, LOG_EVENT.leadershipAcquired);
   }
 
   private async writeSession(lease: number): Promise<void> {
-    const { context } = this;
-    const mine = this.ownSession;
-    const isOwn = mine?.lease === lease && mine.incarnation === context.incarnation;
-    if (isOwn && (mine.draining === true) === this.isDraining) return;
-    await context.watcher.waitUntilFresh();
+    const { settings, incarnation, state, view, watcher } = this.context;
+    const session = view.sessions.get(settings.node);
+    const isOwn = session?.lease === lease && session.incarnation === incarnation;
+    if (isOwn && (session.draining === true) === this.isDraining) return;
+    await watcher.waitUntilFresh();
     const value: SessionRecord = {
-      node: context.settings.node,
-      incarnation: context.incarnation,
+      node: settings.node,
+      incarnation,
       lease,
-      zone: context.settings.zone,
+      zone: settings.zone,
       ...(this.isDraining ? { draining: true } : {}),
     };
-    const isWritten = await this.putWithLease(key.session(context.settings.node), value);
+    const isWritten = await this.putWithLease(key.session(settings.node), value);
     // A session under this node's name that is not this process's is its predecessor's: the platform runs one process per
-    // node, so it can be ended without waiting for its lease. Only once it is replaced: were there no session for a
-    // moment, the leader would give the slice away, and a plain restart would cost two changes of holder.
-    if (isWritten && !isOwn && mine !== undefined) await context.state.revokeLease(mine.lease);
+    // node, so it can be ended without waiting for its lease. It is ended only once it is replaced: were there no session
+    // for a moment, the leader would give the shard away, and a plain restart would cost two changes of holder.
+    if (isWritten && !isOwn && session !== undefined) await state.revokeLease(session.lease);
   }
 
-  /** The slice of this node, where nobody holds it or its predecessor did, is taken at once. */
+  /** Acquires the shard of this node at once where it has no holder or is held by this process's predecessor. */
   private async acquireOwnShard(): Promise<void> {
-    const { context } = this;
-    const held = context.view.shards.get(context.settings.node);
-    if (
-      held !== undefined &&
-      (held.holder !== context.settings.node || held.incarnation === context.incarnation)
-    )
-      return;
-    const k = key.shard(context.settings.node);
-    const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
-    const op: WriteOperation = { key: k, value, reason: 'membership' };
-    const r = await context.state.transact(
-      { guards: [context.guards.forKey(k)], operations: [op] },
+    const { settings, incarnation, state, view, watcher, guards, log } = this.context;
+    const { node } = settings;
+    const shard = view.shards.get(node);
+    if (shard !== undefined && (shard.holder !== node || shard.incarnation === incarnation)) return;
+    const shardKey = key.shard(node);
+    const value: ShardRecord = { holder: node, incarnation };
+    const operation: WriteOperation = { key: shardKey, value, reason: 'membership' };
+    const result = await state.transact(
+      { guards: [guards.forKey(shardKey)], operations: [operation] },
       REQUEST_PRIORITY.session,
     );
-    if (r.kind === 'ok') {
-      context.watcher.applyCommitted([op], r.revision);
-      context.log.info({ slice: context.settings.node, token: r.revision }, LOG_EVENT.shardAcquired);
-    } else if (r.kind === 'conflict') await context.watcher.waitForRevision(r.revision, 1000);
+    if (result.kind === 'ok') {
+      watcher.applyCommitted([operation], result.revision);
+      log.info({ shard: node, token: result.revision }, LOG_EVENT.shardAcquired);
+    } else if (result.kind === 'conflict')
+      await watcher.waitForRevision(result.revision, CONFLICT_VIEW_TIMEOUT_MS);
   }
 
-  private async putWithLease(k: string, value: { lease: number }): Promise<boolean> {
-    const { context } = this;
-    const op: WriteOperation = { key: k, value, lease: value.lease, reason: 'membership' };
-    const r = await context.state.transact(
-      { guards: [context.guards.forKey(k)], operations: [op] },
+  /** Writes a record that disappears with the lease; false where it was not written. */
+  private async putWithLease(recordKey: string, value: { lease: number }): Promise<boolean> {
+    const { state, watcher, guards } = this.context;
+    const operation: WriteOperation = {
+      key: recordKey,
+      value,
+      lease: value.lease,
+      reason: 'membership',
+    };
+    const result = await state.transact(
+      { guards: [guards.forKey(recordKey)], operations: [operation] },
       REQUEST_PRIORITY.session,
     );
-    if (r.kind === 'ok') {
-      context.watcher.applyCommitted([op], r.revision);
+    if (result.kind === 'ok') {
+      watcher.applyCommitted([operation], result.revision);
       return true;
     }
-    if (r.kind === 'no_lease') this.lease = null;
-    if (r.kind === 'conflict') await context.watcher.waitForRevision(r.revision, 1000);
+    if (result.kind === 'no_lease') this.lease = null;
+    if (result.kind === 'conflict') await watcher.waitForRevision(result.revision, CONFLICT_VIEW_TIMEOUT_MS);
     return false;
   }
 }
--- a/src/controller/membership/shard-transfer.ts
+++ b/src/controller/membership/shard-transfer.ts
@@ -1,13 +1,14 @@
 /**
- * Takes slices from controllers that are taken for failed, and gives slices away in a planned handover. The state service
- * decides: each change is guarded on the slice record as it was seen and on the sessions of both sides, and every commit of
- * a holder is guarded on the slice record, so that nothing of the former holder can follow.
+ * Acquires shards of controllers that are considered failed, and hands shards over in a planned handover. The state
+ * service decides: each change is guarded on the shard's record as it was seen and on the sessions of both sides, and
+ * every commit of a holder is guarded on the shard's record, so that the former holder can commit nothing afterwards.
  */
-import { key } from '../../core/records/keys.js';
+import { UnavailableError } from '../../core/errors.js';
 import type { SessionRecord, ShardRecord } from '../../core/model/cluster.js';
 import type { NodeName } from '../../core/model/ids.js';
+import { key } from '../../core/records/keys.js';
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
-import { UnavailableError } from '../../core/errors.js';
+import type { ChangeSet } from '../../io/state/change-set.js';
 import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
 import type { ShardControl, ShardFact, ShardTransferOutcome } from '../../plugin-host/api.js';
 import type { ControllerContext } from '../controller-context.js';
@@ -15,55 +16,31 @@
 
 const OVERTAKEN: ShardTransferOutcome = { kind: 'overtaken' };
 const UNAVAILABLE: ShardTransferOutcome = { kind: 'unavailable' };
-/** How long the view may take to show what overtook a transaction. */
-const VIEW_WAIT_MS = 1000;
+/** How long the view may take to show what a transaction conflicted with. */
+const CONFLICT_VIEW_TIMEOUT_MS = 1000;
+/** Changes of a handover beside those of the shards: this controller's session and its leadership. */
+const MAX_OWN_CHANGES = 2;
 
-/** Changes the holders of slices. */
+/** Changes the holders of shards. */
 export class ShardTransfer implements ShardControl {
   constructor(
     private readonly context: ControllerContext,
     private readonly membership: Membership,
   ) {}
 
+  /** Acquires the shard and ends its holder's session in one transaction, unless something has changed meanwhile. */
   async failOver(shard: ShardFact): Promise<ShardTransferOutcome> {
     const { context, membership } = this;
     if (!membership.hasValidLease) return UNAVAILABLE;
     const session = context.view.sessions.get(shard.holder);
-    // A new life of the holder takes its slice back by itself.
+    // A restarted holder acquires its shard again by itself.
     if (session !== undefined && session.incarnation !== shard.incarnation) return OVERTAKEN;
-    const sessionKey = key.session(shard.holder);
-    const value: ShardRecord = { holder: context.settings.node, incarnation: context.incarnation };
-    const guards = [
-      { key: key.shard(shard.name), version: shard.epoch },
-      context.guards.forKey(sessionKey),
-      context.guards.forKey(key.session(context.settings.node)),
-    ];
-    const operations: WriteOperation[] = [{ key: key.shard(shard.name), value, reason: 'membership' }];
-    // With the slice, in one transaction: were the session ended first, the leader might give the slice to another one.
-    const { operationsPerTransaction } = context.state.limits;
-    if (session !== undefined && operations.length < operationsPerTransaction)
-      operations.push({ key: sessionKey, value: undefined, reason: 'membership' });
-    if (
-      context.view.leader?.incarnation === shard.incarnation &&
-      operations.length < operationsPerTransaction
-    ) {
-      guards.push(context.guards.forKey(key.leader));
-      operations.push({ key: key.leader, value: undefined, reason: 'membership' });
-    }
-    const outcome = await this.commit(guards, operations);
+    const outcome = await this.commit(this.failOverChanges(shard, session));
     if (outcome.kind === 'committed' && session !== undefined) await this.endLease(session.lease);
     return outcome;
   }
 
-  /** The former holder's other keys go with its lease. Where that fails they go when the lease runs out. */
-  private async endLease(lease: number): Promise<void> {
-    try {
-      await this.context.state.revokeLease(lease);
-    } catch (e) {
-      if (!(e instanceof UnavailableError)) throw e;
-    }
-  }
-
+  /** Hands shards that this process holds over to a controller with a session, and acquires nothing for `drainForMs`. */
   async handOver(
     shards: readonly ShardFact[],
     to: NodeName,
@@ -71,63 +48,104 @@
   ): Promise<ShardTransferOutcome> {
     const { context, membership } = this;
     const receiver = context.view.sessions.get(to);
-    const mine = context.view.sessions.get(context.settings.node);
-    if (!membership.hasValidLease || mine?.incarnation !== context.incarnation) return UNAVAILABLE;
+    const ownSession = context.view.sessions.get(context.settings.node);
+    if (!membership.hasValidLease || ownSession?.incarnation !== context.incarnation) return UNAVAILABLE;
     if (receiver === undefined || receiver.draining === true) return OVERTAKEN;
     membership.drainFor(drainForMs);
-    const value: ShardRecord = { holder: receiver.node, incarnation: receiver.incarnation };
-    const perTransaction = Math.max(1, context.state.limits.operationsPerTransaction - 2);
+    const batchSize = Math.max(1, context.state.limits.operationsPerTransaction - MAX_OWN_CHANGES);
     let outcome: ShardTransferOutcome = OVERTAKEN;
-    for (let i = 0; i < shards.length; i += perTransaction) {
-      const part = shards.slice(i, i + perTransaction);
-      const operations: WriteOperation[] = part.map(({ name: shard }) => ({
-        key: key.shard(shard),
-        value,
-        reason: 'membership',
-      }));
-      const guards: Guard[] = part.map(({ name: shard, epoch }) => ({
-        key: key.shard(shard),
-        version: epoch,
-      }));
-      const leaving = this.leaving(mine);
-      outcome = await this.commit(
-        [...guards, context.guards.forKey(key.session(to)), ...leaving.guards],
-        [...operations, ...leaving.ops],
-      );
+    for (let start = 0; start < shards.length; start += batchSize) {
+      const batch = shards.slice(start, start + batchSize);
+      outcome = await this.commit(this.handOverChanges(batch, receiver, ownSession));
       if (outcome.kind !== 'committed') break;
     }
     if (outcome.kind === 'overtaken') membership.drainFor(0);
     return outcome;
   }
 
-  /** In the same transaction as the slices, or the leader would give them back at once. */
-  private leaving(mine: SessionRecord): { guards: Guard[]; ops: WriteOperation[] } {
+  /**
+   * The shard's change of holder, and with it, as far as they fit into the transaction, the end of the holder's session
+   * and leadership. Were the session ended first, the leader might give the shard to another controller.
+   */
+  private failOverChanges(shard: ShardFact, session: SessionRecord | undefined): ChangeSet {
+    const { settings, incarnation, guards: guard, state, view } = this.context;
+    const { operationsPerTransaction } = state.limits;
+    const shardKey = key.shard(shard.name);
+    const sessionKey = key.session(shard.holder);
+    const value: ShardRecord = { holder: settings.node, incarnation };
+    const guards: Guard[] = [
+      { key: shardKey, version: shard.epoch },
+      guard.forKey(sessionKey),
+      guard.forKey(key.session(settings.node)),
+    ];
+    const operations: WriteOperation[] = [{ key: shardKey, value, reason: 'membership' }];
+    if (session !== undefined && operations.length < operationsPerTransaction)
+      operations.push({ key: sessionKey, value: undefined, reason: 'membership' });
+    const holderLeads = view.leader?.incarnation === shard.incarnation;
+    if (holderLeads && operations.length < operationsPerTransaction) {
+      guards.push(guard.forKey(key.leader));
+      operations.push({ key: key.leader, value: undefined, reason: 'membership' });
+    }
+    return { guards, operations };
+  }
+
+  /** The former holder's other keys disappear with its lease; where revoking fails, when the lease expires. */
+  private async endLease(lease: number): Promise<void> {
+    try {
+      await this.context.state.revokeLease(lease);
+    } catch (error) {
+      if (!(error instanceof UnavailableError)) throw error;
+    }
+  }
+
+  private handOverChanges(
+    shards: readonly ShardFact[],
+    receiver: SessionRecord,
+    ownSession: SessionRecord,
+  ): ChangeSet {
+    const value: ShardRecord = { holder: receiver.node, incarnation: receiver.incarnation };
+    const withdrawal = this.withdrawal(ownSession);
+    return {
+      guards: [
+        ...shards.map(({ name, epoch }) => ({ key: key.shard(name), version: epoch })),
+        this.context.guards.forKey(key.session(receiver.node)),
+        ...withdrawal.guards,
+      ],
+      operations: [
+        ...shards.map(({ name }) => ({ key: key.shard(name), value, reason: 'membership' as const })),
+        ...withdrawal.operations,
+      ],
+    };
+  }
+
+  /**
+   * Marks this controller's session as draining and ends its leadership, in the same transaction as the shards' change of
+   * holder; otherwise the leader would give the shards back at once.
+   */
+  private withdrawal(ownSession: SessionRecord): ChangeSet {
     const { context, membership } = this;
     const sessionKey = key.session(context.settings.node);
-    const session: SessionRecord = { ...mine, draining: true };
-    const guards = [context.guards.forKey(sessionKey)];
+    const value: SessionRecord = { ...ownSession, draining: true };
+    const guards: Guard[] = [context.guards.forKey(sessionKey)];
     const operations: WriteOperation[] = [
-      { key: sessionKey, value: session, lease: mine.lease, reason: 'membership' },
+      { key: sessionKey, value, lease: ownSession.lease, reason: 'membership' },
     ];
     if (membership.isLeader) {
       guards.push(context.guards.forKey(key.leader));
       operations.push({ key: key.leader, value: undefined, reason: 'membership' });
     }
-    return { guards, ops: operations };
+    return { guards, operations };
   }
 
-  private async commit(
-    guards: readonly Guard[],
-    operations: readonly WriteOperation[],
-  ): Promise<ShardTransferOutcome> {
+  private async commit(changeSet: ChangeSet): Promise<ShardTransferOutcome> {
     const { state, watcher } = this.context;
-    const result = await state.transact({ guards, operations }, REQUEST_PRIORITY.session);
+    const result = await state.transact(changeSet, REQUEST_PRIORITY.session);
     if (result.kind === 'ok') {
-      watcher.applyCommitted(operations, result.revision);
+      watcher.applyCommitted(changeSet.operations, result.revision);
       return { kind: 'committed', revision: result.revision };
     }
     if (result.kind !== 'conflict') return UNAVAILABLE;
-    await watcher.waitForRevision(result.revision, VIEW_WAIT_MS);
+    await watcher.waitForRevision(result.revision, CONFLICT_VIEW_TIMEOUT_MS);
     return OVERTAKEN;
   }
 }
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -8,7 +8,9 @@
 import { jobId } from '../core/model/ids.js';
 import { AgentClient } from '../io/agents/agent-client.js';
 import { HttpClient } from '../io/http-client.js';
-import { PeerLink, PeerServer, type Peer } from '../io/peers/peer-link.js';
+import { PeerLink } from '../io/peers/peer-link.js';
+import { PeerServer } from '../io/peers/peer-server.js';
+import type { Peer } from '../io/peers/peer.js';
 import { systemClock } from '../io/system-clock.js';
 import { buildServer } from '../io/users/http-server.js';
 import type { LoadedPlugin } from '../plugin-host/api.js';
@@ -53,12 +55,12 @@
 }
 
 async function listenForPeers(controller: Controller, settings: PlatformSettings): Promise<void> {
-  const peerServer = new PeerServer(
-    (job) => Promise.resolve(controller.jobs.acceptForwardedCancellation(jobId(job))),
-    () => controller.context.state.isReachable(STATE_CONTACT_MS),
-    Math.max(MIN_PEER_CONNECTIONS, settings.nodes * PEER_CONNECTIONS_PER_NODE),
-    (topic, payload, from) => controller.channel.answer(topic, payload, from),
-  );
+  const peerServer = new PeerServer({
+    onCancellation: (job) => Promise.resolve(controller.jobs.acceptForwardedCancellation(jobId(job))),
+    hasStateContact: () => controller.context.state.isReachable(STATE_CONTACT_MS),
+    onTopic: (topic, payload, from) => controller.channel.answer(topic, payload, from),
+    maxConnections: Math.max(MIN_PEER_CONNECTIONS, settings.nodes * PEER_CONNECTIONS_PER_NODE),
+  });
   await peerServer.listen(...splitAddress(settings.peerBind));
 }
 
--- a/src/plugin-host/topic-channel.ts
+++ b/src/plugin-host/topic-channel.ts
@@ -1,6 +1,6 @@
 /** Questions and answers between packages, over connections of their own to the other controllers. */
 import type { NodeName } from '../core/model/ids.js';
-import type { Peer } from '../io/peers/peer-link.js';
+import type { Peer } from '../io/peers/peer.js';
 import type { PeerChannel, TopicHandler } from './api.js';
 
 /** Topics by name, and the links to ask on. */
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -2,23 +2,24 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { PeerLink, PeerServer } from '../src/io/peers/peer-link.js';
+import { PeerLink } from '../src/io/peers/peer-link.js';
+import { PeerServer } from '../src/io/peers/peer-server.js';
 
 const freePort = async (): Promise<number> => {
-  const s = net.createServer();
-  await new Promise<void>((r) => s.listen(0, '127.0.0.1', r));
-  const { port } = s.address() as net.AddressInfo;
-  await new Promise((r) => s.close(r));
+  const server = net.createServer();
+  await new Promise<void>((r) => server.listen(0, '127.0.0.1', r));
+  const { port } = server.address() as net.AddressInfo;
+  await new Promise((r) => server.close(r));
   return port;
 };
 
-test('questions are answered, also many at once, and a broken frame ends its connection only', async () => {
+test('requests are answered, also concurrent ones, and an invalid frame ends its own connection only', async () => {
   const port = await freePort();
-  const server = new PeerServer(
-    (job) => Promise.resolve(job === 'wk-1' ? 'taken' : 'not_mine'),
-    () => true,
-    10,
-  );
+  const server = new PeerServer({
+    onCancellation: (job) => Promise.resolve(job === 'wk-1' ? 'taken' : 'not_mine'),
+    hasStateContact: () => true,
+    maxConnections: 10,
+  });
   await server.listen('127.0.0.1', port);
   const link = new PeerLink(`127.0.0.1:${port}`);
   try {
@@ -29,10 +30,10 @@
     ]);
     assert.equal(await link.contact(2000), true);
     for (const bytes of [Buffer.from([0xff, 0xff, 0xff, 0xff, 1]), Buffer.from([0, 0, 0, 2, 0x0f, 0xff])]) {
-      const raw = net.connect(port, '127.0.0.1');
-      raw.on('error', () => undefined);
-      raw.write(bytes);
-      await new Promise((r) => raw.once('close', r).resume());
+      const connection = net.connect(port, '127.0.0.1');
+      connection.on('error', () => undefined);
+      connection.write(bytes);
+      await new Promise((r) => connection.once('close', r).resume());
     }
     assert.equal(await link.cancel('wk-1', 2000), 'taken');
   } finally {
@@ -41,15 +42,15 @@
   }
 });
 
-test('a peer that is gone or silent gives null in time', async () => {
+test('a peer that is down or silent yields null within the timeout', async () => {
   const port = await freePort();
-  const gone = new PeerLink(`127.0.0.1:${port}`);
-  assert.equal(await gone.cancel('wk-1', 500), null);
+  const link = new PeerLink(`127.0.0.1:${port}`);
+  assert.equal(await link.cancel('wk-1', 500), null);
   const sockets: net.Socket[] = [];
-  const mute = net.createServer((s) => sockets.push(s));
-  await new Promise<void>((r) => mute.listen(port, '127.0.0.1', r));
-  assert.equal(await gone.contact(100), null);
-  gone.close();
-  for (const s of sockets) s.destroy();
-  mute.close();
+  const silentServer = net.createServer((socket) => sockets.push(socket));
+  await new Promise<void>((r) => silentServer.listen(port, '127.0.0.1', r));
+  assert.equal(await link.contact(100), null);
+  link.close();
+  for (const socket of sockets) socket.destroy();
+  silentServer.close();
 });
--- a/test/sim/controller-connections.ts
+++ b/test/sim/controller-connections.ts
@@ -4,7 +4,7 @@
 import type { AgentGateway } from '../../src/io/agents/agent-client.js';
 import { directCommandsToWire, heartbeatFromWire } from '../../src/io/agents/agent-messages.js';
 import type { HttpResponse, Transport } from '../../src/io/http-client.js';
-import type { Peer } from '../../src/io/peers/peer-link.js';
+import type { Peer } from '../../src/io/peers/peer.js';
 import { PARTITION_RETRY_MS } from './agent-network.js';
 import type { SimulatedController } from './simulated-controller.js';
 import type { Simulation } from './simulation.js';
