--- a/test/stored-compatibility.test.ts
+++ b/test/stored-compatibility.test.ts
@@ -29,7 +29,8 @@
 import { parseKey, type ParsedKey } from '../src/core/records/keys.js';
 import { fromStoredJob, jsonBytes, toStoredJob, type StoredJob } from '../src/core/records/stored-records.js';
 import { ClusterView } from '../src/core/state/cluster-view.js';
-import { PeerLink, PeerServer } from '../src/io/peers/peer-link.js';
+import { PeerLink } from '../src/io/peers/peer-link.js';
+import { PeerServer } from '../src/io/peers/peer-server.js';
 
 interface StoredRecord {
   readonly kind: string;
@@ -148,12 +149,12 @@
     await listen(probe);
     const port = portOf(probe);
     await new Promise((resolve) => probe.close(resolve));
-    const server = new PeerServer(
-      (job) => Promise.resolve(`taken ${job}`),
-      () => true,
-      8,
-      (topic, payload) => Promise.resolve(topic === 't' ? Buffer.from(payload).reverse() : null),
-    );
+    const server = new PeerServer({
+      onCancellation: (job) => Promise.resolve(`taken ${job}`),
+      hasStateContact: () => true,
+      onTopic: (topic, payload) => Promise.resolve(topic === 't' ? Buffer.from(payload).reverse() : null),
+      maxConnections: 8,
+    });
     await server.listen('127.0.0.1', port);
     const socket = net.connect(port, '127.0.0.1');
     const responses: string[] = [];
