--- /dev/null
+++ b/test/documentation.test.ts
@@ -0,0 +1,75 @@
+/** The pages agree with the code: log events are listed, and the paths that they name exist. */
+import assert from 'node:assert/strict';
+import { existsSync, readFileSync, readdirSync } from 'node:fs';
+import path from 'node:path';
+import { describe, test } from 'node:test';
+import { LOG_EVENT as STANDBY_LOG_EVENT } from '../packages/warm-standby/src/log-events.js';
+import { LOG_EVENT } from '../src/core/log-events.js';
+
+/** A name in capitals stands for any. */
+const PLACEHOLDER = /\bNAME\b/;
+/** They tell of files as they were. */
+const PAGES_WITH_HISTORY = /^docs\/incidents\//;
+
+const pages = (): string[] => [
+  'README.md',
+  'CONTRIBUTING.md',
+  ...readdirSync('docs', { recursive: true, encoding: 'utf8' })
+    .filter((name) => name.endsWith('.md'))
+    .map((name) => path.posix.join('docs', name.replaceAll(path.sep, '/'))),
+];
+
+/** First cells of the rows of the table of log events, without their code marks. */
+function documentedEvents(page: string): string[] {
+  const lines = readFileSync(page, 'utf8').split('\n');
+  const header = lines.findIndex((line) => /^\| event +\| level/.test(line));
+  assert.ok(header >= 0, `${page} has a table of log events`);
+  const events: string[] = [];
+  for (const line of lines.slice(header + 2)) {
+    const event = /^\| `([^`]+)`/.exec(line)?.[1];
+    if (event === undefined) break;
+    events.push(event);
+  }
+  return events;
+}
+
+describe('log events', () => {
+  test('of the service are those that docs/operations.md lists', () => {
+    assert.deepEqual(documentedEvents('docs/operations.md').sort(), Object.values(LOG_EVENT).sort());
+  });
+
+  test('of warm standby are those that its page lists', () => {
+    const documented = documentedEvents('docs/operations/warm-standby.md');
+    assert.deepEqual(documented.sort(), Object.values(STANDBY_LOG_EVENT).sort());
+  });
+});
+
+describe('pages', () => {
+  test('name only files and folders that exist', () => {
+    const missing: string[] = [];
+    for (const page of pages()) {
+      if (PAGES_WITH_HISTORY.test(page)) continue;
+      const text = readFileSync(page, 'utf8');
+      for (const [named] of text.matchAll(/(?<![\w/])(?:src|test|docs|packages|deploy)\/[\w./-]*[\w/]/g)) {
+        if (PLACEHOLDER.test(named)) continue;
+        if (!existsSync(named)) missing.push(`${page}: ${named}`);
+      }
+    }
+    assert.deepEqual(missing, []);
+  });
+
+  test('name only test files that exist', () => {
+    const files = new Set(
+      ['test', 'packages/warm-standby/test', 'packages/tracing/test'].flatMap((folder) =>
+        readdirSync(folder),
+      ),
+    );
+    const missing: string[] = [];
+    for (const page of pages()) {
+      if (PAGES_WITH_HISTORY.test(page)) continue;
+      for (const [named] of readFileSync(page, 'utf8').matchAll(/(?<![\w/-])[\w-]+\.test\.ts\b/g))
+        if (!files.has(named)) missing.push(`${page}: ${named}`);
+    }
+    assert.deepEqual(missing, []);
+  });
+});
