--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -44,17 +44,22 @@
   });
 });
 
+/** Each match of the pattern in the pages that describe the present code, with its page. */
+function* mentions(pattern: RegExp): Generator<{ page: string; named: string }> {
+  for (const page of pages()) {
+    if (PAGES_WITH_HISTORY.test(page)) continue;
+    for (const [named] of readFileSync(page, 'utf8').matchAll(pattern))
+      if (!PLACEHOLDER.test(named)) yield { page, named };
+  }
+}
+
 describe('pages', () => {
   test('name only files and folders that exist', () => {
     const missing: string[] = [];
-    for (const page of pages()) {
-      if (PAGES_WITH_HISTORY.test(page)) continue;
-      const text = readFileSync(page, 'utf8');
-      for (const [named] of text.matchAll(/(?<![\w/])(?:src|test|docs|packages|deploy)\/[\w./-]*[\w/]/g)) {
-        if (PLACEHOLDER.test(named)) continue;
-        if (!existsSync(named)) missing.push(`${page}: ${named}`);
-      }
-    }
+    for (const { page, named } of mentions(/(?<![\w/])(?:src|test|docs|packages|deploy)\/[\w./-]*[\w/]/g))
+      if (!existsSync(named)) missing.push(`${page}: ${named}`);
+    for (const { page, named } of mentions(/(?<=`)(?:core|controller|io|plugin-host)\/[\w./-]*[\w/]/g))
+      if (!existsSync(path.join('src', named))) missing.push(`${page}: ${named}`);
     assert.deepEqual(missing, []);
   });
 
@@ -65,11 +70,8 @@
       ),
     );
     const missing: string[] = [];
-    for (const page of pages()) {
-      if (PAGES_WITH_HISTORY.test(page)) continue;
-      for (const [named] of readFileSync(page, 'utf8').matchAll(/(?<![\w/-])[\w-]+\.test\.ts\b/g))
-        if (!files.has(named)) missing.push(`${page}: ${named}`);
-    }
+    for (const { page, named } of mentions(/(?<![\w/-])[\w-]+\.test\.ts\b/g))
+      if (!files.has(named)) missing.push(`${page}: ${named}`);
     assert.deepEqual(missing, []);
   });
 });
