--- a/packages/warm-standby/src/failover-history.ts
+++ b/packages/warm-standby/src/failover-history.ts
@@ -119,23 +119,31 @@
   }
 
   private onEvent(event: ServiceEvent): void {
-    const { facts, clock } = this.service;
-    const machine =
-      event.kind === 'heartbeat_recorded'
-        ? event.heartbeat.machine
-        : event.kind === 'command_sent'
-          ? event.machine
-          : null;
-    if (machine === null) return;
-    const owner = facts.machine(machine)?.owner;
-    for (const [{ shard, at }, missing] of this.inProgress) {
-      if (shard !== owner) continue;
+    if (event.kind === 'heartbeat_recorded') this.recordHeartbeat(event.heartbeat.machine);
+    else if (event.kind === 'command_sent') this.recordCommand(event.machine, event.command.op === 'start');
+  }
+
+  private recordHeartbeat(machine: MachineName): void {
+    const { clock } = this.service;
+    for (const [{ at }, missing] of this.inProgressFor(machine)) {
       // The first event of a machine may come before this package has looked at the view again.
       at.view ??= clock.now();
-      if (event.kind === 'heartbeat_recorded') {
-        at.firstHeartbeat ??= clock.now();
-        missing.delete(machine);
-      } else if (event.kind === 'command_sent' && event.command.op === 'start') at.firstStart ??= clock.now();
+      at.firstHeartbeat ??= clock.now();
+      missing.delete(machine);
     }
   }
+
+  private recordCommand(machine: MachineName, isStart: boolean): void {
+    const { clock } = this.service;
+    for (const [{ at }] of this.inProgressFor(machine)) {
+      at.view ??= clock.now();
+      if (isStart) at.firstStart ??= clock.now();
+    }
+  }
+
+  /** Failovers that are followed of the shard that the machine belongs to. */
+  private inProgressFor(machine: MachineName): [Failover, Set<MachineName>][] {
+    const owner = this.service.facts.machine(machine)?.owner;
+    return [...this.inProgress].filter(([{ shard }]) => shard === owner);
+  }
 }
--- a/packages/warm-standby/src/failover-loop.ts
+++ b/packages/warm-standby/src/failover-loop.ts
@@ -13,7 +13,7 @@
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
 import type { ReplicatedState } from './replicated-state.js';
-import type { Failover, FailoverHistory } from './failover-history.js';
+import type { Failover, FailoverCause, FailoverHistory, FailoverMoments } from './failover-history.js';
 import { decideFailover, unconfirmedReason, type DeferralReason, type Witness } from './failover-policy.js';
 
 /** Holders are looked at so often. */
@@ -135,8 +135,8 @@
     const { clock, log } = this.service;
     suspicion.isProbing = true;
     this.tryFailover(shard, suspicion, rank)
-      .catch((e: unknown) => {
-        log.error({ err: e, shard: shard.name }, LOG_EVENT.failoverFailed);
+      .catch((error: unknown) => {
+        log.error({ err: error, shard: shard.name }, LOG_EVENT.failoverFailed);
       })
       .finally(() => {
         suspicion.isProbing = false;
@@ -227,10 +227,10 @@
     const { clock, log } = this.service;
     const { name: shard } = fact;
     const replica = this.receiver.replicas.get(shard);
-    const memory = replica?.epoch === before.epoch ? replica.state : null;
-    const failover = this.describeFailover(fact, before, memory);
-    for (const hint of memory?.hints(clock.wallClock()) ?? []) this.service.learn(hint);
-    this.publisher.continueWith(fact, memory?.entries() ?? []);
+    const state = replica?.epoch === before.epoch ? replica.state : null;
+    const failover = this.describeFailover(fact, before, state);
+    for (const hint of state?.hints(clock.wallClock()) ?? []) this.service.learn(hint);
+    this.publisher.continueWith(fact, state?.entries() ?? []);
     this.history.add(failover);
     const { from, cause, wasWarm } = failover;
     if (cause === 'suspicion') this.counts.taken++;
@@ -247,40 +247,44 @@
     return isDue ? prepared.traceParent : undefined;
   }
 
-  private describeFailover(fact: ShardFact, before: ShardFact, memory: ReplicatedState | null): Failover {
+  private describeFailover(fact: ShardFact, before: ShardFact, state: ReplicatedState | null): Failover {
     const { clock, facts, tracer } = this.service;
     const { name: shard } = fact;
     const handoverTrace = this.handoverTraceOf(shard);
     const suspicion = handoverTrace === undefined ? this.suspicionOf(shard, before) : null;
-    const cause = handoverTrace !== undefined ? 'handover' : suspicion !== null ? 'suspicion' : 'assigned';
     return {
       shard,
       from: before.holder,
       fromIncarnation: before.incarnation,
       isSessionGone: false,
-      cause,
+      cause: causeOf(handoverTrace, suspicion),
       epoch: fact.epoch,
-      wasWarm: memory !== null && this.receiver.isWarm(before),
-      agentsKnown: memory?.agentCount ?? 0,
-      uncommittedExits: memory?.uncommittedExits ?? 0,
+      wasWarm: state !== null && this.receiver.isWarm(before),
+      agentsKnown: state?.agentCount ?? 0,
+      uncommittedExits: state?.uncommittedExits ?? 0,
       machines: facts.machinesOf(shard).length,
       wall: clock.wallClock(),
-      at: {
-        lastHeard: suspicion === null ? null : this.monitor.lastHeardAt(before.holder),
-        suspected: suspicion?.since ?? null,
-        confirmed: suspicion?.confirmedAt ?? null,
-        fenced: clock.now(),
-        view: null,
-        firstHeartbeat: null,
-        firstStart: null,
-        allHeartbeats: null,
-      },
+      at: this.momentsOf(before.holder, suspicion),
       traceParent: tracer.reserve(handoverTrace),
       handoverTrace,
       isFalse: false,
     };
   }
 
+  /** The moments reached when the shard comes here: now it is fenced against its former holder. */
+  private momentsOf(holder: NodeName, suspicion: Suspicion | null): FailoverMoments {
+    return {
+      lastHeard: suspicion === null ? null : this.monitor.lastHeardAt(holder),
+      suspected: suspicion?.since ?? null,
+      confirmed: suspicion?.confirmedAt ?? null,
+      fenced: this.service.clock.now(),
+      view: null,
+      firstHeartbeat: null,
+      firstStart: null,
+      allHeartbeats: null,
+    };
+  }
+
   /** A holder whose shard was taken on suspicion and that is back in the same life had not failed. */
   private onSessionChanges(): void {
     const { facts } = this.service;
@@ -297,3 +301,8 @@
     }
   }
 }
+
+function causeOf(handoverTrace: string | undefined, suspicion: Suspicion | null): FailoverCause {
+  if (handoverTrace !== undefined) return 'handover';
+  return suspicion === null ? 'assigned' : 'suspicion';
+}
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -73,9 +73,9 @@
   validate(options, settings) {
     try {
       domainsOfControllers(new FailureDomains(options.failure_domains), settings);
-    } catch (e) {
-      if (e instanceof FailureDomainError) return e.message;
-      throw e;
+    } catch (error) {
+      if (error instanceof FailureDomainError) return error.message;
+      throw error;
     }
     const peers = settings.peers.length;
     return options.degree > peers
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -206,35 +206,35 @@
   }
 }
 
-const taskFrom = (t: TaskFields) => ({
-  job: t.job as JobId,
-  index: t.index,
-  attempt: t.attempt as Attempt,
-  machine: t.machine as MachineName,
+const taskFrom = (task: TaskFields) => ({
+  job: task.job as JobId,
+  index: task.index,
+  attempt: task.attempt as Attempt,
+  machine: task.machine as MachineName,
 });
 
-function entryFrom(e: EntryFields): LogEntry {
-  switch (e.body) {
+function entryFrom(fields: EntryFields): LogEntry {
+  switch (fields.body) {
     case 'start':
     case 'stop':
     case 'preempt':
-      return { kind: e.body, task: taskFrom(e[e.body]!) };
+      return { kind: fields.body, task: taskFrom(fields[fields.body]!) };
     case 'exited':
       return {
         kind: 'exited',
-        task: taskFrom(e.exited!),
-        why: (e.exited!.why ?? 'absent') as ExitReason | 'absent',
+        task: taskFrom(fields.exited!),
+        why: (fields.exited!.why ?? 'absent') as ExitReason | 'absent',
       };
     case 'agent': {
-      const { machine, address, agentEpoch, sequence, token, heardAt } = e.agent!;
+      const { machine, address, agentEpoch, sequence, token, heardAt } = fields.agent!;
       return { kind: 'agent', machine, address, agentEpoch, sequence, token, heardAt };
     }
     case 'failing': {
-      const { job, rounds, why, machines, retryAt } = e.failing!;
+      const { job, rounds, why, machines, retryAt } = fields.failing!;
       return { kind: 'job_failing', job, rounds, why, machines: [...machines], retryAt };
     }
     case 'run': {
-      const { machine, job, jobClass, durationS, estimateS } = e.run!;
+      const { machine, job, jobClass, durationS, estimateS } = fields.run!;
       const run = { job: job as JobId, jobClass, durationS, estimateS };
       return { kind: 'run', machine: machine as MachineName, run };
     }
@@ -250,8 +250,8 @@
   let fields: Fields;
   try {
     fields = MessageType.decode(bytes) as unknown as Fields;
-  } catch (e) {
-    throw new MessageError('malformed', (e as Error).message, { cause: e });
+  } catch (error) {
+    throw new MessageError('malformed', (error as Error).message, { cause: error });
   }
   if (fields.version > FORMAT_VERSION)
     throw new MessageError('unsupported', `format ${fields.version}, this program knows ${FORMAT_VERSION}`);
@@ -264,9 +264,9 @@
   if (bytes === null) return null;
   try {
     return decodeAnswer(bytes);
-  } catch (e) {
-    if (e instanceof MessageError) return null;
-    throw e;
+  } catch (error) {
+    if (error instanceof MessageError) return null;
+    throw error;
   }
 }
 
@@ -276,111 +276,120 @@
   return value;
 }
 
-const epochOf = (f: Fields): Version => whole(f.epoch, 'epoch') as Version;
-const senderOf = (f: Fields): Sender => ({ node: f.node as NodeName, shard: f.shard as NodeName });
+const epochOf = (fields: Fields): Version => whole(fields.epoch, 'epoch') as Version;
+const senderOf = (fields: Fields): Sender => ({
+  node: fields.node as NodeName,
+  shard: fields.shard as NodeName,
+});
 
 /** About how many bytes an entry takes in a message. */
 export const entrySize = (entry: LogEntry): number =>
   EntryType.encode(EntryType.create(entryFields(entry))).finish().length + 4;
 
 /** Writes an append. */
-export const encodeAppend = (m: Append): Uint8Array =>
+export const encodeAppend = (message: Append): Uint8Array =>
   encode({
-    node: m.node,
-    shard: m.shard,
-    epoch: m.epoch,
-    number: m.first,
-    head: m.head,
-    entries: m.entries.map(entryFields),
+    node: message.node,
+    shard: message.shard,
+    epoch: message.epoch,
+    number: message.first,
+    head: message.head,
+    entries: message.entries.map(entryFields),
   });
 
 /** Reads an append. Throws `MessageError`. */
 export function decodeAppend(bytes: Uint8Array): Append {
-  const f = decode(bytes);
-  const first = whole(f.number, 'first');
+  const fields = decode(bytes);
+  const first = whole(fields.number, 'first');
   if (first < 1) throw new MessageError('malformed', 'first: 0');
   return {
-    ...senderOf(f),
-    epoch: epochOf(f),
+    ...senderOf(fields),
+    epoch: epochOf(fields),
     first,
-    head: whole(f.head, 'head'),
-    entries: f.entries.map(entryFrom),
+    head: whole(fields.head, 'head'),
+    entries: fields.entries.map(entryFrom),
   };
 }
 
 /** Writes a part of a snapshot. */
-export const encodeSnapshot = (m: Snapshot): Uint8Array =>
+export const encodeSnapshot = (message: Snapshot): Uint8Array =>
   encode({
-    node: m.node,
-    shard: m.shard,
-    epoch: m.epoch,
-    number: m.upTo,
-    part: m.part,
-    parts: m.parts,
-    entries: m.entries.map(entryFields),
+    node: message.node,
+    shard: message.shard,
+    epoch: message.epoch,
+    number: message.upTo,
+    part: message.part,
+    parts: message.parts,
+    entries: message.entries.map(entryFields),
   });
 
 /** Reads a part of a snapshot. Throws `MessageError`. */
 export function decodeSnapshot(bytes: Uint8Array): Snapshot {
-  const f = decode(bytes);
-  if (f.parts < 1 || f.part >= f.parts) throw new MessageError('malformed', `part ${f.part} of ${f.parts}`);
+  const fields = decode(bytes);
+  if (fields.parts < 1 || fields.part >= fields.parts)
+    throw new MessageError('malformed', `part ${fields.part} of ${fields.parts}`);
   return {
-    ...senderOf(f),
-    epoch: epochOf(f),
-    upTo: whole(f.number, 'upTo'),
-    part: f.part,
-    parts: f.parts,
-    entries: f.entries.map(entryFrom),
+    ...senderOf(fields),
+    epoch: epochOf(fields),
+    upTo: whole(fields.number, 'upTo'),
+    part: fields.part,
+    parts: fields.parts,
+    entries: fields.entries.map(entryFrom),
   };
 }
 
 /** Writes an acknowledgement. */
-export const encodeAcknowledgement = (m: Acknowledgement): Uint8Array =>
-  encode({ text: m.status, number: m.applied });
+export const encodeAcknowledgement = (message: Acknowledgement): Uint8Array =>
+  encode({ text: message.status, number: message.applied });
 
 /** Reads an acknowledgement. Throws `MessageError`. */
 export function decodeAcknowledgement(bytes: Uint8Array): Acknowledgement {
-  const f = decode(bytes);
-  return { status: f.text as Acknowledgement['status'], applied: whole(f.number, 'applied') };
+  const fields = decode(bytes);
+  return { status: fields.text as Acknowledgement['status'], applied: whole(fields.number, 'applied') };
 }
 
 /** Writes a probe. */
-export const encodeProbe = (m: Probe): Uint8Array =>
-  encode({ node: m.holder, shard: m.shard, epoch: m.epoch });
+export const encodeProbe = (message: Probe): Uint8Array =>
+  encode({ node: message.holder, shard: message.shard, epoch: message.epoch });
 
 /** Reads a probe. Throws `MessageError`. */
 export function decodeProbe(bytes: Uint8Array): Probe {
-  const f = decode(bytes);
-  const { node, shard } = senderOf(f);
-  return { holder: node, shard, epoch: epochOf(f) };
+  const fields = decode(bytes);
+  const { node, shard } = senderOf(fields);
+  return { holder: node, shard, epoch: epochOf(fields) };
 }
 
 /** Writes the answer to a probe. */
-export const encodeProbeAnswer = (m: ProbeAnswer): Uint8Array =>
-  encode({ yes: m.reaches, number: m.applied ?? 0, hasNumber: m.applied !== null });
+export const encodeProbeAnswer = (message: ProbeAnswer): Uint8Array =>
+  encode({ yes: message.reaches, number: message.applied ?? 0, hasNumber: message.applied !== null });
 
 /** Reads the answer to a probe. Throws `MessageError`. */
 export function decodeProbeAnswer(bytes: Uint8Array): ProbeAnswer {
-  const f = decode(bytes);
-  return { reaches: f.yes, applied: f.hasNumber ? whole(f.number, 'applied') : null };
+  const fields = decode(bytes);
+  return { reaches: fields.yes, applied: fields.hasNumber ? whole(fields.number, 'applied') : null };
 }
 
 /** Writes the question before a handover. */
-export const encodePrepare = (m: Prepare): Uint8Array =>
-  encode({ shard: m.shard, epoch: m.epoch, head: m.head, text: m.traceParent });
+export const encodePrepare = (message: Prepare): Uint8Array =>
+  encode({ shard: message.shard, epoch: message.epoch, head: message.head, text: message.traceParent });
 
 /** Reads the question before a handover. Throws `MessageError`. */
 export function decodePrepare(bytes: Uint8Array): Prepare {
-  const f = decode(bytes);
-  return { shard: f.shard as NodeName, epoch: epochOf(f), head: whole(f.head, 'head'), traceParent: f.text };
+  const fields = decode(bytes);
+  return {
+    shard: fields.shard as NodeName,
+    epoch: epochOf(fields),
+    head: whole(fields.head, 'head'),
+    traceParent: fields.text,
+  };
 }
 
 /** Writes the answer to that. */
-export const encodePrepareAnswer = (m: PrepareAnswer): Uint8Array =>
-  encode({ yes: m.accepted, text: m.reason });
+export const encodePrepareAnswer = (message: PrepareAnswer): Uint8Array =>
+  encode({ yes: message.accepted, text: message.reason });
 
 /** Reads the answer to that. Throws `MessageError`. */
 export function decodePrepareAnswer(bytes: Uint8Array): PrepareAnswer {
-  const f = decode(bytes);
-  return { accepted: f.yes, reason: f.text };
+  const fields = decode(bytes);
+  return { accepted: fields.yes, reason: fields.text };
 }
--- a/packages/warm-standby/src/metrics.ts
+++ b/packages/warm-standby/src/metrics.ts
@@ -69,8 +69,8 @@
       collect() {
         this.reset();
         for (const [shard, { log, followers }] of publisher.shards)
-          for (const f of followers.values())
-            this.set({ slice: shard, standby: f.node }, log.head - f.acknowledged);
+          for (const follower of followers.values())
+            this.set({ slice: shard, standby: follower.node }, log.head - follower.acknowledged);
       },
     });
   }
--- a/packages/warm-standby/src/phi-accrual.ts
+++ b/packages/warm-standby/src/phi-accrual.ts
@@ -49,9 +49,9 @@
   /** The level of suspicion; 0 while too little is known. */
   phi(nowMs: number): number {
     if (this.lastAt === null || this.intervals.length < LEAST_SAMPLES) return 0;
-    const n = this.intervals.length;
-    const mean = this.intervals.reduce((sum, x) => sum + x, 0) / n;
-    const variance = this.intervals.reduce((sum, x) => sum + (x - mean) ** 2, 0) / n;
+    const count = this.intervals.length;
+    const mean = this.intervals.reduce((sum, interval) => sum + interval, 0) / count;
+    const variance = this.intervals.reduce((sum, interval) => sum + (interval - mean) ** 2, 0) / count;
     const spread = Math.max(Math.sqrt(variance), mean * LEAST_SPREAD);
     const tail = upperTail((nowMs - this.lastAt - mean) / spread);
     return tail > 0 ? Math.min(HIGHEST, -Math.log10(tail)) : HIGHEST;
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -207,8 +207,8 @@
       ? this.sendSnapshot(published.log, follower)
       : this.sendEntries(published.log, follower);
     sent
-      .catch((e: unknown) => {
-        log.error({ err: e, standby: follower.node }, LOG_EVENT.replicationFailed);
+      .catch((error: unknown) => {
+        log.error({ err: error, standby: follower.node }, LOG_EVENT.replicationFailed);
         follower.recordAnswer(null, clock.now());
       })
       .finally(() => {
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -93,10 +93,13 @@
       if (status === 'stale') return this.reject('stale');
       this.monitor.heard(message.node, this.service.clock.now());
       return { status, applied: this.replicas.get(message.shard)?.applied ?? 0 };
-    } catch (e) {
-      if (!(e instanceof MessageError)) throw e;
-      this.service.log.info({ from, code: e.code, reason: e.message }, LOG_EVENT.standbyMessageRejected);
-      return this.reject(e.code);
+    } catch (error) {
+      if (!(error instanceof MessageError)) throw error;
+      this.service.log.info(
+        { from, code: error.code, reason: error.message },
+        LOG_EVENT.standbyMessageRejected,
+      );
+      return this.reject(error.code);
     }
   }
 
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -24,11 +24,11 @@
   const { log, followers } = published;
   return {
     head: log.head,
-    followers: [...followers.values()].map((f) => ({
-      standby: f.node,
-      status: f.status,
-      lagEntries: log.head - f.acknowledged,
-      sentBytes: f.bytesSent,
+    followers: [...followers.values()].map((follower) => ({
+      standby: follower.node,
+      status: follower.status,
+      lagEntries: log.head - follower.acknowledged,
+      sentBytes: follower.bytesSent,
     })),
   };
 }
@@ -71,18 +71,18 @@
     }),
     counts: failovers.counts,
     rejectedMessages: receiver.rejected,
-    takeovers: history.failovers.map((t) => ({
-      slice: t.shard,
-      from: t.from,
-      cause: t.cause,
-      epoch: t.epoch,
-      warm: t.wasWarm,
-      at: new Date(t.wall).toISOString(),
-      machines: t.machines,
-      workersKnown: t.agentsKnown,
-      uncommittedEnds: t.uncommittedExits,
-      falseSuspicion: t.isFalse,
-      phasesMs: phasesOf(t),
+    takeovers: history.failovers.map((failover) => ({
+      slice: failover.shard,
+      from: failover.from,
+      cause: failover.cause,
+      epoch: failover.epoch,
+      warm: failover.wasWarm,
+      at: new Date(failover.wall).toISOString(),
+      machines: failover.machines,
+      workersKnown: failover.agentsKnown,
+      uncommittedEnds: failover.uncommittedExits,
+      falseSuspicion: failover.isFalse,
+      phasesMs: phasesOf(failover),
     })),
   };
 }
