--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,4 +1,3 @@
-import { createNodeResolver, importX } from 'eslint-plugin-import-x';
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
@@ -26,41 +25,10 @@
   'src/io/agents/agent-messages.ts': { complexity: 23 },
 };
 
-/** Folders and what they must not import; docs/architecture.md has the table. */
-const FORBIDDEN_IMPORTS = {
-  'src/core/**': ['config', 'io', 'controller', 'plugin-host', 'cli'],
-  'src/config/**': ['io', 'controller', 'plugin-host', 'cli'],
-  'src/io/**': ['controller', 'plugin-host', 'cli'],
-  'src/plugin-host/**': ['controller', 'cli'],
-  'src/controller/**': ['cli'],
-};
-
-/** No folder of src imports a package: packages know the service, never the other way round. */
-const layerRules = Object.entries(FORBIDDEN_IMPORTS).map(([files, folders]) => ({
-  files: [files],
-  rules: {
-    '@typescript-eslint/no-restricted-imports': [
-      'error',
-      {
-        patterns: [
-          { regex: `^(\\.\\./)+(${folders.join('|')})/`, message: 'against the direction of the layers' },
-          { regex: '^(\\.\\./)+packages/', message: 'the service imports no package' },
-        ],
-      },
-    ],
-  },
-}));
-
 export default tseslint.config(
   { ignores: ['target/**', 'node_modules/**', 'journal/**', '*.config.js'] },
   ...tseslint.configs.strictTypeChecked,
   {
-    plugins: { 'import-x': importX },
-    settings: {
-      'import-x/extensions': ['.ts', '.js'],
-      'import-x/parsers': { '@typescript-eslint/parser': ['.ts'] },
-      'import-x/resolver-next': [createNodeResolver({ extensionAlias: { '.js': ['.ts', '.js'] } })],
-    },
     languageOptions: { parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname } },
     rules: {
       ...LIMITS,
@@ -79,19 +47,6 @@
         },
       ],
       '@typescript-eslint/no-unused-vars': ['error', { ignoreRestSiblings: true }],
-      '@typescript-eslint/naming-convention': [
-        'error',
-        { selector: 'default', format: ['camelCase'], leadingUnderscore: 'allow' },
-        { selector: 'import', format: ['camelCase', 'PascalCase'] },
-        { selector: 'variable', format: ['camelCase', 'UPPER_CASE', 'PascalCase'] },
-        { selector: 'typeLike', format: ['PascalCase'] },
-        // Names of the protocol, of settings and of discriminated unions stay as they are given.
-        { selector: ['objectLiteralProperty', 'typeProperty', 'objectLiteralMethod'], format: null },
-        { selector: 'variable', modifiers: ['destructured'], format: null },
-      ],
-      'import-x/no-cycle': ['error', { ignoreExternal: true }],
-      'import-x/no-duplicates': 'error',
-      'import-x/order': ['error', { alphabetize: { order: 'asc' }, 'newlines-between': 'never' }],
       eqeqeq: ['error', 'always', { null: 'ignore' }],
       'no-console': 'error',
     },
@@ -110,7 +65,6 @@
       ],
     },
   },
-  ...layerRules,
   ...Object.entries(EXCEPTIONS).map(([file, limits]) => ({
     files: [file],
     rules: Object.fromEntries(Object.entries(limits).map(([rule, most]) => [rule, ['error', most]])),
