--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -8,12 +8,12 @@
 import { UnavailableError } from '../../../src/core/errors.js';
 import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
 import { runUntilBusy } from '../../../test/sim/fault-scenario.js';
-import { advance, allControllers, currentLeader } from '../../../test/sim/run-helpers.js';
+import { advance, allControllers, currentLeader, holderOf } from '../../../test/sim/run-helpers.js';
 import type { SimulatedController } from '../../../test/sim/simulated-controller.js';
 import { answered } from '../../../test/sim/pipeline-helpers.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
-import { holderOf, shown, standby } from './standbys.js';
+import { shown, standby } from './standbys.js';
 
 const transferOf = ({ controller }: SimulatedController) =>
   new ShardTransfer(controller!.context, controller!.membership);
--- a/packages/warm-standby/test/standbys.ts
+++ b/packages/warm-standby/test/standbys.ts
@@ -1,9 +1,9 @@
 /** Seeded runs with the package enabled: its options, scaled as everything else is there, and what tests ask of it. */
 import assert from 'node:assert/strict';
 import type { PlatformSettings } from '../../../src/config/platform-settings.js';
-import { key } from '../../../src/core/records/keys.js';
 import type { LoadedPlugin } from '../../../src/plugin-host/api.js';
 import { configurePlugin } from '../../../src/plugin-host/plugin-loader.js';
+import { holderOf } from '../../../test/sim/run-helpers.js';
 import type { SimulatedController } from '../../../test/sim/simulated-controller.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
 import { servicePackage } from '../src/index.js';
@@ -63,10 +63,6 @@
   return part;
 }
 
-/** The controller that holds a shard now, as the state service has it. */
-export const holderOf = (simulation: Simulation, shard: string) =>
-  (simulation.state.rows.get(key.shard(shard))?.value as { holder: string } | undefined)?.holder;
-
 /** The shard's first standby, as its holder sees it. */
 export function standbyOf(simulation: Simulation, shard: string): SimulatedController {
   const holder = simulation.controllers.get(holderOf(simulation, shard)!)!;
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -7,12 +7,12 @@
 import { attempt, jobId, machineName, nodeName } from '../../../src/core/model/ids.js';
 import { answered } from '../../../test/sim/pipeline-helpers.js';
 import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
-import { advance, allControllers, currentLeader } from '../../../test/sim/run-helpers.js';
+import { advance, allControllers, currentLeader, holderOf } from '../../../test/sim/run-helpers.js';
 import { LEASE_MS, faultScenario, runUntilBusy } from '../../../test/sim/fault-scenario.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
 import type { LogEntry } from '../src/log-entries.js';
 import { TOPIC, encodeAppend } from '../src/messages.js';
-import { handover, holderOf, shown, standby, standbyOf, takeovers, total } from './standbys.js';
+import { handover, shown, standby, standbyOf, takeovers, total } from './standbys.js';
 
 const owners = (simulation: Simulation) =>
   allControllers(simulation).filter((node) => node !== currentLeader(simulation));
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -18,7 +18,7 @@
   submitTo,
 } from './sim/pipeline-helpers.js';
 import { scheduleRollingUpgrade } from './sim/rolling-upgrade.js';
-import { advance, advanceUntil, job } from './sim/run-helpers.js';
+import { advance, advanceUntil, job, restartAllControllers } from './sim/run-helpers.js';
 import { GROWN, SMALL, Simulation } from './sim/simulation.js';
 
 const LOW_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 150 };
@@ -26,10 +26,7 @@
 /** Restarts all controllers with settings that announce lower limits. */
 function restartWithLowLimits(simulation: Simulation, next = LOW_LIMITS): void {
   simulation.upcomingLimits = next;
-  for (const node of simulation.controllers.values()) {
-    node.crash();
-    node.start();
-  }
+  restartAllControllers(simulation);
 }
 function lowerLimits(simulation: Simulation): void {
   simulation.state.valueBytes = simulation.upcomingLimits!.value_kb * 1024;
@@ -48,8 +45,8 @@
       for (const node of simulation.controllers.values()) node.watchLagMs = 0;
       simulation.controllers.get('c-1')!.watchLagMs = 400;
       const first = `wk-first${i}`;
-      const r = await submitTo(simulation, 'c-0', { nameId: first, shards: 2 });
-      assert.equal(r.kind, 'accepted');
+      const result = await submitTo(simulation, 'c-0', { nameId: first, shards: 2 });
+      assert.equal(result.kind, 'accepted');
       assert.equal(
         simulation.controllers.get('c-1')!.controller!.context.view.jobs.has(jobId(first)),
         false,
@@ -69,8 +66,8 @@
     const repeats = async (state: string) => {
       for (const node of controllers(simulation))
         for (const awaits of [[quick, off], [], undefined, ['wk-never'], ['wk-dependent']]) {
-          const r = await submitTo(simulation, node, { ...fields, awaits });
-          assert.deepEqual(r, { kind: 'known', state }, `${node}: ${JSON.stringify(awaits)}`);
+          const result = await submitTo(simulation, node, { ...fields, awaits });
+          assert.deepEqual(result, { kind: 'known', state }, `${node}: ${JSON.stringify(awaits)}`);
         }
     };
     await repeats('pending');
@@ -312,8 +309,8 @@
   it('a job with unknown dependencies is refused and found at no controller', async () => {
     const simulation = await runQuietly(4);
     for (const node of controllers(simulation)) {
-      const r = await submitTo(simulation, node, { nameId: 'wk-unknown-need', awaits: ['wk-never'] });
-      assert.deepEqual(r, { kind: 'impossible', why: 'unknown_need' });
+      const result = await submitTo(simulation, node, { nameId: 'wk-unknown-need', awaits: ['wk-never'] });
+      assert.deepEqual(result, { kind: 'impossible', why: 'unknown_need' });
       assert.equal(await findAt(simulation, node, 'wk-unknown-need'), undefined);
     }
     // During an outage nothing can be decided, and the answer comes at once.
--- a/test/overlapping-faults.test.ts
+++ b/test/overlapping-faults.test.ts
@@ -6,7 +6,14 @@
 import { describe, it } from 'node:test';
 import { jobId } from '../src/core/model/ids.js';
 import { LEASE_MS, faultScenario, runUntilBusy } from './sim/fault-scenario.js';
-import { advance, allControllers, busyAgents, cancelledJobs, currentLeader } from './sim/run-helpers.js';
+import {
+  advance,
+  allControllers,
+  busyAgents,
+  cancelRunningJobs,
+  cancelledJobs,
+  currentLeader,
+} from './sim/run-helpers.js';
 
 describe('overlapping faults of the state service', () => {
   // A cancellation may be reported only when no machine has a task of the job, whatever its owner can still do.
@@ -97,7 +104,7 @@
   faultScenario('agents hang for seconds during a leader change, and then resume', async (simulation) => {
     const some = busyAgents(simulation).slice(0, 4);
     assert.ok(some.length >= 3);
-    for (const id of simulation.runningJobs().slice(0, 3)) simulation.cancel(id);
+    cancelRunningJobs(simulation, 3);
     await advance(simulation, 30);
     for (const agent of some) agent.isHung = true;
     await advance(simulation, LEASE_MS * 0.7);
@@ -113,7 +120,7 @@
       const old = currentLeader(simulation);
       old.unreachable.add('state').add('peers');
       await advance(simulation, 300);
-      for (const id of simulation.runningJobs().slice(0, 6)) simulation.cancel(id);
+      cancelRunningJobs(simulation, 6);
       await advance(simulation, 12_000);
       assert.notEqual(currentLeader(simulation), old, 'another controller leads');
       assert.ok(cancelledJobs(simulation).length > 0, 'jobs were cancelled');
@@ -127,7 +134,7 @@
     async (simulation) => {
       const some = busyAgents(simulation).slice(0, 3);
       for (const agent of some) agent.isOutboundPartitioned = true;
-      for (const id of simulation.runningJobs().slice(0, 5)) simulation.cancel(id);
+      cancelRunningJobs(simulation, 5);
       await advance(simulation, LEASE_MS * 2);
       for (const agent of some) agent.isOutboundPartitioned = false;
     },
@@ -140,7 +147,7 @@
     const old = currentLeader(simulation);
     await advance(simulation, 3000);
     for (const node of allControllers(simulation)) if (node === old) node.unreachable.add('workers');
-    for (const id of simulation.runningJobs().slice(0, 3)) simulation.cancel(id);
+    cancelRunningJobs(simulation, 3);
     old.crash();
     await advance(simulation, 6000);
     old.start();
@@ -153,7 +160,7 @@
   faultScenario('unanswered transactions are applied late, after newer ones', async (simulation) => {
     simulation.lateWriteProbability = 0.25;
     for (let i = 0; i < 4; i++) {
-      for (const id of simulation.runningJobs().slice(0, 2)) simulation.cancel(id);
+      cancelRunningJobs(simulation, 2);
       await advance(simulation, 5000);
       if (i % 2 === 1) {
         const node = currentLeader(simulation);
@@ -178,7 +185,7 @@
         const some = busyAgents(simulation).slice(0, 2);
         for (const agent of some)
           for (const node of simulation.controllers.keys()) agent.partitionedFrom.add(node);
-        for (const id of simulation.runningJobs().slice(0, 2)) simulation.cancel(id);
+        cancelRunningJobs(simulation, 2);
         await advance(simulation, LEASE_MS + 1500);
         for (const agent of some) agent.partitionedFrom.clear();
         await advance(simulation, 4000);
@@ -200,7 +207,7 @@
         for (const node of simulation.controllers.keys()) agent.partitionedFrom.add(node);
       for (const agent of inboundPartitioned) agent.isInboundPartitioned = true;
       old.crash();
-      for (const id of simulation.runningJobs().slice(0, 4)) simulation.cancel(id);
+      cancelRunningJobs(simulation, 4);
       await advance(simulation, 9000);
       for (const agent of away) agent.partitionedFrom.clear();
       old.start();
@@ -250,7 +257,7 @@
       }
       await advance(simulation, 5000);
       simulation.state.setOutage(true);
-      for (const id of simulation.runningJobs().slice(0, 4)) simulation.cancel(id);
+      cancelRunningJobs(simulation, 4);
       await advance(simulation, 20_000);
       simulation.state.setOutage(false);
       simulation.maxStateDelayMs = 0;
@@ -285,7 +292,7 @@
       const near = allControllers(simulation).filter((node) => node.zone === 'b');
       for (const node of near) node.unreachable.add('state').add('peers');
       simulation.network.partitionedZones.add('b');
-      for (const id of simulation.runningJobs().slice(0, 5)) simulation.cancel(id);
+      cancelRunningJobs(simulation, 5);
       await advance(simulation, LEASE_MS * 2);
       for (const node of near) node.unreachable.clear();
       simulation.network.partitionedZones.clear();
@@ -335,7 +342,7 @@
         fields: { tier: ['production', 'urgent', 'standard', 'low'][k % 4] },
       });
     await advance(simulation, 20_000);
-    for (const id of simulation.runningJobs().slice(0, 6)) simulation.cancel(id);
+    cancelRunningJobs(simulation, 6);
   });
 });
 
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -14,7 +14,7 @@
   submitSmall,
 } from './sim/pipeline-helpers.js';
 import { scheduleRollingUpgrade } from './sim/rolling-upgrade.js';
-import { advance, advanceUntil, job } from './sim/run-helpers.js';
+import { advance, advanceUntil, job, restartAllControllers } from './sim/run-helpers.js';
 import { GROWN, LIMITS, SMALL, Simulation } from './sim/simulation.js';
 
 describe('cancellation of a dependency', () => {
@@ -130,8 +130,8 @@
     const submit = (nameId: string, awaits: string[]) =>
       controller!.jobs.submit(jobFromWire(submission({ nameId, awaits, tenant: 'red', cards: 0 }) as never));
     for (const awaits of [['wk-none'], ['wk-x1'], [quick, 'wk-none'], [service]]) {
-      const r = await Promise.all([submit('wk-x1', awaits), advance(simulation, 3000)]);
-      assert.equal(r[0].kind, 'impossible', awaits.join());
+      const [result] = await Promise.all([submit('wk-x1', awaits), advance(simulation, 3000)]);
+      assert.equal(result.kind, 'impossible', awaits.join());
     }
     const next = submitSmall(simulation, [quick], 30);
     await advanceUntil(simulation, () => job(simulation, next).accepted, 3000);
@@ -204,10 +204,7 @@
     simulation.duplicateHeartbeatProbability = 0;
     simulation.isSmooth = true;
     simulation.upcomingLimits = { value_kb: 2, txn_ops: 4, write_rps: 150 };
-    for (const node of simulation.controllers.values()) {
-      node.crash();
-      node.start();
-    }
+    restartAllControllers(simulation);
     await simulation.time.runUntil(10_000);
     let largest = 0;
     let most = 0;
@@ -229,19 +226,16 @@
     // As the previous version left it: a record of more than two KiB because of its images and allocations.
     let grown = 0;
     for (const [k, row] of simulation.state.rows) {
-      const m = row.value as { images?: string[]; placed?: unknown[] };
-      if (!k.startsWith('p/m/') || m.placed === undefined) continue;
-      m.images = [...Array(90).keys()].map((i) => `an-image-with-a-long-name-${i}`);
+      const record = row.value as { images?: string[]; placed?: unknown[] };
+      if (!k.startsWith('p/m/') || record.placed === undefined) continue;
+      record.images = [...Array(90).keys()].map((i) => `an-image-with-a-long-name-${i}`);
       grown++;
     }
     assert.ok(grown >= 3);
     simulation.upcomingLimits = { value_kb: 2, txn_ops: 4, write_rps: 150 };
     simulation.state.valueBytes = 2048;
     simulation.state.budget = { ...SMALL, txnOps: 4, writeRps: 150 };
-    for (const node of simulation.controllers.values()) {
-      node.crash();
-      node.start();
-    }
+    restartAllControllers(simulation);
     await advance(simulation, 30_000);
     assert.equal(simulation.state.oversizedTransactions, 0);
     assert.ok(simulation.cluster.starts > before + 10, 'tasks still start');
--- a/test/sim.test.ts
+++ b/test/sim.test.ts
@@ -5,6 +5,7 @@
 import { UnavailableError } from '../src/core/errors.js';
 import { injectFaults } from './sim/faults.js';
 import { scheduleRollingUpgrade } from './sim/rolling-upgrade.js';
+import { busyAgents } from './sim/run-helpers.js';
 import { FLEET, GROWN, SMALL, Simulation, runWithoutFaults, type SimulationSize } from './sim/simulation.js';
 
 const only = process.env['SIM_SEED'];
@@ -65,10 +66,6 @@
   }
   return assert.fail('no seed gives such a run');
 }
-const busy = (simulation: Simulation, zone?: string) =>
-  simulation.cluster
-    .liveAgents()
-    .filter((agent) => agent.tasks.size > 0 && (zone === undefined || agent.zone === zone));
 
 /** Lets time pass; no more machines than given may be released with allocations in their records. */
 async function expectMachinesKept(simulation: Simulation, ms: number, most = 0): Promise<void> {
@@ -84,7 +81,7 @@
 
 describe('a controller that loses its dependencies', () => {
   it('a controller without state service and peers redirects its agents before their leases expire', async () => {
-    const simulation = await runUntilSuitable((s) => busy(s).length >= 4);
+    const simulation = await runUntilSuitable((s) => busyAgents(s).length >= 4);
     const before = { starts: simulation.cluster.starts, lost: simulation.cluster.tasksLostToLeaseExpiry };
     for (const node of simulation.controllers.values()) {
       node.unreachable.add('state').add('peers');
@@ -106,7 +103,7 @@
   });
 
   it('controllers keep their agents and stay healthy during an outage of the state service', async () => {
-    const simulation = await runUntilSuitable((s) => busy(s).length >= 4);
+    const simulation = await runUntilSuitable((s) => busyAgents(s).length >= 4);
     const before = simulation.cluster.tasksLostToLeaseExpiry;
     simulation.state.setOutage(true);
     await simulation.time.runUntil(simulation.time.now + 20_000);
@@ -120,8 +117,8 @@
 
 describe('a partition between controllers and machines', () => {
   it('a machine with an inbound partition is released, and its tasks run elsewhere', async () => {
-    const simulation = await runUntilSuitable((s) => busy(s).length >= 4);
-    const agent = busy(simulation)[0]!;
+    const simulation = await runUntilSuitable((s) => busyAgents(s).length >= 4);
+    const agent = busyAgents(simulation)[0]!;
     agent.isInboundPartitioned = true;
     const placed = () =>
       simulation.controllers.get('c-0')!.controller!.context.view.machines.get(agent.name as never)?.placed
@@ -134,7 +131,7 @@
   });
 
   it('no machine loses its tasks when a zone is partitioned during a failover of shards', async () => {
-    const simulation = await runUntilSuitable((s) => busy(s, 'b').length >= 2);
+    const simulation = await runUntilSuitable((s) => busyAgents(s, 'b').length >= 2);
     simulation.partitionsResetConnections = true;
     const far = [...simulation.controllers.values()].filter((node) => node.zone !== 'b');
     for (const agent of simulation.cluster.liveAgents())
@@ -153,7 +150,7 @@
 
 describe('loss of contact with a whole zone', () => {
   it('the first heartbeat after the silence of a zone releases none of its other machines', async () => {
-    const simulation = await runUntilSuitable((s) => busy(s, 'b').length >= 3);
+    const simulation = await runUntilSuitable((s) => busyAgents(s, 'b').length >= 3);
     const all = simulation.cluster.liveAgents().filter((agent) => agent.zone === 'b');
     for (const agent of all)
       for (const node of simulation.controllers.keys()) agent.partitionedFrom.add(node);
@@ -166,7 +163,7 @@
   });
 
   it('a zone partitioned together with its controller keeps its tasks and its machines', async () => {
-    const simulation = await runUntilSuitable((s) => busy(s, 'b').length >= 16, GROWN);
+    const simulation = await runUntilSuitable((s) => busyAgents(s, 'b').length >= 16, GROWN);
     simulation.partitionsResetConnections = true;
     const near = [...simulation.controllers.values()].filter((node) => node.zone === 'b');
     assert.equal(near.length, 1, 'it has no peer in its zone');
@@ -189,12 +186,12 @@
 
 describe('a controller that the state service refuses', () => {
   it('a controller that the state service refuses keeps no agents of other controllers', async () => {
-    const simulation = await runUntilSuitable((s) => busy(s).length >= 6);
+    const simulation = await runUntilSuitable((s) => busyAgents(s).length >= 6);
     const node = simulation.controllers.get('c-1')!;
     node.isRefusedByState = true;
     await simulation.time.runUntil(simulation.time.now + 8000);
     // Agents switch to this controller, as after a heartbeat without an answer.
-    const others = busy(simulation).filter((agent) => agent.controller !== 'c-1');
+    const others = busyAgents(simulation).filter((agent) => agent.controller !== 'c-1');
     assert.ok(others.length >= 3);
     for (const agent of others) agent.controller = 'c-1';
     await simulation.time.runUntil(simulation.time.now + 5000);
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,10 +1,12 @@
 /** Random faults of seeded runs. One seed gives one sequence of faults, so the order of the draws must stay as it is. */
+import { cancelRunningJobs } from './run-helpers.js';
 import type { SimulatedAgent } from './simulated-agent.js';
 import type { Dependency, SimulatedController } from './simulated-controller.js';
 import type { Simulation } from './simulation.js';
 import { NODES, ZONES } from './sizes.js';
 
 const FIRST_FAULT_MS = 8000;
+const MAX_CANCELLED_JOBS = 3;
 const FAULT_INTERVAL_MS = { min: 1500, max: 9000 };
 
 /** What a fault may concern. */
@@ -71,7 +73,7 @@
       simulation.time.int(2000, 14_000),
     );
   },
-  cancelRunningJobs,
+  cancelRandomJobs,
   ({ simulation }) => {
     setTemporarily(simulation, simulation.time.int(2000, 9000), simulation, {
       during: { maxStateDelayMs: 1500 },
@@ -182,9 +184,10 @@
   simulation.cluster.machines.delete(agent.name);
 }
 
-function cancelRunningJobs({ simulation, agent }: FaultTarget): void {
+function cancelRandomJobs({ simulation, agent }: FaultTarget): void {
   const { time } = simulation;
-  for (const id of simulation.runningJobs().slice(0, time.int(1, 6))) simulation.cancel(id);
+  const jobs = simulation.runningJobs();
+  for (const id of jobs.slice(0, time.int(1, 6))) simulation.cancel(id);
   if (agent !== null && time.happens(0.5)) hangAgent(simulation, agent);
 }
 
@@ -193,13 +196,10 @@
   const { time, state } = simulation;
   const leader = simulation.leader();
   if (leader === undefined || state.outage) return;
-  const cancelSome = () => {
-    for (const id of simulation.runningJobs().slice(0, 3)) simulation.cancel(id);
-  };
   leader.isRefusedByState = true;
-  cancelSome();
+  cancelRunningJobs(simulation, MAX_CANCELLED_JOBS);
   time.after(refusedMs, () => {
-    cancelSome();
+    cancelRunningJobs(simulation, MAX_CANCELLED_JOBS);
     state.setOutage(true);
   });
   time.after(refusedMs + outageMs, () => {
--- a/test/sim/run-helpers.ts
+++ b/test/sim/run-helpers.ts
@@ -1,5 +1,6 @@
 /** What scenario tests ask of a run, and how they let its time pass. */
 import assert from 'node:assert/strict';
+import { key } from '../../src/core/records/keys.js';
 import type { SimulatedAgent } from './simulated-agent.js';
 import type { SimulatedController } from './simulated-controller.js';
 import type { Simulation } from './simulation.js';
@@ -43,9 +44,17 @@
   return node;
 }
 
-/** Agents that hold tasks, ended ones included. */
-export function busyAgents(simulation: Simulation): SimulatedAgent[] {
-  return simulation.cluster.liveAgents().filter((agent) => agent.tasks.size > 0);
+/** The controller that holds a shard now, as the state service has it. */
+export function holderOf(simulation: Simulation, shard: string): string | undefined {
+  const record = simulation.state.rows.get(key.shard(shard))?.value as { holder: string } | undefined;
+  return record?.holder;
+}
+
+/** Agents that hold tasks, ended ones included; all zones by default. */
+export function busyAgents(simulation: Simulation, zone?: string): SimulatedAgent[] {
+  return simulation.cluster
+    .liveAgents()
+    .filter((agent) => agent.tasks.size > 0 && (zone === undefined || agent.zone === zone));
 }
 
 export function job(simulation: Simulation, id: string): SubmittedJob {
--- a/test/unresponsive-controllers.test.ts
+++ b/test/unresponsive-controllers.test.ts
@@ -4,8 +4,16 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { key, parseKey } from '../src/core/records/keys.js';
-import { advance, allControllers, busyAgents, cancelledJobs, currentLeader } from './sim/run-helpers.js';
+import { parseKey } from '../src/core/records/keys.js';
+import {
+  advance,
+  allControllers,
+  busyAgents,
+  cancelRunningJobs,
+  cancelledJobs,
+  currentLeader,
+  holderOf,
+} from './sim/run-helpers.js';
 import type { SimulatedController } from './sim/simulated-controller.js';
 import { LEASE_MS, faultScenario, runUntilBusy } from './sim/fault-scenario.js';
 import type { Simulation } from './sim/simulation.js';
@@ -17,9 +25,6 @@
 
 const owners = (simulation: Simulation) =>
   allControllers(simulation).filter((node) => node !== currentLeader(simulation));
-const holderOf = (simulation: Simulation, shard: string) =>
-  (simulation.state.rows.get(key.shard(shard))?.value as { holder: string } | undefined)?.holder;
-
 /** Pauses controllers for a time. */
 async function pauseAndResume(
   simulation: Simulation,
@@ -67,7 +72,7 @@
   faultScenario('the leader is paused during cancellations and retried submissions', async (simulation) => {
     const leader = currentLeader(simulation);
     leader.clock.pause();
-    for (const id of simulation.runningJobs().slice(0, 4)) simulation.cancel(id);
+    cancelRunningJobs(simulation, 4);
     await advance(simulation, TAKEOVER_MS);
     assert.notEqual(currentLeader(simulation), leader, 'another controller leads');
     for (let i = 0; i < 20; i++) {
@@ -116,12 +121,12 @@
   faultScenario('a paused leader resumes during an outage of the state service', async (simulation) => {
     const leader = currentLeader(simulation);
     leader.clock.pause();
-    for (const id of simulation.runningJobs().slice(0, 3)) simulation.cancel(id);
+    cancelRunningJobs(simulation, 3);
     await advance(simulation, 8000);
     simulation.state.setOutage(true);
     leader.clock.resume();
     await advance(simulation, LEASE_MS * 1.5);
-    for (const id of simulation.runningJobs().slice(0, 3)) simulation.cancel(id);
+    cancelRunningJobs(simulation, 3);
     simulation.state.setOutage(false);
   });
 
@@ -131,7 +136,7 @@
     for (let i = 0; i < 3; i++) {
       leader.clock.pause();
       const some = busyAgents(simulation).slice(0, 2);
-      for (const id of simulation.runningJobs().slice(0, 2)) simulation.cancel(id);
+      cancelRunningJobs(simulation, 2);
       for (const agent of some) agent.isHung = true;
       await advance(simulation, LEASE_MS * 0.8);
       for (const agent of some) if (!agent.isTerminated) agent.resume();
