--- /dev/null
+++ b/test/done-tasks.test.ts
@@ -0,0 +1,69 @@
+/** The set of done tasks of a job. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import fc from 'fast-check';
+import {
+  TASK_WINDOW,
+  isDone,
+  markDone,
+  unfinishedTasks,
+  NO_TASKS_DONE,
+} from '../src/core/jobs/done-tasks.js';
+import type { JobSpec } from '../src/core/model/jobs.js';
+import { wallClockMs } from '../src/core/model/time.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
+import { submission } from './samples.js';
+
+const spec = (over: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(over) as never);
+
+test('done tasks are kept exactly, within the window, whatever their order', () => {
+  fc.assert(
+    fc.property(
+      fc
+        .integer({ min: 1, max: 400 })
+        .chain((n) =>
+          fc.tuple(
+            fc.constant(n),
+            fc.shuffledSubarray([...Array(n).keys()]),
+            fc.integer({ min: 1, max: 20 }),
+          ),
+        ),
+      ([n, order, step]) => {
+        let set = NO_TASKS_DONE;
+        for (let i = 0; i < order.length; i += step) set = markDone(set, order.slice(i, i + step));
+        const done = new Set(order);
+        assert.equal(set.count, done.size);
+        for (let i = 0; i < n; i++) assert.equal(isDone(set, i), done.has(i));
+        const job = {
+          spec: spec({ shards: n }),
+          phase: 'active' as const,
+          done: set,
+          submitted: wallClockMs(0),
+        };
+        assert.deepEqual(
+          [...unfinishedTasks(job)],
+          [...Array(n).keys()].filter((i) => !done.has(i)),
+        );
+      },
+    ),
+  );
+});
+
+test("a job of 100,000 tasks keeps its record below the state service's limit", () => {
+  let set = NO_TASKS_DONE;
+  const job = {
+    spec: spec({ shards: 100_000 }),
+    phase: 'active' as const,
+    done: set,
+    submitted: wallClockMs(0),
+  };
+  const open = [...unfinishedTasks(job)];
+  assert.equal(open.length, TASK_WINDOW);
+  // Every second task: the worst case for the bitmap.
+  set = markDone(
+    set,
+    open.filter((i) => i % 2 === 1),
+  );
+  assert.ok(JSON.stringify({ ...job, done: set }).length < 4096);
+  assert.throws(() => markDone(set, [TASK_WINDOW]));
+});
--- a/test/feasibility.test.ts
+++ b/test/feasibility.test.ts
@@ -1,12 +1,23 @@
 /** What a job's own constraints allow. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { allowsMachine, requiredZone, zoneChoices } from '../src/core/jobs/feasibility.js';
-import { typeName, zoneName } from '../src/core/model/ids.js';
+import {
+  allowsMachine,
+  checkFeasibility,
+  maxTasksPerZone,
+  requiredZone,
+  zoneChoices,
+} from '../src/core/jobs/feasibility.js';
+import { teamName, typeName, zoneName } from '../src/core/model/ids.js';
+import type { JobSpec } from '../src/core/model/jobs.js';
+import { demandVector } from '../src/core/model/resources.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
 import { job } from './planning.js';
+import { submission } from './samples.js';
 
 const machine = { type: typeName('m'), zone: zoneName('a'), spot: false };
 const spec = (fields: Record<string, unknown>) => job('wk-1', fields).spec;
+const submittedSpec = (fields: Record<string, unknown>): JobSpec => jobFromWire(submission(fields) as never);
 
 test('a job may use machines of its types, its zone and its billing kind', () => {
   assert.equal(allowsMachine(spec({}), machine), true);
@@ -28,3 +39,40 @@
   assert.equal(requiredZone(oneZone, new Map()), null);
   assert.equal(requiredZone(spec({}), new Map([[b, 2]])), null);
 });
+
+test('what can never run is judged by team, type and limit', () => {
+  const teams = new Map([
+    [
+      teamName('vision'),
+      { name: teamName('vision'), guarantee: [0, 0, 0] as const, limitCpu: null, limitGpu: 4e6 },
+    ],
+  ]);
+  const types = [
+    {
+      name: typeName('g8'),
+      capacity: demandVector(96, 768, 8),
+      price: 1,
+      spotPrice: 1,
+      bootS: 1,
+      cacheGb: 1,
+      fetchGbPerS: 1,
+      zones: [zoneName('a')],
+    },
+  ];
+  const verdict = (over: Record<string, unknown>) => checkFeasibility(submittedSpec(over), teams, types);
+  assert.equal(verdict({ shape: 'sweep', shards: 50 }), 'ok');
+  assert.equal(verdict({ tenant: 'nobody' }), 'unknown_team');
+  assert.equal(verdict({ flavors: ['g9'] }), 'fits_no_type');
+  assert.equal(verdict({ vcpus: 97 }), 'fits_no_type');
+  assert.equal(verdict({ shape: 'sweep', vault: 'z' }), 'fits_no_type');
+  assert.equal(verdict({ shape: 'ensemble', shards: 5 }), 'over_limit');
+  assert.equal(verdict({ shape: 'ensemble', shards: 4 }), 'ok');
+  assert.equal(verdict({ shape: 'daemon', shards: 5 }), 'over_limit');
+  assert.equal(verdict({ shape: 'sweep', cards: 5 }), 'over_limit');
+});
+
+test('a spread job may have half of its tasks, rounded up, in one zone', () => {
+  assert.equal(maxTasksPerZone(submittedSpec({ scatter: true, shards: 9 })), 5);
+  assert.equal(maxTasksPerZone(submittedSpec({ scatter: true, shards: 1 })), 1);
+  assert.equal(maxTasksPerZone(submittedSpec({ scatter: false, shards: 9 })), 9);
+});
--- /dev/null
+++ b/test/job-order.test.ts
@@ -0,0 +1,57 @@
+/** The order of the jobs of a team. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { NO_TASKS_DONE } from '../src/core/jobs/done-tasks.js';
+import { compareJobs } from '../src/core/jobs/job-order.js';
+import type { JobSpec } from '../src/core/model/jobs.js';
+import { wallClockMs } from '../src/core/model/time.js';
+import { jobFromWire } from '../src/io/users/job-messages.js';
+import { submission } from './samples.js';
+
+const spec = (over: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(over) as never);
+
+test('among arrays due alike those with less left go first, but a large one is never put off for long', () => {
+  const job = (id: string, tasks: number, submittedS: number, done = 0) => ({
+    spec: spec({ nameId: id, shards: tasks, dueS: 200 }),
+    phase: 'active' as const,
+    done: { ...NO_TASKS_DONE, count: done },
+    submitted: wallClockMs(submittedS * 1000),
+  });
+  const before = compareJobs({ wallClock: wallClockMs(0), hasTasks: () => false, starvationMs: 60_000 });
+  const order = (...jobs: ReturnType<typeof job>[]) => jobs.sort(before).map((j) => j.spec.id);
+  assert.deepEqual(order(job('wk-1', 90, 0), job('wk-2', 10, 20)), ['wk-2', 'wk-1']);
+  assert.deepEqual(order(job('wk-2', 10, 20), job('wk-1', 90, 0, 85)), ['wk-1', 'wk-2'], 'nearly done');
+  // A stream of small ones that come later does not hold up the largest.
+  assert.deepEqual(order(job('wk-2', 1, 81), job('wk-1', 100_000, 0)), ['wk-1', 'wk-2']);
+});
+
+test('a vast array that is late gives way to those of its team of which nothing has run for long', () => {
+  const job = (id: string, tasks: number, submittedS: number, dueS: number) => ({
+    spec: spec({ nameId: id, shards: tasks, dueS }),
+    phase: 'active' as const,
+    done: NO_TASKS_DONE,
+    submitted: wallClockMs(submittedS * 1000),
+  });
+  const vast = job('wk-1', 25_000, 0, 30);
+  const single = job('wk-2', 1, 20, 900);
+  const first = (wallS: number, running: readonly string[], other = single) => {
+    const order = compareJobs({
+      wallClock: wallClockMs(wallS * 1000),
+      hasTasks: (id) => running.includes(id),
+      starvationMs: 60_000,
+    });
+    return [vast, other].sort(order)[0]!.spec.id;
+  };
+  assert.equal(first(50, ['wk-1']), 'wk-1', 'by due time');
+  assert.equal(
+    first(120, ['wk-1']),
+    'wk-2',
+    'the vast one is late in any case, and nothing of the other runs',
+  );
+  assert.equal(first(120, ['wk-1', 'wk-2']), 'wk-1');
+  // It came when the vast one was all but due, and has waited as long as any.
+  const later = job('wk-3', 1, 60, 900);
+  assert.equal(first(125, ['wk-1'], later), 'wk-3');
+  assert.equal(first(115, ['wk-1'], later), 'wk-1', 'not before it has waited');
+  assert.equal(first(150, []), 'wk-1', 'neither runs: the one that has waited longer');
+});
