--- a/test/cluster-view.test.ts
+++ b/test/cluster-view.test.ts
@@ -5,12 +5,16 @@
 import { key } from '../src/core/records/keys.js';
 import { ClusterView } from '../src/core/state/cluster-view.js';
 
-test('a slice that a process has given itself is its own once its view holds what was committed before', () => {
+test('a shard that a process has acquired counts as held once its view has all that was committed before', () => {
   const view = new ClusterView();
   view.advanceTo(revision(10));
   const shard = key.shard('c-1');
   view.apply({ key: shard, value: { holder: 'c-0', incarnation: 'me' }, version: version(20) });
-  assert.equal(view.isHeldBy('c-1', incarnation('me')), false, 'a start of its former holder may be at 19');
+  assert.equal(
+    view.isHeldBy('c-1', incarnation('me')),
+    false,
+    'a start by its former holder may be at revision 19',
+  );
   view.advanceTo(revision(20));
   assert.equal(view.isHeldBy('c-1', incarnation('me')), true);
   assert.equal(view.isHeldBy('c-1', incarnation('another')), false);
--- a/test/concurrency-limit.test.ts
+++ b/test/concurrency-limit.test.ts
@@ -4,27 +4,27 @@
 import { ConcurrencyLimit } from '../src/core/concurrency-limit.js';
 import { monotonicMs } from '../src/core/model/time.js';
 
-test('the limit on requests shrinks when answers get slow and grows when they are quick', () => {
-  const a = new ConcurrencyLimit({ min: 2, max: 50, tolerance: 4, floorMs: 50 });
-  let t = 0;
-  const round = (ms: number) => {
+test('the limit on requests shrinks when answers become slow and grows when they are fast', () => {
+  const limiter = new ConcurrencyLimit({ min: 2, max: 50, tolerance: 4, floorMs: 50 });
+  let now = 0;
+  const runRequests = (durationMs: number) => {
     for (let i = 0; i < 40; i++) {
-      const n = Math.floor(a.limit);
-      let entered = 0;
-      for (let k = 0; k < n + 3; k++) if (a.tryAcquire()) entered++;
-      assert.equal(entered, n);
-      assert.equal(a.inProgress, n);
-      t += 300;
-      for (let k = 0; k < entered; k++) a.release(ms, monotonicMs(t));
+      const admissible = Math.floor(limiter.limit);
+      let admitted = 0;
+      for (let k = 0; k < admissible + 3; k++) if (limiter.tryAcquire()) admitted++;
+      assert.equal(admitted, admissible);
+      assert.equal(limiter.inProgress, admissible);
+      now += 300;
+      for (let k = 0; k < admitted; k++) limiter.release(durationMs, monotonicMs(now));
     }
   };
-  round(5);
-  const quick = a.limit;
-  assert.ok(quick > 16);
-  round(900);
-  assert.ok(a.limit < quick / 2);
-  assert.ok(a.limit >= 2);
-  round(5);
-  assert.ok(a.limit > 16);
-  assert.ok(a.refused > 0);
+  runRequests(5);
+  const grownLimit = limiter.limit;
+  assert.ok(grownLimit > 16);
+  runRequests(900);
+  assert.ok(limiter.limit < grownLimit / 2);
+  assert.ok(limiter.limit >= 2);
+  runRequests(5);
+  assert.ok(limiter.limit > 16);
+  assert.ok(limiter.refused > 0);
 });
--- a/test/dependency-rules.test.ts
+++ b/test/dependency-rules.test.ts
@@ -73,16 +73,16 @@
   );
 });
 
-test('a cancelled job takes with it all that need it, through any depth, and none that it needs', () => {
+test('a cancelled job withdraws all that depend on it, through any depth, and none that it depends on', () => {
   const depth = 5000;
   const chain = [...Array(depth).keys()].map((i) => record(`wk-${i + 1}`, [`wk-${i}`]));
   const before = record('wk-before', []);
-  const d = resolveDependencies(input([...chain.reverse(), before], { 'wk-0': cancelled }));
-  const withdrawn = [...d.byJob.values()].filter((x) => x.kind === 'withdrawn');
+  const graph = resolveDependencies(input([...chain.reverse(), before], { 'wk-0': cancelled }));
+  const withdrawn = [...graph.byJob.values()].filter((x) => x.kind === 'withdrawn');
   assert.equal(withdrawn.length, depth);
   assert.ok(withdrawn.every((x) => x.because === 'wk-0'));
   assert.deepEqual(
-    d.startable.map((j) => j.spec.id),
+    graph.startable.map((j) => j.spec.id),
     ['wk-before'],
   );
 });
@@ -99,12 +99,12 @@
   assert.equal(first!.submitted + first!.spec.deadlineS! * 1000, 24_000);
   // Without the last job nobody has a deadline.
   assert.equal(resolveDependencies(input([a, b], {}, 10_000)).startable[0]!.spec.deadlineS, null);
-  // One that was called off asks for nothing.
+  // A cancelled job passes nothing on.
   const off = { ...c, phase: 'cancelling' as const };
   assert.equal(resolveDependencies(input([a, b, off], {}, 10_000)).startable[0]!.spec.priority, 'low');
 });
 
-test('whatever the graph and whatever is over: what may start, waits or is withdrawn follows from its needs', () => {
+test('for any graph and any final states: whether a job may start, waits or is withdrawn follows from its dependencies', () => {
   const states = ['open', 'done', 'cancelled'] as const;
   fc.assert(
     fc.property(
@@ -113,24 +113,24 @@
       (list, shuffled) => {
         const jobs: JobRecord[] = [];
         const finals: Record<string, FinalRecord> = {};
-        const doomed = new Map<string, boolean>();
+        const isWithdrawn = new Map<string, boolean>();
         list.forEach(([state, refs], i) => {
           const needs = i === 0 ? [] : [...new Set(refs.map((r) => `wk-${r % i}`))];
           const id = `wk-${i}`;
           if (state === 'open') {
             jobs.push(record(id, needs));
-            doomed.set(
+            isWithdrawn.set(
               id,
-              needs.some((n) => doomed.get(n) === true),
+              needs.some((n) => isWithdrawn.get(n) === true),
             );
           } else {
             finals[id] = state === 'done' ? done() : cancelled;
-            doomed.set(id, state === 'cancelled');
+            isWithdrawn.set(id, state === 'cancelled');
           }
         });
         if (shuffled) jobs.reverse();
-        const d = resolveDependencies(input(jobs, finals));
-        const may = new Set(d.startable.map((j) => j.spec.id as string));
+        const graph = resolveDependencies(input(jobs, finals));
+        const may = new Set(graph.startable.map((j) => j.spec.id as string));
         for (const j of jobs) {
           const needs = j.spec.needs ?? [];
           assert.equal(
@@ -138,8 +138,8 @@
             needs.every((n) => finals[n]?.state === 'done'),
           );
           if (needs.length === 0) continue;
-          assert.equal(d.byJob.get(j.spec.id)?.kind === 'withdrawn', doomed.get(j.spec.id));
-          assert.deepEqual(resolveDependency(j, input(jobs, finals)), d.byJob.get(j.spec.id));
+          assert.equal(graph.byJob.get(j.spec.id)?.kind === 'withdrawn', isWithdrawn.get(j.spec.id));
+          assert.deepEqual(resolveDependency(j, input(jobs, finals)), graph.byJob.get(j.spec.id));
         }
       },
     ),
@@ -147,7 +147,7 @@
   );
 });
 
-test('hundreds of jobs behind one cost one look each', () => {
+test('hundreds of jobs that depend on one cost no read of a final state', () => {
   const wide = [...Array(800).keys()].map((i) => record(`wk-w${i}`, ['wk-0']));
   let reads = 0;
   const i = input([record('wk-0', []), ...wide]);
@@ -158,7 +158,7 @@
       return undefined;
     },
   });
-  assert.equal(reads, 0, 'what is unfinished is in the view');
+  assert.equal(reads, 0, 'unfinished jobs are in the view');
   assert.deepEqual(
     resolveDependencies(i).startable.map((j) => j.spec.id),
     [jobId('wk-0')],
--- a/test/done-tasks.test.ts
+++ b/test/done-tasks.test.ts
@@ -14,35 +14,35 @@
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission } from './samples.js';
 
-const spec = (over: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(over) as never);
+const spec = (fields: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(fields) as never);
 
 test('done tasks are kept exactly, within the window, whatever their order', () => {
   fc.assert(
     fc.property(
       fc
         .integer({ min: 1, max: 400 })
-        .chain((n) =>
+        .chain((taskCount) =>
           fc.tuple(
-            fc.constant(n),
-            fc.shuffledSubarray([...Array(n).keys()]),
+            fc.constant(taskCount),
+            fc.shuffledSubarray([...Array(taskCount).keys()]),
             fc.integer({ min: 1, max: 20 }),
           ),
         ),
-      ([n, order, step]) => {
+      ([taskCount, order, step]) => {
         let set = NO_TASKS_DONE;
         for (let i = 0; i < order.length; i += step) set = markDone(set, order.slice(i, i + step));
         const done = new Set(order);
         assert.equal(set.count, done.size);
-        for (let i = 0; i < n; i++) assert.equal(isDone(set, i), done.has(i));
+        for (let i = 0; i < taskCount; i++) assert.equal(isDone(set, i), done.has(i));
         const job = {
-          spec: spec({ shards: n }),
+          spec: spec({ shards: taskCount }),
           phase: 'active' as const,
           done: set,
           submitted: wallClockMs(0),
         };
         assert.deepEqual(
           [...unfinishedTasks(job)],
-          [...Array(n).keys()].filter((i) => !done.has(i)),
+          [...Array(taskCount).keys()].filter((i) => !done.has(i)),
         );
       },
     ),
@@ -59,7 +59,7 @@
   };
   const open = [...unfinishedTasks(job)];
   assert.equal(open.length, TASK_WINDOW);
-  // Every second task: the worst case for the bitmap.
+  // Every second task is the worst case for the bitmap.
   set = markDone(
     set,
     open.filter((i) => i % 2 === 1),
--- a/test/drfh.test.ts
+++ b/test/drfh.test.ts
@@ -1,4 +1,4 @@
-/** The paper's worked examples, as numbers. */
+/** The worked examples of the paper on dominant shares and the fitness H. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { dominantShare, fitness, resourceShares, teamWeight } from '../src/core/model/dominant-share.js';
@@ -15,9 +15,9 @@
   const total: ResourceVector = [server1[0] + server2[0], server1[1] + server2[1], 0];
   const user1 = demandVector(0.2, 1, 0);
   const user2 = demandVector(1, 0.2, 0);
-  const s1 = resourceShares(user1, total);
-  near(s1[0], 1 / 70);
-  near(s1[1], 1 / 14);
+  const user1Shares = resourceShares(user1, total);
+  near(user1Shares[0], 1 / 70);
+  near(user1Shares[1], 1 / 14);
   near(dominantShare(user1, total), 1 / 14);
   near(dominantShare(user2, total), 1 / 14);
   // Ten tasks each give the share 5/7 of Fig. 4.
@@ -29,12 +29,12 @@
   near(dominantShare(demandVector(1, 4, 0), total), 2 / 9);
 });
 
-test('H prefers the server whose free room has the shape of the demand', () => {
+test('H prefers the server whose free resources have the shape of the demand', () => {
   // Sec. 5.2: D = (1/10, 1/30); free (1/5, 1/15) gives 0, free (1/8, 1/4) gives 5/3.
   const total = capacityVector(600, 600, 0);
-  const d = demandVector(60, 20, 0);
-  near(fitness(d, capacityVector(120, 40, 0), total), 0);
-  near(fitness(d, capacityVector(75, 150, 0), total), 5 / 3);
+  const demand = demandVector(60, 20, 0);
+  near(fitness(demand, capacityVector(120, 40, 0), total), 0);
+  near(fitness(demand, capacityVector(75, 150, 0), total), 5 / 3);
 });
 
 test('H of a task without CPU is measured against its dominant resource', () => {
--- a/test/feasibility.test.ts
+++ b/test/feasibility.test.ts
@@ -40,7 +40,7 @@
   assert.equal(requiredZone(spec({}), new Map([[b, 2]])), null);
 });
 
-test('what can never run is judged by team, type and limit', () => {
+test('whether a job can ever run is decided by team, machine type and quota', () => {
   const teams = new Map([
     [
       teamName('vision'),
@@ -59,7 +59,7 @@
       zones: [zoneName('a')],
     },
   ];
-  const verdict = (over: Record<string, unknown>) => checkFeasibility(submittedSpec(over), teams, types);
+  const verdict = (fields: Record<string, unknown>) => checkFeasibility(submittedSpec(fields), teams, types);
   assert.equal(verdict({ shape: 'sweep', shards: 50 }), 'ok');
   assert.equal(verdict({ tenant: 'nobody' }), 'unknown_team');
   assert.equal(verdict({ flavors: ['g9'] }), 'fits_no_type');
--- a/test/job-order.test.ts
+++ b/test/job-order.test.ts
@@ -8,9 +8,9 @@
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission } from './samples.js';
 
-const spec = (over: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(over) as never);
+const spec = (fields: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(fields) as never);
 
-test('among arrays due alike those with less left go first, but a large one is never put off for long', () => {
+test('among arrays due at the same time those with fewer tasks left go first, but a large one is never delayed for long', () => {
   const job = (id: string, tasks: number, submittedS: number, done = 0) => ({
     spec: spec({ nameId: id, shards: tasks, dueS: 200 }),
     phase: 'active' as const,
@@ -21,18 +21,18 @@
   const order = (...jobs: ReturnType<typeof job>[]) => jobs.sort(before).map((j) => j.spec.id);
   assert.deepEqual(order(job('wk-1', 90, 0), job('wk-2', 10, 20)), ['wk-2', 'wk-1']);
   assert.deepEqual(order(job('wk-2', 10, 20), job('wk-1', 90, 0, 85)), ['wk-1', 'wk-2'], 'nearly done');
-  // A stream of small ones that come later does not hold up the largest.
+  // Small ones that are submitted later do not delay the largest for ever.
   assert.deepEqual(order(job('wk-2', 1, 81), job('wk-1', 100_000, 0)), ['wk-1', 'wk-2']);
 });
 
-test('a vast array that is late gives way to those of its team of which nothing has run for long', () => {
+test('an overdue large array gives way to jobs of its team that have waited for long without running', () => {
   const job = (id: string, tasks: number, submittedS: number, dueS: number) => ({
     spec: spec({ nameId: id, shards: tasks, dueS }),
     phase: 'active' as const,
     done: NO_TASKS_DONE,
     submitted: wallClockMs(submittedS * 1000),
   });
-  const vast = job('wk-1', 25_000, 0, 30);
+  const largeArray = job('wk-1', 25_000, 0, 30);
   const single = job('wk-2', 1, 20, 900);
   const first = (wallS: number, running: readonly string[], other = single) => {
     const order = compareJobs({
@@ -40,16 +40,16 @@
       hasTasks: (id) => running.includes(id),
       starvationMs: 60_000,
     });
-    return [vast, other].sort(order)[0]!.spec.id;
+    return [largeArray, other].sort(order)[0]!.spec.id;
   };
   assert.equal(first(50, ['wk-1']), 'wk-1', 'by due time');
   assert.equal(
     first(120, ['wk-1']),
     'wk-2',
-    'the vast one is late in any case, and nothing of the other runs',
+    'the large one is late in any case, and no task of the other runs',
   );
   assert.equal(first(120, ['wk-1', 'wk-2']), 'wk-1');
-  // It came when the vast one was all but due, and has waited as long as any.
+  // It was submitted when the large one was almost due, and has waited as long as any.
   const later = job('wk-3', 1, 60, 900);
   assert.equal(first(125, ['wk-1'], later), 'wk-3');
   assert.equal(first(115, ['wk-1'], later), 'wk-1', 'not before it has waited');
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -12,19 +12,19 @@
 import { allocated, job, scalingPlan, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
 
-/** One scheduling pass; nothing is cached, avoided or short of room in its record. */
-const pass = (
+/** One placement pass; no image is cached, no machine avoided and no record near its size limit. */
+const placementPass = (
   jobs: JobRecord[],
   machines: MachineRecord[],
-  over: Partial<PlacementInput> = {},
-  known: ReadonlyMap<TeamName, Team> = teams,
+  overrides: Partial<PlacementInput> = {},
+  knownTeams: ReadonlyMap<TeamName, Team> = teams,
 ) => {
-  let n = 1;
+  let lastAttempt = 1;
   return placeTasks({
     jobs,
     machines,
-    totals: new AllocationTotals(machines, types, known),
-    newAttempt: () => attempt(++n),
+    totals: new AllocationTotals(machines, types, knownTeams),
+    newAttempt: () => attempt(++lastAttempt),
     fetchRank: () => 2,
     isAvoided: () => false,
     recordBytesLeft: () => 6000,
@@ -37,35 +37,35 @@
     isStarving: () => false,
     isFailingEverywhere: () => false,
     fitnessTolerance: 0.25,
-    ...over,
+    ...overrides,
   });
 };
 
-test('the tasks of an array share machines that fit alike, so that few records are written', () => {
+test('the tasks of an array share machines that fit equally well, so that few records are written', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue', cards: 4, vcpus: 4 });
   const shard = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [allocated(busy, i)]));
   const array = job('wk-2', { shards: 12, cards: 0, vcpus: 1, memoryGb: 6 });
   const cached = (m: MachineRecord) => (m.name === 'n-4' || m.name === 'n-5' ? 0 : 2);
-  const used = (fetchRank: PlacementInput['fetchRank'], wanted = array) =>
+  const usedMachines = (fetchRank: PlacementInput['fetchRank'], wanted = array) =>
     new Set(
-      pass([wanted], shard, { fitnessTolerance: 0.6, fetchRank }).placements.map(
+      placementPass([wanted], shard, { fitnessTolerance: 0.6, fetchRank }).placements.map(
         (p) => p.machine.name as string,
       ),
     );
   // Eight of them fit on one of the machines, and all have the image.
-  assert.equal(used(() => 0).size, 2);
-  // An image that is there comes before a record that is written anyway.
-  assert.deepEqual([...used(cached)].sort(), ['n-4', 'n-5']);
-  // Replicas stay apart: one machine must not take several of them with it.
+  assert.equal(usedMachines(() => 0).size, 2);
+  // A cached image comes before a record that is written anyway.
+  assert.deepEqual([...usedMachines(cached)].sort(), ['n-4', 'n-5']);
+  // Replicas are kept apart: the failure of one machine must not end several of them.
   const service = job('wk-3', { shape: 'daemon', shards: 4, cards: 0, vcpus: 1, memoryGb: 6 });
-  assert.equal(used(() => 0, service).size, 4);
+  assert.equal(usedMachines(() => 0, service).size, 4);
 });
 
-test('an empty machine is opened only when nothing in use fits, so gangs find whole ones', () => {
+test('an empty machine is used only when no partly used one fits, so that gangs find whole ones', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue' });
   const small = job('wk-2', { shards: 4 });
   const shard = [machine('n-1', []), machine('n-2', [allocated(busy, 0)])];
-  const place = (jobs: JobRecord[]) => pass(jobs, shard).placements;
+  const place = (jobs: JobRecord[]) => placementPass(jobs, shard).placements;
   assert.deepEqual(
     place([small]).map((p) => p.machine.name),
     ['n-2', 'n-2', 'n-2', 'n-1'],
@@ -83,7 +83,7 @@
   const red = job('wk-1', { shards: 6, tenant: 'red' });
   const blue = job('wk-2', { shards: 6, tenant: 'blue' });
   const shard = [machine('n-1', [allocated(blue, 0)]), machine('n-2', [])];
-  const { placements } = pass([red, blue], shard, {
+  const { placements } = placementPass([red, blue], shard, {
     maxPlacements: 4,
     preferPartlyUsedMachines: false,
     fitnessTolerance: 0,
@@ -95,25 +95,25 @@
   for (const p of placements) assert.ok(p.share >= 0);
 });
 
-test('a gang that waits for its team limit is not starved by smaller work behind it', () => {
+test('a gang that waits for the quota of its team is not starved by smaller jobs behind it', () => {
   const limited = new Map([[teamName('red'), { ...team('red', 4), limitGpu: 4e6 }]]);
   const running = job('wk-1', { shards: 1 });
   const gang = job('wk-2', { shape: 'ensemble', shards: 4, tier: 'urgent' });
   const small = job('wk-3', { shards: 3, tier: 'low' });
   const shard = [machine('n-1', [allocated(running, 0)]), machine('n-2', [])];
-  const place = (jobs: JobRecord[], machines: MachineRecord[]) => pass(jobs, machines, {}, limited);
-  const held = place([running, gang, small], shard);
-  assert.equal(held.placements.length, 0);
-  assert.equal(held.waitReasons.get(small.spec.id), 'behind_gang');
-  // A job that has waited for long goes all the same; it must not count as neglected beside free room.
-  const late = pass(
+  const place = (jobs: JobRecord[], machines: MachineRecord[]) => placementPass(jobs, machines, {}, limited);
+  const result = place([running, gang, small], shard);
+  assert.equal(result.placements.length, 0);
+  assert.equal(result.waitReasons.get(small.spec.id), 'behind_gang');
+  // A starving job starts all the same: it must not wait beside free machines.
+  const late = placementPass(
     [running, gang, small],
     shard,
     { isStarving: (j) => j.spec.id === small.spec.id },
     limited,
   );
   assert.equal(late.placements.length, 3);
-  // Where a service holds the limit for good, waiting would help nobody.
+  // Where a service uses the quota for good, waiting would help no job.
   const service = job('wk-4', { shards: 1, shape: 'daemon' });
   assert.equal(
     place([service, gang, small], [machine('n-1', [allocated(service, 0)]), machine('n-2', [])]).placements
@@ -122,7 +122,7 @@
   );
 });
 
-test('a gang next in its order keeps what there is of its room; only work of higher priority may take it', () => {
+test('machines are reserved for a gang that is next in its order; only jobs of higher priority may take them', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 3, tier: 'urgent', vcpus: 14, samePlace: true });
   const later = job('wk-2', {
     shape: 'ensemble',
@@ -135,21 +135,21 @@
   const small = job('wk-3', { shards: 8, tenant: 'blue', tier: 'standard' });
   const service = job('wk-4', { shape: 'daemon', shards: 1, tier: 'production', tenant: 'blue' });
   const shard = [machine('n-1', []), machine('n-2', []), machine('n-3', [], 'b')];
-  assert.equal(pass([gang, small], shard).waitReasons.get(gang.spec.id), 'no_room');
-  const first = pass([gang, later], shard);
+  assert.equal(placementPass([gang, small], shard).waitReasons.get(gang.spec.id), 'no_room');
+  const first = placementPass([gang, later], shard);
   assert.equal(first.placements.length, 0, 'two gangs never take what the first one waits for');
-  const red = pass([gang, job('wk-5', { shards: 8, tier: 'standard' })], shard);
+  const red = placementPass([gang, job('wk-5', { shards: 8, tier: 'standard' })], shard);
   assert.deepEqual(new Set(red.placements.map((p) => p.machine.name)), new Set(['n-3']));
-  const prod = pass([gang, service], shard).placements;
+  const prod = placementPass([gang, service], shard).placements;
   assert.equal(prod.length, 1);
-  // Once its last machine is there it starts, before anything else.
-  const whole = pass([gang, later], [...shard, machine('n-4', [])]).placements;
-  assert.deepEqual(new Set(whole.map((p) => p.job.id)), new Set([gang.spec.id]));
-  assert.equal(whole.length, 3);
+  // Once its last machine is available it starts, before any other job.
+  const complete = placementPass([gang, later], [...shard, machine('n-4', [])]).placements;
+  assert.deepEqual(new Set(complete.map((p) => p.job.id)), new Set([gang.spec.id]));
+  assert.equal(complete.length, 3);
 });
 
-test('a gang of 32 whole machines begins although smaller gangs come all the time', () => {
-  // Each round one machine comes free and another small gang is submitted that it would fit.
+test('a gang of 32 whole machines starts although smaller gangs are submitted all the time', () => {
+  // Each round one machine becomes free and another small gang is submitted that would fit on it.
   const gang = job('wk-0', { shape: 'ensemble', shards: 32, tier: 'urgent', vcpus: 14, samePlace: true });
   const busy = job('wk-9', { shape: 'ensemble', shards: 40, tier: 'urgent', vcpus: 14 });
   const fleet = [...Array(40).keys()].map((i) => machine(`n-${i}`, [allocated(busy, i)]));
@@ -159,30 +159,30 @@
     waiting.push(
       job(`wk-s${round}`, { shape: 'ensemble', shards: 1, tier: 'urgent', vcpus: 14, dueS: 901 + round }),
     );
-    const { placements } = pass(waiting, fleet);
+    const { placements } = placementPass(waiting, fleet);
     if (placements.some((p) => p.job.id === gang.spec.id)) {
       assert.equal(round, 31, 'as soon as there are 32');
       return;
     }
     assert.equal(placements.length, 0);
   }
-  assert.fail('it never began');
+  assert.fail('the gang never started');
 });
 
-test('work that may use spot machines leaves empty ordinary ones to gangs that wait', () => {
+test('jobs that may use spot machines leave empty on-demand ones to waiting gangs', () => {
   const array = job('wk-1', { shards: 6, loaner: true });
   const service = job('wk-9', { shape: 'daemon', shards: 9, tier: 'production' });
   const spot = { ...machine('n-3', []), spot: true };
   const shard = [machine('n-1', []), machine('n-2', [allocated(service, 0)]), spot];
-  const used = (yields: boolean) =>
+  const usedMachines = (leavesWholeMachines: boolean) =>
     new Set(
-      pass([array], shard, {
-        leavesWholeMachinesToGangs: () => yields,
+      placementPass([array], shard, {
+        leavesWholeMachinesToGangs: () => leavesWholeMachines,
         preferPartlyUsedMachines: false,
       }).placements.map((p) => p.machine.name),
     );
-  assert.deepEqual(used(true), new Set(['n-3', 'n-2']));
-  assert.ok(pass([array], [machine('n-1', [])], {}).placements.length > 0);
+  assert.deepEqual(usedMachines(true), new Set(['n-3', 'n-2']));
+  assert.ok(placementPass([array], [machine('n-1', [])], {}).placements.length > 0);
   const plan = scalingPlan([array], [machine('n-1', [])], {
     isAvailable: () => true,
     leavesWholeMachinesToGangs: () => true,
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -8,7 +8,7 @@
 import { allocated, job, teams } from './planning.js';
 import { machine, types } from './samples.js';
 
-const choose = (wanted: JobRecord, others: JobRecord[], machines: MachineRecord[]) =>
+const victimsFor = (wanted: JobRecord, others: JobRecord[], machines: MachineRecord[]) =>
   selectVictims({
     job: wanted.spec,
     jobs: new Map([wanted, ...others].map((j) => [j.spec.id, j])),
@@ -18,14 +18,14 @@
     isClaimed: () => false,
   });
 
-test('work of equal or higher priority is not stopped, unless it is beyond its guarantee', () => {
+test('tasks of equal or higher priority are not stopped, unless they are beyond the guarantee of their team', () => {
   const wanted = job('wk-1', { shape: 'daemon', tier: 'standard', shards: 1 });
   const same = job('wk-2', { tier: 'standard', tenant: 'blue', shards: 4 });
   // Blue uses exactly its guarantee of four.
-  assert.equal(choose(wanted, [same], [machine('n-1', [allocated(same, 0, 1, 2, 3)])]), null);
+  assert.equal(victimsFor(wanted, [same], [machine('n-1', [allocated(same, 0, 1, 2, 3)])]), null);
   // With one more it is beyond it, and red has nothing yet of its own.
   const more = job('wk-3', { tier: 'production', tenant: 'blue', shards: 1 });
-  const found = choose(
+  const found = victimsFor(
     wanted,
     [same, more],
     [machine('n-1', [allocated(same, 0, 1, 2, 3)]), machine('n-2', [allocated(more, 0)])],
@@ -33,12 +33,12 @@
   assert.equal(found?.machine.name, 'n-1');
 });
 
-test('the cheapest victims of lower priority go, services never', () => {
+test('the cheapest victims of lower priority are stopped, services never', () => {
   const wanted = job('wk-1', { shape: 'daemon', tier: 'production', shards: 1, tenant: 'red' });
   const savable = job('wk-2', { tier: 'low', shards: 4, snapshotEveryS: 10, snapshotS: 2 });
   const lost = job('wk-3', { tier: 'low', shards: 4, snapshotEveryS: 0, expectedS: 300 });
   const service = job('wk-4', { tier: 'low', shape: 'daemon', shards: 4 });
-  const found = choose(
+  const found = victimsFor(
     wanted,
     [savable, lost, service],
     [
@@ -52,5 +52,5 @@
     found.victims.map((v) => v.job),
     ['wk-2'],
   );
-  assert.equal(choose(wanted, [service], [machine('n-1', [allocated(service, 0, 1, 2, 3)])]), null);
+  assert.equal(victimsFor(wanted, [service], [machine('n-1', [allocated(service, 0, 1, 2, 3)])]), null);
 });
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,4 +1,4 @@
-/** Records at the limits of the state service, and those of the version before pipelines, in its shape. */
+/** Records at the size limits of the state service, and those of the version without dependencies. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { markDone } from '../src/core/jobs/done-tasks.js';
@@ -25,7 +25,7 @@
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { machine, submission, type, types } from './samples.js';
 
-/** As the version before wrote them, text and all. */
+/** Records as the previous version wrote them, byte by byte. */
 const JOB_BEFORE =
   '{"spec":{"id":"wk-000001","class":"sweep","team":"red","kind":"array","priority":"normal","tasks":4,' +
   '"demand":[1000000,2000000,0],"image":"img-1","imageGb":1,"types":null,"zone":null,"oneZone":false,"spread":false,' +
@@ -43,13 +43,13 @@
 
 const viewOf = (rows: Record<string, string>) => {
   const view = new ClusterView();
-  let v = 10;
-  for (const [k, text] of Object.entries(rows))
-    view.apply({ key: k, value: JSON.parse(text) as unknown, version: version(++v) });
+  let lastVersion = 10;
+  for (const [recordKey, text] of Object.entries(rows))
+    view.apply({ key: recordKey, value: JSON.parse(text) as unknown, version: version(++lastVersion) });
   return view;
 };
 
-test('records of the version before are read: jobs wait for nobody, each task stands in its own entry', () => {
+test('records of the previous version are read: jobs have no dependencies, each task has its own allocation', () => {
   const id = jobId('wk-000001');
   const view = viewOf({
     [key.job(id)]: JOB_BEFORE,
@@ -82,7 +82,7 @@
   assert.deepEqual(back.spec.needs, ['wk-0']);
 });
 
-test('tasks that share an entry are stopped, proved gone and started one by one', () => {
+test('tasks that share an allocation are stopped, confirmed as exited and started one by one', () => {
   const spec = jobFromWire(submission({ vcpus: 1, cards: 0, memoryGb: 1, shards: 3 }) as never);
   const job = {
     spec,
@@ -91,9 +91,9 @@
     submitted: 0 as never,
   };
   const shared = allocationFor(spec, attempt(9), [0, 1, 2]);
-  const m: MachineRecord = machine('n-1', markStopping([shared], [{ ...shared, tasks: [1] }]));
+  const record: MachineRecord = machine('n-1', markStopping([shared], [{ ...shared, tasks: [1] }]));
   assert.deepEqual(
-    m.placed.map((p) => [p.tasks, p.stop]),
+    record.placed.map((p) => [p.tasks, p.stop]),
     [
       [[0, 2], undefined],
       [[1], true],
@@ -113,13 +113,16 @@
     ],
   })!;
   recordHeartbeat(session, heartbeat, { now: monotonicMs(10), isPushed: true, heartbeatIntervalMs: 2000 });
-  const w = { jobs: new Map([[spec.id, job]]), totals: new AllocationTotals([m], types, new Map()) };
+  const desired = {
+    jobs: new Map([[spec.id, job]]),
+    totals: new AllocationTotals([record], types, new Map()),
+  };
   assert.deepEqual(
-    confirmedExits(m, session, w).map((e) => [e.index, e.reason]),
+    confirmedExits(record, session, desired).map((e) => [e.index, e.reason]),
     [[0, 'done']],
   );
   assert.deepEqual(
-    agentCommands({ machine: m, session, desired: w, now: monotonicMs(10), mayStart: true }).map((c) => [
+    agentCommands({ machine: record, session, desired, now: monotonicMs(10), mayStart: true }).map((c) => [
       c.op,
       c.index,
     ]),
@@ -130,7 +133,7 @@
   );
 });
 
-test('what an entry and a task are counted with is never less than what they add', () => {
+test('the estimated size of an allocation and of a task is never less than what they add to a record', () => {
   for (const id of ['wk-1', `wk-${'x'.repeat(100)}`])
     for (const tenant of ['a', 'ä'.repeat(100)]) {
       const spec = jobFromWire(
@@ -144,40 +147,40 @@
           tier: 'production',
         }) as never,
       );
-      const att = attempt(2 ** 52);
+      const startAttempt = attempt(2 ** 52);
       const empty = machine('n-1', []);
-      const one = addAllocation([], allocationFor(spec, att, [99_999]));
-      const two = addAllocation(one, allocationFor(spec, att, [99_998]));
+      const one = addAllocation([], allocationFor(spec, startAttempt, [99_999]));
+      const two = addAllocation(one, allocationFor(spec, startAttempt, [99_998]));
       const size = (placed: MachineRecord['placed']) => jsonBytes({ ...empty, placed });
       assert.ok(size(one) - size([]) <= allocationBytes(spec) + TASK_INDEX_BYTES);
       assert.ok(size(two) - size(one) <= TASK_INDEX_BYTES);
     }
 });
 
-test('a record above the limit goes without its images, and one that is given up with its entries joined', () => {
+test('a record above the limit is stored without its images, and that of a machine being released with its allocations merged', () => {
   const spec = jobFromWire(submission() as never);
-  const m: MachineRecord = {
+  const record: MachineRecord = {
     ...machine(
       'n-1',
       [...Array(12).keys()].map((i) => allocationFor(spec, attempt(i + 1), [i])),
     ),
     images: [...Array(30).keys()].map((i) => `image-${i}`),
   };
-  const bare = jsonBytes({ ...m, images: undefined });
-  assert.equal(shrinkMachineRecord(m, bare)?.images, undefined);
-  assert.ok(jsonBytes(shrinkMachineRecord(m, bare)) <= bare);
-  assert.equal(shrinkMachineRecord(m, bare - 1), null, 'left until some of it has ended');
-  const given = shrinkMachineRecord({ ...m, phase: 'releasing' }, 700);
+  const bare = jsonBytes({ ...record, images: undefined });
+  assert.equal(shrinkMachineRecord(record, bare)?.images, undefined);
+  assert.ok(jsonBytes(shrinkMachineRecord(record, bare)) <= bare);
+  assert.equal(shrinkMachineRecord(record, bare - 1), null, 'left until some of it has ended');
+  const shrunk = shrinkMachineRecord({ ...record, phase: 'releasing' }, 700);
   assert.deepEqual(
-    given?.placed.flatMap((p) => p.tasks),
+    shrunk?.placed.flatMap((p) => p.tasks),
     [...Array(12).keys()],
   );
-  // It counts as before.
-  const sums = (x: MachineRecord) => new AllocationTotals([x], types, new Map()).usedBy(teamName('vision'));
-  assert.deepEqual(sums(given), sums(m));
+  // The totals are the same.
+  const usedIn = (x: MachineRecord) => new AllocationTotals([x], types, new Map()).usedBy(teamName('vision'));
+  assert.deepEqual(usedIn(shrunk), usedIn(record));
 });
 
-test('a list of machine types that does not fit one value goes on in others, and is read as one', () => {
+test('a list of machine types that does not fit one value continues in others, and is read as one', () => {
   const many = [...Array(30).keys()].map((i) => ({ ...type, name: `type-${i}` }));
   const parts = splitBySize(many, 2048);
   assert.ok(parts.length > 1 && parts.every((p) => jsonBytes(p) <= 2048));
