--- a/eslint.config.js
+++ b/eslint.config.js
@@ -17,9 +17,7 @@
   complexity: ['error', 15],
 };
 
-/**
- * Files that do not meet a limit yet, with what they reach. Placement shares its working state among closures.
- */
+/** Files that do not meet a limit yet, with what they reach. */
 const EXCEPTIONS = {
   'src/io/users/http-server.ts': { 'max-lines-per-function': 100 },
   'src/io/agents/agent-messages.ts': { complexity: 23 },
--- a/src/core/placement/gang-placement.ts
+++ b/src/core/placement/gang-placement.ts
@@ -1,4 +1,5 @@
 /** Placement of gangs: a gang starts as a whole or not at all. */
+import { addToCount } from '../collections.js';
 import { zoneChoices } from '../jobs/feasibility.js';
 import type { MachineName, Zone } from '../model/ids.js';
 import type { JobRecord, JobSpec } from '../model/jobs.js';
@@ -83,8 +84,8 @@
     if (choice === null) return null;
     const { machine } = choice.candidate;
     choices.push(choice);
-    chosenTasks.set(machine.name, (chosenTasks.get(machine.name) ?? 0) + 1);
-    tasksPerZone.set(machine.zone, (tasksPerZone.get(machine.zone) ?? 0) + 1);
+    addToCount(chosenTasks, machine.name, 1);
+    addToCount(tasksPerZone, machine.zone, 1);
   }
   return choices;
 }
--- a/src/core/placement/placement-queues.ts
+++ b/src/core/placement/placement-queues.ts
@@ -1,4 +1,5 @@
 /** The jobs of a placement pass, queued by team. */
+import { groupBy } from '../collections.js';
 import type { TeamName } from '../model/ids.js';
 import type { JobRecord } from '../model/jobs.js';
 import type { ResourceVector } from '../model/resources.js';
@@ -9,13 +10,8 @@
   jobs: Iterable<JobRecord>,
   compareJobs: (a: JobRecord, b: JobRecord) => number,
 ): Map<TeamName, JobRecord[]> {
-  const queues = new Map<TeamName, JobRecord[]>();
-  for (const job of jobs) {
-    if (job.phase !== 'active') continue;
-    const queue = queues.get(job.spec.team);
-    if (queue === undefined) queues.set(job.spec.team, [job]);
-    else queue.push(job);
-  }
+  const active = [...jobs].filter((job) => job.phase === 'active');
+  const queues: Map<TeamName, JobRecord[]> = groupBy(active, (job) => job.spec.team);
   for (const queue of queues.values()) queue.sort(compareJobs);
   return queues;
 }
--- a/test/samples.ts
+++ b/test/samples.ts
@@ -5,7 +5,7 @@
 import { wallClockMs } from '../src/core/model/time.js';
 
 /** A valid submission as a user would send it. */
-export const submission = (over: Record<string, unknown> = {}): Record<string, unknown> => ({
+export const submission = (fields: Record<string, unknown> = {}): Record<string, unknown> => ({
   nameId: 'wk-000412',
   workload: 'train',
   tenant: 'vision',
@@ -26,7 +26,7 @@
   snapshotEveryS: 30,
   snapshotS: 4,
   dueS: 900,
-  ...over,
+  ...fields,
 });
 
 export const type: MachineType = {
