--- a/src/core/concurrency-limit.ts
+++ b/src/core/concurrency-limit.ts
@@ -26,6 +26,7 @@
 export class ConcurrencyLimit {
   /** The present limit; only its whole part counts. */
   limit: number;
+  /** Number of requests admitted and not released yet. */
   inProgress = 0;
   /** Number of requests refused since the start. */
   refused = 0;
--- a/src/core/state/allocation-totals.ts
+++ b/src/core/state/allocation-totals.ts
@@ -11,6 +11,7 @@
 
 /** Where a job's tasks are allocated. */
 export interface JobAllocations {
+  /** Where each allocated task is; one of its places where it has several. */
   readonly tasks: Map<TaskIndex, { machine: MachineName; attempt: Attempt }>;
   readonly tasksPerZone: Map<Zone, number>;
   readonly tasksPerAttempt: Map<Attempt, number>;
@@ -40,7 +41,9 @@
 
 /** Totals over the machine records, kept up to date record by record. */
 export class AllocationTotals {
+  /** Only jobs with allocated tasks. */
   readonly jobs = new Map<JobId, JobAllocations>();
+  /** Capacity less what is allocated; a machine of unknown type has no capacity. */
   readonly freeByMachine = new Map<MachineName, ResourceVector>();
   private readonly machines = new Map<MachineName, MachineRecord>();
   private readonly teamTotals = new Map<TeamName, TeamTotals>();
