--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -17,7 +17,7 @@
 import { ClusterView } from '../src/core/state/cluster-view.js';
 import { newAgentSession, recordHeartbeat } from '../src/core/agents/agent-session.js';
 import { heartbeatFromWire } from '../src/io/agents/agent-messages.js';
-import type { Guard, WriteOperation } from '../src/io/state/state-messages.js';
+import type { ChangeSet } from '../src/io/state/change-set.js';
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { advance, allControllers, currentLeader } from './sim/run-helpers.js';
 import { HUGE, Simulation } from './sim/simulation.js';
@@ -177,12 +177,12 @@
       watcher: { applyCommitted: () => undefined },
       state: {
         limits: { valueBytes: 2048 },
-        transact: (_guards: readonly Guard[], ops: readonly WriteOperation[]) => {
+        transact: ({ operations }: ChangeSet) => {
           if (refuses) return Promise.resolve({ kind: 'refused' });
           latestRevision++;
-          for (const { key: k, value } of ops) {
+          for (const { key: written, value } of operations) {
             assert.ok(value === undefined || jsonBytes(value) <= 2048);
-            view.apply({ key: k, value, version: version(latestRevision) });
+            view.apply({ key: written, value, version: version(latestRevision) });
           }
           return Promise.resolve({ kind: 'ok', revision: revision(latestRevision) });
         },
