--- a/packages/warm-standby/measure/takeovers.ts
+++ b/packages/warm-standby/measure/takeovers.ts
@@ -8,7 +8,7 @@
 import path from 'node:path';
 import { Command } from 'commander';
 import { NODES } from '../test/loopback/cluster-settings.js';
-import { LoopbackCluster } from '../test/loopback/cluster.js';
+import { LoopbackCluster, type AgentObserver } from '../test/loopback/cluster.js';
 import type { ControllerProcess } from '../test/loopback/controller-process.js';
 import { Users, sleep } from '../test/loopback/users.js';
 import { key } from '../../../src/core/records/keys.js';
@@ -20,8 +20,13 @@
 const CUT_MS = 12_000;
 const PER_ZONE = 14;
 const SUBMIT_EVERY_MS = 200;
-/** A fault that moves nothing within this time is not going to. */
+/** A short pause that moves nothing within this time causes no failover. */
 const NO_MOVE_MS = 3000;
+const MOVE_TIMEOUT_MS = 40_000;
+/** How long agents may take to be answered and to start tasks. */
+const COMPLETION_TIMEOUT_MS = 30_000;
+/** Submissions so long before the fault may be delayed by it, too. */
+const WAITS_BEFORE_FAULT_MS = 5000;
 
 const KINDS = ['kill', 'short-pause', 'long-pause', 'cut', 'planned'] as const;
 type Kind = (typeof KINDS)[number];
@@ -150,57 +155,76 @@
   warm: null,
 });
 
-async function playRound(
+/** Injects one fault and measures the failover that follows. */
+async function measureFailover(
   cluster: LoopbackCluster,
   users: Users,
-  kind: Kind,
-  standby: 'on' | 'off',
-  round: number,
+  { kind, standby, round }: Pick<Round, 'kind' | 'standby' | 'round'>,
 ): Promise<Round> {
   const victim = cluster.controllers.get(NODES[round % NODES.length]!)!;
   const shard = victim.name;
-  const missing = agentsOf(cluster, shard);
-  const { epoch } = cluster.holderOf(shard)!;
-  const result = newRound({ kind, standby, round, workers: missing.size });
+  const agents = agentsOf(cluster, shard);
+  const result = newRound({ kind, standby, round, workers: agents.size });
   const start = performance.now();
   const since = () => Math.round(performance.now() - start);
-  const mine = new Set(missing);
-  // Until the shard has its new holder, other controllers only act as proxies for its agents, which is no failover.
-  const isNewHolder = (node: string) => node !== shard && cluster.holderOf(shard)?.holder === node;
-  cluster.agentObserver = {
-    answered: (agent, node, token) => {
-      if (!mine.has(agent.name) || token <= epoch || !isNewHolder(node)) return;
-      result.firstReportMs ??= since();
-      missing.delete(agent.name);
-      for (const name of missing) if (shardOf(cluster, name) !== shard) missing.delete(name);
-      if (missing.size === 0) result.allReportsMs ??= since();
-    },
-    started: (agent) => {
-      if (mine.has(agent.name) && isNewHolder(agent.controller)) result.firstStartMs ??= since();
-    },
-  };
+  cluster.agentObserver = agentObserverOf(cluster, shard, agents, result, since);
   const fault = faultOf(kind, victim, cluster);
   await fault.begin();
   const isMoved = () => cluster.holderOf(shard)?.holder !== shard;
-  const giveUp = kind === 'short-pause' ? NO_MOVE_MS : 40_000;
-  while (!isMoved() && since() < giveUp) await sleep(5);
+  const timeoutMs = kind === 'short-pause' ? NO_MOVE_MS : MOVE_TIMEOUT_MS;
+  while (!isMoved() && since() < timeoutMs) await sleep(5);
   if (isMoved()) {
     result.holderMs = since();
-    const holder = cluster.controllers.get(cluster.holderOf(shard)!.holder)!;
-    while ((result.firstStartMs === null || result.allReportsMs === null) && since() < 30_000)
-      await sleep(10);
-    const takeover = (await statusOf(holder))?.standby?.takeovers.filter((t) => t.slice === shard).at(-1);
-    result.cause = takeover?.cause ?? null;
-    result.warm = takeover?.warm ?? null;
+    while (!isComplete(result) && since() < COMPLETION_TIMEOUT_MS) await sleep(10);
+    await recordCause(cluster, shard, result);
   }
   cluster.agentObserver = null;
   await fault.end();
   await cluster.until('settled', () => isSettled(cluster), 120_000);
-  const waits = users.acceptedAfterMs.filter((a) => a.at >= start - 5000);
-  result.usersLongestMs = Math.round(Math.max(0, ...waits.map((a) => a.ms)));
+  const waits = users.acceptedAfterMs.filter(({ at }) => at >= start - WAITS_BEFORE_FAULT_MS);
+  result.usersLongestMs = Math.round(Math.max(0, ...waits.map(({ ms }) => ms)));
   return result;
 }
 
+/** Records when the new holder answers the shard's agents and starts tasks on them. */
+function agentObserverOf(
+  cluster: LoopbackCluster,
+  shard: string,
+  agents: ReadonlySet<string>,
+  result: Round,
+  since: () => number,
+): AgentObserver {
+  const { epoch } = cluster.holderOf(shard)!;
+  const unanswered = new Set(agents);
+  // Until the shard has its new holder, other controllers only act as proxies for its agents, which is no failover.
+  const isNewHolder = (node: string) => node !== shard && cluster.holderOf(shard)?.holder === node;
+  return {
+    answered: (agent, node, token) => {
+      if (!agents.has(agent.name) || token <= epoch || !isNewHolder(node)) return;
+      result.firstReportMs ??= since();
+      unanswered.delete(agent.name);
+      for (const name of unanswered) if (shardOf(cluster, name) !== shard) unanswered.delete(name);
+      if (unanswered.size === 0) result.allReportsMs ??= since();
+    },
+    started: (agent) => {
+      if (agents.has(agent.name) && isNewHolder(agent.controller)) result.firstStartMs ??= since();
+    },
+  };
+}
+
+function isComplete(result: Round): boolean {
+  return result.firstStartMs !== null && result.allReportsMs !== null;
+}
+
+/** Takes cause and warmth of the failover from the status of the new holder. */
+async function recordCause(cluster: LoopbackCluster, shard: string, result: Round): Promise<void> {
+  const holder = cluster.controllers.get(cluster.holderOf(shard)!.holder)!;
+  const status = await statusOf(holder);
+  const failover = status?.standby?.takeovers.filter(({ slice }) => slice === shard).at(-1);
+  result.cause = failover?.cause ?? null;
+  result.warm = failover?.warm ?? null;
+}
+
 /** Processor time in seconds and resident memory in MB of a process. */
 function costOf(pid: number): { cpuS: number; rssMb: number } {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ');
@@ -264,7 +288,7 @@
     if (o.kind === 'cost') await measureCost(cluster, o, o.runs);
     else
       for (let round = 0; round < o.runs; round++) {
-        const result = await playRound(cluster, users, o.kind, o.standby, round);
+        const result = await measureFailover(cluster, users, { kind: o.kind, standby: o.standby, round });
         appendFileSync(o.out, `${JSON.stringify(result)}\n`);
       }
     users.stop();
