--- a/src/controller/heartbeats/heartbeat-router.ts
+++ b/src/controller/heartbeats/heartbeat-router.ts
@@ -3,7 +3,7 @@
  * controller to which the agent is redirected. Machines answered as a proxy are listed in the state service, so that
  * their owners do not take them for failed.
  */
-import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
+import type { AgentCommand, Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
 import type { MachineName } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import type { ControllerContext } from '../controller-context.js';
@@ -11,7 +11,6 @@
 import { leaderOf, type Leader } from '../leader/leader.js';
 import type { Availability } from '../membership/availability.js';
 import type { Membership } from '../membership/membership.js';
-import type { HeartbeatReply } from '../shard/agent-sessions.js';
 import type { ShardController } from '../shard/shard-controller.js';
 import { AgentTimestamps } from './agent-timestamps.js';
 import { IsolatedAnswers } from './isolated-answers.js';
--- a/src/controller/heartbeats/isolated-answers.ts
+++ b/src/controller/heartbeats/isolated-answers.ts
@@ -6,12 +6,11 @@
  * nobody else would lose its tasks: it is answered without commands, which its token keeps safe as it does for proxies.
  */
 import { AGENT_FAILOVER_PAUSE_MS, HEARTBEAT_SLACK_MS } from '../../core/agents/agent-timing.js';
-import type { Heartbeat } from '../../core/model/heartbeats.js';
+import type { Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
 import type { FencingToken } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { Availability } from '../membership/availability.js';
-import type { HeartbeatReply } from '../shard/agent-sessions.js';
 import type { AgentTimestamps } from './agent-timestamps.js';
 import { MAX_RETURN_MS } from './redirect-timing.js';
 import type { TokenTracker } from './token-tracker.js';
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -75,14 +75,14 @@
     log,
     jobs: controller.jobs,
     heartbeats: controller.heartbeats,
-    healthy: () => availability.isHealthy,
+    isHealthy: () => availability.isHealthy,
     status: () => ({
       ...status(context, shardController, availability.isHealthy),
       ...(packages === null ? {} : { packages: packages.status() }),
     }),
     maxConnections: Math.floor(settings.limits.max_connections * HTTP_CONNECTIONS_FRACTION),
-    leastInProgress: operator.users.least_in_progress,
-    mostInProgress: operator.users.most_in_progress,
+    minInProgress: operator.users.least_in_progress,
+    maxInProgress: operator.users.most_in_progress,
     ...(packages === null ? {} : { packages }),
   });
   const [host, port] = splitAddress(settings.bind);
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -8,8 +8,8 @@
 import type { DesiredState } from '../../core/agents/desired-state.js';
 import { taskKey } from '../../core/agents/task-key.js';
 import { LOG_EVENT } from '../../core/log-events.js';
-import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
-import { taskId, type FencingToken, type MachineName, type NodeName } from '../../core/model/ids.js';
+import type { AgentCommand, Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
+import { taskId, type FencingToken, type MachineName } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import type { MonotonicMs } from '../../core/model/time.js';
 import type { AgentGateway } from '../../io/agents/agent-client.js';
@@ -25,13 +25,6 @@
 /** Epoch of a newly started agent, assumed where no heartbeat has told it. */
 const FIRST_AGENT_EPOCH = 1;
 
-/** Reply to an agent's heartbeat. */
-export type HeartbeatReply =
-  | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly AgentCommand[] }
-  /** The agent is to turn to another controller: the named one, or any other where null. */
-  | { readonly kind: 'redirect'; readonly node: NodeName | null }
-  | { readonly kind: 'busy' };
-
 /** Something new is known about a machine. */
 export interface MachineObservation {
   readonly machine: MachineName;
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -2,7 +2,7 @@
  * The reconcile loop over this controller's machines and teams: commits what heartbeats prove and places pending tasks. All
  * changes to records of owned machines leave through this loop, one transaction at a time.
  */
-import type { Heartbeat } from '../../core/model/heartbeats.js';
+import type { Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
 import type { JobId, MachineName } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import { LOG_EVENT } from '../../core/log-events.js';
@@ -15,7 +15,7 @@
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health/health-tracker.js';
 import { Notification } from '../notification.js';
-import { AgentSessions, type HeartbeatReply, type MachineObservation } from './agent-sessions.js';
+import { AgentSessions, type MachineObservation } from './agent-sessions.js';
 import { JobReconciler } from './job-reconciler.js';
 import { MachineReconciler } from './machine-reconciler.js';
 import { PlacementPass } from './placement-pass.js';
--- a/src/core/model/heartbeats.ts
+++ b/src/core/model/heartbeats.ts
@@ -1,5 +1,14 @@
 /** Heartbeats with status from node agents, and commands to them. */
-import type { Attempt, FencingToken, JobId, MachineName, TaskIndex, TypeName, Zone } from './ids.js';
+import type {
+  Attempt,
+  FencingToken,
+  JobId,
+  MachineName,
+  NodeName,
+  TaskIndex,
+  TypeName,
+  Zone,
+} from './ids.js';
 
 /** State of a task on its machine: fetching its image, waiting to start, running, saving a checkpoint, or exited. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
@@ -66,3 +75,11 @@
 
 /** A command to an agent. */
 export type AgentCommand = StartCommand | StopCommand | ForgetCommand;
+
+/** The reply to an agent's heartbeat. */
+export type HeartbeatReply =
+  | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly AgentCommand[] }
+  /** The agent is to turn to another controller: the named one, or any other where null. */
+  | { readonly kind: 'redirect'; readonly node: NodeName | null }
+  /** This controller cannot answer yet. */
+  | { readonly kind: 'busy' };
--- a/src/io/users/job-messages.ts
+++ b/src/io/users/job-messages.ts
@@ -1,14 +1,17 @@
 /** Users' requests and answers: the protocol's field names, mapped to those of the core. */
+import { Type, type Static } from '@sinclair/typebox';
 import { jobId, teamName, typeName, zoneName, type JobId } from '../../core/model/ids.js';
-import type { JobKind, Priority, JobSpec, JobState, JobStatus } from '../../core/model/jobs.js';
+import type { JobKind, JobSpec, JobState, JobStatus, Priority } from '../../core/model/jobs.js';
 import { demandVector } from '../../core/model/resources.js';
-import { Type, type Static } from '@sinclair/typebox';
 
-/** Job ids are part of keys, so only what is plainly an id is taken for one. */
+/** Job ids are part of keys, so that only this form is accepted. */
 const ID = '^wk-[A-Za-z0-9_.-]{1,100}$';
-const ID_RE = new RegExp(ID);
+const ID_PATTERN = new RegExp(ID);
+/** Longest list of dependencies in an answer. */
+const MAX_LISTED_DEPENDENCIES = 100;
+
 /** Whether the text has the form of a job id. */
-export const isJobId = (s: string) => ID_RE.test(s);
+export const isJobId = (text: string): boolean => ID_PATTERN.test(text);
 
 const name = Type.String({ minLength: 1, maxLength: 200 });
 const amount = Type.Number({ minimum: 0, maximum: 1e9 });
@@ -43,72 +46,96 @@
   awaits: Type.Optional(Type.Union([Type.Null(), Type.Array(Type.String({ pattern: ID }))])),
 });
 
-const KIND: Record<string, JobKind> = { sweep: 'array', ensemble: 'gang', daemon: 'service' };
-const PRIORITY: Record<string, Priority> = {
+/** A submission whose body has been checked against the schema. */
+export type SubmissionBody = Static<typeof Submission>;
+
+const KIND_FROM_WIRE: Record<SubmissionBody['shape'], JobKind> = {
+  sweep: 'array',
+  ensemble: 'gang',
+  daemon: 'service',
+};
+const PRIORITY_FROM_WIRE: Record<SubmissionBody['tier'], Priority> = {
   production: 'production',
   urgent: 'high',
   standard: 'normal',
   low: 'low',
 };
-
-const TIER: Record<Priority, string> = {
+const PRIORITY_TO_WIRE: Record<Priority, SubmissionBody['tier']> = {
   production: 'production',
   high: 'urgent',
   normal: 'standard',
   low: 'low',
 };
+const STATE_TO_WIRE: Record<JobState, string> = {
+  pending: 'pending',
+  running: 'running',
+  done: 'done',
+  cancelled: 'withdrawn',
+};
 
 /** A submission as a job. */
-export function jobFromWire(b: Static<typeof Submission>): JobSpec {
+export function jobFromWire(body: SubmissionBody): JobSpec {
+  const dependencies = [...new Set((body.awaits ?? []).map(jobId))];
   return {
-    id: jobId(b.nameId),
-    class: b.workload,
-    team: teamName(b.tenant),
-    kind: KIND[b.shape]!,
-    priority: PRIORITY[b.tier]!,
-    tasks: b.shards,
-    demand: demandVector(b.vcpus, b.memoryGb, b.cards),
-    image: b.bundle,
-    imageGb: b.pullGb,
-    types: b.flavors?.map(typeName) ?? null,
-    zone: b.vault == null ? null : zoneName(b.vault),
-    oneZone: b.samePlace,
-    spread: b.scatter,
-    spot: b.loaner,
-    estimateS: b.expectedS,
-    checkpointS: b.snapshotEveryS,
-    saveS: b.snapshotS,
-    deadlineS: b.dueS ?? null,
-    ...(b.awaits == null || b.awaits.length === 0 ? {} : { needs: [...new Set(b.awaits.map(jobId))] }),
+    id: jobId(body.nameId),
+    class: body.workload,
+    team: teamName(body.tenant),
+    kind: KIND_FROM_WIRE[body.shape],
+    priority: PRIORITY_FROM_WIRE[body.tier],
+    tasks: body.shards,
+    demand: demandVector(body.vcpus, body.memoryGb, body.cards),
+    image: body.bundle,
+    imageGb: body.pullGb,
+    types: body.flavors?.map(typeName) ?? null,
+    zone: body.vault == null ? null : zoneName(body.vault),
+    oneZone: body.samePlace,
+    spread: body.scatter,
+    spot: body.loaner,
+    estimateS: body.expectedS,
+    checkpointS: body.snapshotEveryS,
+    saveS: body.snapshotS,
+    deadlineS: body.dueS ?? null,
+    ...(dependencies.length === 0 ? {} : { needs: dependencies }),
   };
 }
 
-const STANDING = { pending: 'pending', running: 'running', done: 'done', cancelled: 'withdrawn' };
 /** The answer to a submission or a cancellation. */
-export const acceptedToWire = (id: JobId, state: JobState) => ({ nameId: id, standing: STANDING[state] });
-/** What a job waits for, inherits, was withdrawn with or fails with is told beside what the protocol asks for. */
+export const acceptedToWire = (id: JobId, state: JobState) => ({
+  nameId: id,
+  standing: STATE_TO_WIRE[state],
+});
+
+/**
+ * The answer to a lookup. Beside what the protocol asks for it shows what a job waits for, inherits, was cancelled with or
+ * fails with.
+ */
 export function statusToWire(id: JobId, job: JobStatus) {
-  const { state, done, running, needs = [], inherited, because, failing } = job;
+  const { state, done, running, needs = [], because } = job;
   return {
     nameId: id,
-    standing: STANDING[state],
+    standing: STATE_TO_WIRE[state],
     done,
     running,
-    ...(needs.length === 0 ? {} : { awaits: needs.slice(0, MOST_NEEDS_TOLD) }),
-    ...(inherited === undefined
-      ? {}
-      : { inherits: { tier: TIER[inherited.priority], dueInS: inherited.dueInS } }),
+    ...(needs.length === 0 ? {} : { awaits: needs.slice(0, MAX_LISTED_DEPENDENCIES) }),
+    ...inheritedToWire(job),
     ...(because === undefined ? {} : { withdrawnWith: because }),
-    ...(failing === undefined
-      ? {}
-      : {
-          fails: {
-            times: failing.rounds,
-            exitCause: failing.why,
-            tellers: failing.machines,
-            nextTryInS: failing.nextTryInS,
-          },
-        }),
+    ...failuresToWire(job),
   };
 }
-const MOST_NEEDS_TOLD = 100;
+
+const inheritedToWire = ({ inherited }: JobStatus) =>
+  inherited === undefined
+    ? {}
+    : { inherits: { tier: PRIORITY_TO_WIRE[inherited.priority], dueInS: inherited.dueInS } };
+
+const failuresToWire = ({ failing }: JobStatus) =>
+  failing === undefined
+    ? {}
+    : {
+        fails: {
+          times: failing.rounds,
+          exitCause: failing.why,
+          tellers: failing.machines,
+          nextTryInS: failing.nextTryInS,
+        },
+      };
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -35,11 +35,11 @@
     log: pino({ level: 'silent' }),
     jobs: jobs as unknown as JobService,
     heartbeats: {} as unknown as HeartbeatRouter,
-    healthy: () => true,
+    isHealthy: () => true,
     status: () => ({ leader: 'c-0' }),
     maxConnections: 20,
-    leastInProgress: 4,
-    mostInProgress: 20,
+    minInProgress: 4,
+    maxInProgress: 20,
   });
   await app.listen({ host: '127.0.0.1', port: 0 });
   const address = ['--address', `127.0.0.1:${(app.server.address() as AddressInfo).port}`];
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -27,11 +27,11 @@
     log: pino({ level: 'silent' }),
     jobs: jobs as unknown as JobService,
     heartbeats: reports as unknown as HeartbeatRouter,
-    healthy: () => true,
+    isHealthy: () => true,
     status: () => ({}),
     maxConnections: 10,
-    leastInProgress: 1,
-    mostInProgress: most,
+    minInProgress: 1,
+    maxInProgress: most,
   });
   return { app, seen };
 };
