--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -2,9 +2,9 @@
 import { readFileSync, writeSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import pino from 'pino';
-import { paths } from '../io/paths.js';
 import { readOperatorSettingsFiles, type OperatorSettings } from '../config/operator-settings.js';
 import { SettingsError, readPlatformSettings, type PlatformSettings } from '../config/platform-settings.js';
+import { paths } from '../io/paths.js';
 import type { LoadedPlugin } from '../plugin-host/api.js';
 import { loadPlugins } from '../plugin-host/plugin-loader.js';
 
--- a/src/controller/api/job-submission.ts
+++ b/src/controller/api/job-submission.ts
@@ -62,7 +62,7 @@
 
   private acceptPending(spec: JobSpec, unfinished: readonly JobId[]): Promise<SubmissionResult> {
     const { clock, state } = this.context;
-    const { needs: _submittedNeeds, ...specWithoutNeeds } = spec;
+    const { needs: submittedNeeds, ...specWithoutNeeds } = spec;
     const record: JobRecord = {
       spec: unfinished.length === 0 ? specWithoutNeeds : { ...specWithoutNeeds, needs: unfinished },
       phase: 'active',
--- a/src/controller/api/status.ts
+++ b/src/controller/api/status.ts
@@ -1,7 +1,7 @@
 /** What an operator sees: who holds what, how the teams stand to one another, and why jobs wait. */
+import type { DependencyStatus } from '../../core/jobs/dependencies.js';
 import { nodeName, taskId } from '../../core/model/ids.js';
 import { CPU, GPU, NO_RESOURCES, MICRO_UNITS, type ResourceVector } from '../../core/model/resources.js';
-import type { DependencyStatus } from '../../core/jobs/dependencies.js';
 import { key } from '../../core/records/keys.js';
 import type { ControllerContext } from '../controller-context.js';
 import { leaderOf } from '../leader/leader.js';
--- a/src/controller/committed-facts.ts
+++ b/src/controller/committed-facts.ts
@@ -1,10 +1,10 @@
 /** The committed facts of a controller's view, as packages read them. */
-import type { ViewChanges } from '../core/state/view-changes.js';
-import { key } from '../core/records/keys.js';
 import { nodeName, type JobId, type MachineName, type NodeName } from '../core/model/ids.js';
 import type { MachineRecord } from '../core/model/machines.js';
-import type { ControllerContext } from './controller-context.js';
+import { key } from '../core/records/keys.js';
+import type { ViewChanges } from '../core/state/view-changes.js';
 import type { CommittedFacts, SessionFact, ShardFact } from '../plugin-host/api.js';
+import type { ControllerContext } from './controller-context.js';
 
 /** Reads the view of one controller. */
 export class ViewCommittedFacts implements CommittedFacts {
--- a/src/controller/controller-context.ts
+++ b/src/controller/controller-context.ts
@@ -1,9 +1,9 @@
 /** What the modules of one controller share: its settings, its view of the cluster and access to the state service. */
-import { LOG_EVENT } from '../core/log-events.js';
 import type { Logger } from 'pino';
 import type { OperatorSettings } from '../config/operator-settings.js';
 import type { PlatformSettings } from '../config/platform-settings.js';
 import { EventBus } from '../core/events.js';
+import { LOG_EVENT } from '../core/log-events.js';
 import type { Clock } from '../core/model/clock.js';
 import type { Team } from '../core/model/cluster.js';
 import { incarnation, type Incarnation, type TeamName } from '../core/model/ids.js';
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,8 +1,8 @@
 /** One controller: constructs its modules in order of their dependencies and runs their loops. */
-import { LOG_EVENT } from '../core/log-events.js';
 import type { Logger } from 'pino';
 import type { OperatorSettings } from '../config/operator-settings.js';
 import type { PlatformSettings } from '../config/platform-settings.js';
+import { LOG_EVENT } from '../core/log-events.js';
 import type { Clock } from '../core/model/clock.js';
 import type { AgentGateway } from '../io/agents/agent-client.js';
 import { CloudClient } from '../io/cloud/cloud-client.js';
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -1,4 +1,5 @@
 /** Resolves the dependencies of waiting jobs: reads the final states that decide them and caches what follows. */
+import { UnavailableError } from '../core/errors.js';
 import {
   resolveDependencies,
   resolveDependency,
@@ -13,7 +14,6 @@
 import type { JobRecord } from '../core/model/jobs.js';
 import type { ClusterView } from '../core/state/cluster-view.js';
 import { viewChangesOfJobs } from '../core/state/view-changes.js';
-import { UnavailableError } from '../core/errors.js';
 import type { AllocationTracker } from './allocation-tracker.js';
 import type { FinalStateCache } from './final-state-cache.js';
 import type { ViewChangeFeed } from './view-change-feed.js';
--- a/src/controller/final-state-cache.ts
+++ b/src/controller/final-state-cache.ts
@@ -1,10 +1,10 @@
 /** Final states of jobs: stored by the state service for ever, cached here within bounds. */
 import { evictOldest } from '../core/bounded-map.js';
+import { UnavailableError } from '../core/errors.js';
 import type { JobId, Revision } from '../core/model/ids.js';
 import type { FinalRecord } from '../core/model/jobs.js';
 import { key, parseKey } from '../core/records/keys.js';
 import { REQUEST_PRIORITY } from '../io/rate-limiter.js';
-import { UnavailableError } from '../core/errors.js';
 import type { StateClient } from '../io/state/state-client.js';
 import type { WriteOperation } from '../io/state/state-messages.js';
 
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -1,9 +1,9 @@
 /** Runs a controller on real sockets and clocks. */
-import { LOG_EVENT } from '../core/log-events.js';
 import { randomBytes } from 'node:crypto';
 import type { Logger } from 'pino';
 import type { OperatorSettings } from '../config/operator-settings.js';
 import type { PlatformSettings } from '../config/platform-settings.js';
+import { LOG_EVENT } from '../core/log-events.js';
 import { splitAddress } from '../core/model/address.js';
 import { jobId } from '../core/model/ids.js';
 import { AgentClient } from '../io/agents/agent-client.js';
--- a/src/io/agents/agent-client.ts
+++ b/src/io/agents/agent-client.ts
@@ -5,8 +5,8 @@
 import { Agent, request } from 'undici';
 import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
 import type { FencingToken } from '../../core/model/ids.js';
-import { directCommandsToWire, heartbeatFromWire } from './agent-messages.js';
 import { paths } from '../paths.js';
+import { directCommandsToWire, heartbeatFromWire } from './agent-messages.js';
 
 /** Sends direct commands to workers. */
 export interface AgentGateway {
--- a/src/io/cloud/cloud-client.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -1,8 +1,9 @@
 /** The cloud: machine types, rentals, returns and the (lagging) list. */
+import type { Clock } from '../../core/model/clock.js';
 import type { MachineName } from '../../core/model/ids.js';
 import type { MachineType, RentalRecord } from '../../core/model/machines.js';
-import type { Clock } from '../../core/model/clock.js';
 import type { HttpResponse, Transport } from '../http-client.js';
+import { paths } from '../paths.js';
 import { RateLimiter, type RequestPriority } from '../rate-limiter.js';
 import {
   typesFromWire,
@@ -13,7 +14,6 @@
   listQuery,
   listFromWire,
 } from './cloud-messages.js';
-import { paths } from '../paths.js';
 
 const MAX_QUEUED_REQUESTS = 50;
 
--- a/src/io/peers/peer-link.ts
+++ b/src/io/peers/peer-link.ts
@@ -3,8 +3,8 @@
  */
 import net from 'node:net';
 import { splitAddress } from '../../core/model/address.js';
-import type { Peer } from './peer.js';
 import { EMPTY_FRAME, encodeFrame, readFrames, type Frame } from './peer-frames.js';
+import type { Peer } from './peer.js';
 
 /** Requests under way at once; further ones are refused. */
 const MAX_PENDING_REQUESTS = 100;
--- a/src/io/state/state-client.ts
+++ b/src/io/state/state-client.ts
@@ -1,5 +1,4 @@
 /** The client of the state service: paced requests, leases, transactions, listings and the watch. */
-import { ProtocolError } from '../protocol-error.js';
 import { UnavailableError } from '../../core/errors.js';
 import type { TransactionOutcome } from '../../core/events.js';
 import type { Clock } from '../../core/model/clock.js';
@@ -9,6 +8,7 @@
 import type { KeyChange } from '../../core/state/cluster-view.js';
 import type { HttpResponse, Method, Transport } from '../http-client.js';
 import { paths } from '../paths.js';
+import { ProtocolError } from '../protocol-error.js';
 import { RateLimiter, REQUEST_PRIORITY, type RequestPriority } from '../rate-limiter.js';
 import type { ChangeSet } from './change-set.js';
 import { retryWhile } from './retry.js';
--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -5,10 +5,9 @@
 import type { TSchema } from '@sinclair/typebox';
 import type { Logger } from 'pino';
 import type { PlatformSettings } from '../config/platform-settings.js';
-import type { ViewChanges } from '../core/state/view-changes.js';
-import type { Clock } from '../core/model/clock.js';
 import type { EventListener } from '../core/events.js';
 import type { TaskRun } from '../core/health/slow-machine-detector.js';
+import type { Clock } from '../core/model/clock.js';
 import type { ExitReason } from '../core/model/heartbeats.js';
 import type {
   Incarnation,
@@ -20,6 +19,7 @@
   Version,
 } from '../core/model/ids.js';
 import type { MachineRecord } from '../core/model/machines.js';
+import type { ViewChanges } from '../core/state/view-changes.js';
 
 /** A slice as it is committed. */
 export interface ShardFact {
--- a/src/plugin-host/plugin-host.ts
+++ b/src/plugin-host/plugin-host.ts
@@ -1,6 +1,6 @@
 /** Runs packages: gives each its part of the service, and keeps a failing one from the others. */
-import { LOG_EVENT } from '../core/log-events.js';
 import type { Logger } from 'pino';
+import { LOG_EVENT } from '../core/log-events.js';
 import type {
   CommandReply,
   FinishedSpan,
--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -1,15 +1,15 @@
 /** Transactions whose outcome is unknown: carried out, late, or never. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { version } from '../src/core/model/ids.js';
 import { ClusterView } from '../src/core/state/cluster-view.js';
 import type { HttpResponse, Transport } from '../src/io/http-client.js';
+import { REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
+import { GUARDS_PER_OPERATION, GuardSet } from '../src/io/state/change-set.js';
 import { StateClient, type StateServiceLimits } from '../src/io/state/state-client.js';
 import { StateWatcher } from '../src/io/state/state-watcher.js';
-import { GUARDS_PER_OPERATION, GuardSet } from '../src/io/state/change-set.js';
 import { commit, commitChangeSets } from '../src/io/state/transaction-commit.js';
 import { packTransactions } from '../src/io/state/transaction-packing.js';
-import { REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
-import { version } from '../src/core/model/ids.js';
 import { StateService } from './sim/state-service.js';
 import { ProcessClock, VirtualTime } from './sim/virtual-time.js';
 
--- a/test/group-commit.test.ts
+++ b/test/group-commit.test.ts
@@ -1,11 +1,10 @@
 /** Submissions that come together share transactions; each learns what became of itself. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { revision } from '../src/core/model/ids.js';
-import type { StateClient, TransactionResult } from '../src/io/state/state-client.js';
-import { GroupCommit } from '../src/io/state/group-commit.js';
+import { revision, NO_VERSION } from '../src/core/model/ids.js';
 import type { ChangeSet } from '../src/io/state/change-set.js';
-import { NO_VERSION } from '../src/core/model/ids.js';
+import { GroupCommit } from '../src/io/state/group-commit.js';
+import type { StateClient, TransactionResult } from '../src/io/state/state-client.js';
 
 const change = (name: string) => ({
   operations: [{ key: `p/j/${name}`, value: { name } }],
--- a/test/request-burst.test.ts
+++ b/test/request-burst.test.ts
@@ -4,9 +4,9 @@
 import { FinalStateCache } from '../src/controller/final-state-cache.js';
 import { jobId, revision, version, type Revision } from '../src/core/model/ids.js';
 import { ClusterView } from '../src/core/state/cluster-view.js';
+import type { HttpResponse, Transport } from '../src/io/http-client.js';
 import { StateClient } from '../src/io/state/state-client.js';
 import { StateWatcher } from '../src/io/state/state-watcher.js';
-import type { HttpResponse, Transport } from '../src/io/http-client.js';
 import { ProcessClock, VirtualTime } from './sim/virtual-time.js';
 
 const JOB = jobId('wk-1');
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -4,10 +4,10 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import type { JobService } from '../src/controller/api/job-service.js';
-import type { SubmissionResult } from '../src/core/model/job-results.js';
 import type { HeartbeatRouter } from '../src/controller/heartbeats/heartbeat-router.js';
-import { fencingToken } from '../src/core/model/ids.js';
 import { UnavailableError } from '../src/core/errors.js';
+import { fencingToken } from '../src/core/model/ids.js';
+import type { SubmissionResult } from '../src/core/model/job-results.js';
 import { buildServer } from '../src/io/users/http-server.js';
 import { submission } from './samples.js';
 
