--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -14,10 +14,10 @@
 const EXIT_USAGE = 2;
 
 /** How long a command waits for its answer. */
-const ANSWER_MS = 5000;
+const ANSWER_TIMEOUT_MS = 5000;
 
-const out = (text: string) => writeSync(1, `${text}\n`);
-const err = (text: string) => writeSync(2, `${text}\n`);
+const printOutput = (text: string) => writeSync(1, `${text}\n`);
+const printError = (text: string) => writeSync(2, `${text}\n`);
 
 interface Files {
   config: string;
@@ -33,8 +33,8 @@
 function readText(path: string): string {
   try {
     return readFileSync(path, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`${path}: ${(e as Error).message}`);
+  } catch (cause) {
+    throw new SettingsError(`${path}: ${(cause as Error).message}`, { cause });
   }
 }
 
@@ -58,9 +58,9 @@
 function inFile<T>(path: string, read: () => T): T {
   try {
     return read();
-  } catch (e) {
-    if (!(e instanceof SettingsError)) throw e;
-    throw new SettingsError(`${path}: ${e.message}`);
+  } catch (cause) {
+    if (!(cause instanceof SettingsError)) throw cause;
+    throw new SettingsError(`${path}: ${cause.message}`, { cause });
   }
 }
 
@@ -75,33 +75,33 @@
   await serveController(settings, operator, log, packages);
 }
 
-/** Asks a controller and prints its answer; the exit code says how it went. */
-async function ask(
+/** Sends a request to a controller and prints its answer; the exit code tells success from failure. */
+async function printAnswer(
   address: string,
   method: 'GET' | 'POST',
   path: string,
   body?: unknown,
-  { indent, timeoutMs = ANSWER_MS }: { indent?: number; timeoutMs?: number } = {},
+  { indent, timeoutMs = ANSWER_TIMEOUT_MS }: { indent?: number; timeoutMs?: number } = {},
 ): Promise<void> {
   const { HttpClient } = await import('../io/http-client.js');
   const client = new HttpClient(address.replace(/^http:\/\//, '').replace(/\/$/, ''), 1);
   try {
-    const r = await client.request(method, path, body, timeoutMs);
-    out(JSON.stringify(r.body, null, indent));
-    if (r.status >= 300) {
-      err(`${address}: ${r.status}`);
+    const response = await client.request(method, path, body, timeoutMs);
+    printOutput(JSON.stringify(response.body, null, indent));
+    if (response.status >= 300) {
+      printError(`${address}: ${response.status}`);
       process.exitCode = EXIT_FAILED;
     }
-  } catch (e) {
-    err(`${address}: no answer (${(e as Error).message})`);
+  } catch (error) {
+    printError(`${address}: no answer (${(error as Error).message})`);
     process.exitCode = EXIT_FAILED;
   } finally {
     await client.close();
   }
 }
 
-const withFiles = (c: Command) =>
-  c
+const withFiles = (command: Command) =>
+  command
     .requiredOption('--config <path>', "the platform's settings (TOML)")
     .option(
       '--operator <path>',
@@ -109,8 +109,8 @@
       (path: string, before: string[] | undefined) => [...(before ?? []), path],
     );
 
-const withAddress = (c: Command) =>
-  c.requiredOption('--address <host:port>', "a controller's address", '127.0.0.1:8080');
+const withAddress = (command: Command) =>
+  command.requiredOption('--address <host:port>', "a controller's address", '127.0.0.1:8080');
 
 interface AddressOption {
   readonly address: string;
@@ -121,40 +121,45 @@
   withFiles(
     program.command('serve', { isDefault: true }).description('run a controller (the default)'),
   ).action(serve);
-  withFiles(program.command('check-config').description('check the settings and end')).action((f: Files) => {
-    const { settings, packages } = load(f);
-    const enabled = packages.length === 0 ? '' : `, packages: ${packages.map((p) => p.name).join(', ')}`;
-    out(`ok: ${settings.node}, ${settings.teams.length} teams, ${settings.nodes} controllers${enabled}`);
-  });
+  withFiles(program.command('check-config').description('check the settings and end')).action(
+    (files: Files) => {
+      const { settings, packages } = load(files);
+      const enabled =
+        packages.length === 0 ? '' : `, packages: ${packages.map(({ name }) => name).join(', ')}`;
+      printOutput(
+        `ok: ${settings.node}, ${settings.teams.length} teams, ${settings.nodes} controllers${enabled}`,
+      );
+    },
+  );
 }
 
 /** Users' commands. */
 function addJobCommands(program: Command): void {
   withAddress(
     program.command('submit').description('submit the job in a JSON file').argument('<file>'),
-  ).action(async (file: string, o: AddressOption) => {
+  ).action(async (file: string, options: AddressOption) => {
     let body: unknown;
     try {
       body = JSON.parse(readFileSync(file, 'utf8'));
-    } catch (e) {
-      throw new SettingsError(`${file}: ${(e as Error).message}`);
+    } catch (cause) {
+      throw new SettingsError(`${file}: ${(cause as Error).message}`, { cause });
     }
-    await ask(o.address, 'POST', paths.jobs, body);
+    await printAnswer(options.address, 'POST', paths.jobs, body);
   });
   withAddress(program.command('show').description("show a job's state").argument('<id>')).action(
-    async (id: string, o: AddressOption) => {
-      await ask(o.address, 'GET', paths.job.replace(':id', encodeURIComponent(id)));
+    async (id: string, options: AddressOption) => {
+      await printAnswer(options.address, 'GET', paths.job.replace(':id', encodeURIComponent(id)));
     },
   );
   withAddress(program.command('cancel').description('cancel a job').argument('<id>')).action(
-    async (id: string, o: AddressOption) => {
-      await ask(o.address, 'POST', paths.cancel.replace(':id', encodeURIComponent(id)));
+    async (id: string, options: AddressOption) => {
+      await printAnswer(options.address, 'POST', paths.cancel.replace(':id', encodeURIComponent(id)));
     },
   );
 }
 
 /** A handover waits for logs to be drained and for the state service. */
-const HANDOVER_MS = 30_000;
+const HANDOVER_TIMEOUT_MS = 30_000;
 
 /** Operators' commands. */
 function addOperatorCommands(program: Command): void {
@@ -162,18 +167,18 @@
     program
       .command('status')
       .description('show teams, slices, machines and why jobs wait, as a controller sees them'),
-  ).action(async (o: AddressOption) => {
-    await ask(o.address, 'GET', paths.status, undefined, { indent: 2 });
+  ).action(async (options: AddressOption) => {
+    await printAnswer(options.address, 'GET', paths.status, undefined, { indent: 2 });
   });
   withAddress(
     program
       .command('handover')
       .description('move what a controller holds to its warm standbys, before it is restarted')
       .option('--to <node>', 'to this controller only'),
-  ).action(async (o: AddressOption & { to?: string }) => {
+  ).action(async (options: AddressOption & { to?: string }) => {
     const path = paths.packageCommand.replace(':name', 'warm_standby').replace(':command', 'handover');
-    const body = o.to === undefined ? {} : { to: o.to };
-    await ask(o.address, 'POST', path, body, { indent: 2, timeoutMs: HANDOVER_MS });
+    const body = options.to === undefined ? {} : { to: options.to };
+    await printAnswer(options.address, 'POST', path, body, { indent: 2, timeoutMs: HANDOVER_TIMEOUT_MS });
   });
 }
 
@@ -186,11 +191,17 @@
   addOperatorCommands(program);
   try {
     await program.parseAsync([...argv]);
-  } catch (e) {
-    if (e instanceof CommanderError) process.exitCode = e.exitCode === 0 ? 0 : EXIT_USAGE;
-    else {
-      err(`pepperbank: ${e instanceof SettingsError ? e.message : String((e as Error).stack)}`);
-      process.exitCode = e instanceof SettingsError ? EXIT_USAGE : EXIT_FAILED;
-    }
+  } catch (error) {
+    reportError(error);
+  }
+}
+
+function reportError(error: unknown): void {
+  if (error instanceof CommanderError) {
+    process.exitCode = error.exitCode === 0 ? 0 : EXIT_USAGE;
+    return;
   }
+  const isSettingsError = error instanceof SettingsError;
+  printError(`pepperbank: ${isSettingsError ? error.message : String((error as Error).stack)}`);
+  process.exitCode = isSettingsError ? EXIT_USAGE : EXIT_FAILED;
 }
--- a/src/config/operator-settings.ts
+++ b/src/config/operator-settings.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' own settings, in a TOML file of their own. Everything has a default; here a name that is
- * not known is an error, because it is most likely misspelled.
+ * The operators' own settings, in TOML files of their own. Everything has a default; an unknown name is an error, since it
+ * is most likely misspelled.
  */
 import { Type, type Static } from '@sinclair/typebox';
 import { SettingsError, firstSchemaError, parseToml } from './platform-settings.js';
@@ -21,30 +21,30 @@
     ),
     slices: Type.Object(
       {
-        /** A controller must have been there this long before a team is moved to it. */
+        /** A controller's session must be this old before a team is moved to it. */
         settled_s: seconds(10),
       },
       section,
     ),
     placement: Type.Object(
       {
-        /** Machines whose H differs by less count as fitting alike; then one that has the image is taken. */
+        /** Machines whose fitness differs by less fit equally well; one that has cached the image is preferred. */
         h_slack: Type.Number({ minimum: 0, default: 0.6 }),
-        /** A job that may have others stopped for it waits this long for room to come by itself. */
+        /** A job that may preempt others waits this long for room to become free by itself. */
         patience_s: seconds(2),
         /**
-         * A gang of n tasks that has waited for this divided by the root of n has room kept for it, one gang at a time
-         * in a slice: the larger it is, the less it finds room by chance.
+         * Room is reserved for a gang of n tasks that has waited for this divided by the square root of n, for one gang
+         * at a time in a shard: the larger a gang, the less likely it finds room by chance.
          */
         hold_after_s: seconds(240),
         /**
-         * Smaller work waits behind a gang that waits for its team's limit; but none that has waited this long, since
-         * users give no job up to 90 s while there is room for it.
+         * Smaller jobs wait behind a gang that waits for its team's quota, unless they have waited this long: users expect
+         * a job to start within 90 s while there is room for it.
          */
         behind_s: seconds(60),
-        /** Work that may use spot machines leaves empty ordinary ones to gangs that wait, for so long. */
+        /** For this long, jobs that may use spot machines leave empty on-demand machines to pending gangs. */
         yield_s: seconds(60),
-        /** Room made that way is kept for its job this long. */
+        /** Room made by preemption is reserved for its job this long. */
         claim_s: seconds(15),
       },
       section,
@@ -53,19 +53,19 @@
       {
         /** An empty machine is returned after this many times the usual boot time of its type. */
         idle_boot_factor: seconds(1),
-        /** A boot is taken for late after this many times the type's usual time, and given up after the second. */
+        /** A boot counts as late after the first multiple of the type's usual time, and as failed after the second. */
         late_boot_factor: seconds(1.5),
         lost_boot_factor: seconds(5),
-        /** How long a refused type, zone and kind is not asked for again. */
+        /** How long a refused type, zone and billing kind is not requested again. */
         refused_s: seconds(8),
-        /** A machine whose latest runs all took this many times what is usual is drained and returned. */
+        /** A machine whose latest runs all took this many times the usual time is drained and returned. */
         slow_factor: seconds(1.7),
         slow_runs: Type.Integer({ minimum: 1, default: 3 }),
-        /** Arrivals are counted over this window to keep room ahead of need. */
+        /** Arrivals are counted over this window to forecast demand. */
         forecast_window_s: seconds(150),
-        /** How many standard deviations above the expected load room is kept for. */
+        /** Headroom, in standard deviations above the expected load. */
         spare_spread: Type.Number({ minimum: 0, default: 0.3 }),
-        /** What a task holds its place beside fetching and running. */
+        /** Time for which a task occupies its machine beside fetching and running. */
         overhead_s: seconds(5),
       },
       section,
@@ -105,16 +105,16 @@
   return prototype === null || prototype === Object.prototype;
 }
 
-/** Adds the settings of one file to those before it. The path of a setting that is there already, or null. */
-function merge(into: Table, from: Table, path: string): string | null {
+/** Merges the settings of one file into those before it; returns the path of a setting that is set twice, or null. */
+function mergeSettings(into: Table, from: Table, path: string): string | null {
   for (const [name, value] of Object.entries(from)) {
     const known = into[name];
     const here = path === '' ? name : `${path}.${name}`;
     if (known === undefined) into[name] = value;
     else if (!isTable(known) || !isTable(value)) return here;
     else {
-      const twice = merge(known, value, here);
-      if (twice !== null) return twice;
+      const duplicate = mergeSettings(known, value, here);
+      if (duplicate !== null) return duplicate;
     }
   }
   return null;
@@ -125,12 +125,12 @@
   const all: Table = {};
   for (const { path, text } of files) {
     const raw = parseToml(text, path);
-    const wrong = firstSchemaError(OperatorSettingsSchema, structuredClone(raw));
-    if (wrong !== null) throw new SettingsError(`${path}: ${wrong}`);
-    const twice = merge(all, raw as Table, '');
-    if (twice !== null) throw new SettingsError(`${path}: ${twice}: another file sets it, too`);
+    const schemaError = firstSchemaError(OperatorSettingsSchema, structuredClone(raw));
+    if (schemaError !== null) throw new SettingsError(`${path}: ${schemaError}`);
+    const duplicate = mergeSettings(all, raw as Table, '');
+    if (duplicate !== null) throw new SettingsError(`${path}: ${duplicate}: another file sets it, too`);
   }
-  const wrong = firstSchemaError(OperatorSettingsSchema, all);
-  if (wrong !== null) throw new SettingsError(wrong);
+  const schemaError = firstSchemaError(OperatorSettingsSchema, all);
+  if (schemaError !== null) throw new SettingsError(schemaError);
   return all as OperatorSettings;
 }
--- a/src/config/platform-settings.ts
+++ b/src/config/platform-settings.ts
@@ -1,13 +1,13 @@
 /**
- * The platform's settings file: unknown fields are ignored, a missing or invalid one ends the start with a
- * line that names it.
+ * The platform's settings file: unknown fields are ignored; a missing or invalid one is an error that names it.
  */
 import { Type, type Static, type TSchema } from '@sinclair/typebox';
 import { Ajv } from 'ajv';
 import { parse } from 'smol-toml';
+import { CodedError } from '../core/errors.js';
 import type { Team } from '../core/model/cluster.js';
 import { nodeName, teamName, zoneName, type Zone } from '../core/model/ids.js';
-import { GPU, capacityVector } from '../core/model/resources.js';
+import { CPU, GPU, capacityVector } from '../core/model/resources.js';
 
 const text = Type.String({ minLength: 1, maxLength: 200 });
 const address = Type.String({ pattern: '^[0-9A-Za-z.-]+:[0-9]{1,5}$' });
@@ -52,7 +52,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: whole,
-      /** What it will have from some moment on, without notice; what is not named stays. */
+      /** Limits that will apply at some time without notice; those not named stay. */
       next: Type.Optional(
         Type.Object({
           rps: Type.Optional(positive),
@@ -70,28 +70,32 @@
 export type PlatformSettingsFile = Static<typeof PlatformSettingsSchema>;
 
 /** Settings that cannot be used; the message says what is wrong with them. */
-export class SettingsError extends Error {}
+export class SettingsError extends CodedError {
+  readonly code = 'invalid_settings';
+}
 
-/** Fills in defaults; gives the first thing wrong as a line naming the field, or null. */
+/** Fills in defaults; returns the first schema error as a line that names the field, or null. */
 export function firstSchemaError(schema: TSchema, value: unknown): string | null {
   const validate = new Ajv({ useDefaults: true, strict: false }).compile(schema);
   if (validate(value)) return null;
-  const e = validate.errors?.[0];
-  const params = (e?.params ?? {}) as { missingProperty?: string; additionalProperty?: string };
+  const error = validate.errors?.[0];
+  const params = (error?.params ?? {}) as { missingProperty?: string; additionalProperty?: string };
   const name = params.missingProperty ?? params.additionalProperty;
-  const field = [...(e?.instancePath ?? '').split('/').slice(1), ...(name === undefined ? [] : [name])].join(
-    '.',
-  );
-  return `${field === '' ? 'the file' : field}: ${e?.message ?? 'invalid'}`;
+  const field = [
+    ...(error?.instancePath ?? '').split('/').slice(1),
+    ...(name === undefined ? [] : [name]),
+  ].join('.');
+  return `${field === '' ? 'the file' : field}: ${error?.message ?? 'invalid'}`;
 }
 
 /** Parses TOML. Throws `SettingsError`. */
 export function parseToml(textOfFile: string, path?: string): unknown {
   try {
     return parse(textOfFile);
-  } catch (e) {
+  } catch (cause) {
     const file = path === undefined ? '' : `${path}: `;
-    throw new SettingsError(`${file}not TOML: ${(e as Error).message.split('\n')[0] ?? ''}`);
+    const [firstLine = ''] = (cause as Error).message.split('\n');
+    throw new SettingsError(`${file}not TOML: ${firstLine}`, { cause });
   }
 }
 
@@ -121,37 +125,40 @@
 /** Reads the text of the platform's settings file. Throws `SettingsError`. */
 export function readPlatformSettings(textOfFile: string): PlatformSettings {
   const raw = parseToml(textOfFile);
-  const wrong = firstSchemaError(PlatformSettingsSchema, raw);
-  if (wrong !== null) throw new SettingsError(wrong);
-  const p = raw as PlatformSettingsFile;
-  const c = p.cluster;
+  const schemaError = firstSchemaError(PlatformSettingsSchema, raw);
+  if (schemaError !== null) throw new SettingsError(schemaError);
+  const file = raw as PlatformSettingsFile;
+  const { cluster } = file;
   return {
-    node: nodeName(p.node),
-    zone: zoneName(p.area),
-    bind: p.bind,
-    peerBind: p.internal_addr,
-    peers: (p.others ?? []).map((o) => ({
-      node: nodeName(o.node),
-      zone: zoneName(o.area),
-      address: o.endpoint,
+    node: nodeName(file.node),
+    zone: zoneName(file.area),
+    bind: file.bind,
+    peerBind: file.internal_addr,
+    peers: (file.others ?? []).map((other) => ({
+      node: nodeName(other.node),
+      zone: zoneName(other.area),
+      address: other.endpoint,
     })),
-    cloud: p.outside.cloud,
-    state: p.outside.state,
-    nodes: c.count,
-    zones: c.zones.map(zoneName),
-    teams: c.teams.map((t) => {
-      const limit = capacityVector(t.cpus_max, 0, t.gpus_max);
-      return {
-        name: teamName(t.name),
-        guarantee: capacityVector(t.cpus, 0, t.gpus),
-        limitCpu: t.cpus_max > 0 ? limit[0] : null,
-        limitGpu: t.gpus_max > 0 ? limit[GPU] : null,
-      };
-    }),
-    objectives: c.objectives ?? [],
-    workers: c.workers,
-    stateLimits: c.state,
-    cloudLimits: c.cloud,
-    limits: c.quota,
+    cloud: file.outside.cloud,
+    state: file.outside.state,
+    nodes: cluster.count,
+    zones: cluster.zones.map(zoneName),
+    teams: cluster.teams.map(teamFromSettings),
+    objectives: cluster.objectives ?? [],
+    workers: cluster.workers,
+    stateLimits: cluster.state,
+    cloudLimits: cluster.cloud,
+    limits: cluster.quota,
+  };
+}
+
+/** A limit of 0 in the file means that there is none. */
+function teamFromSettings(team: PlatformSettingsFile['cluster']['teams'][number]): Team {
+  const limit = capacityVector(team.cpus_max, 0, team.gpus_max);
+  return {
+    name: teamName(team.name),
+    guarantee: capacityVector(team.cpus, 0, team.gpus),
+    limitCpu: team.cpus_max > 0 ? limit[CPU] : null,
+    limitGpu: team.gpus_max > 0 ? limit[GPU] : null,
   };
 }
--- a/src/io/cloud/cloud-client.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -1,41 +1,55 @@
-/** The cloud: machine types, rentals, returns and the (lagging) list. */
+/** The client of the cloud: machine types, rentals, returns and the list of machines, which lags behind. */
 import type { Clock } from '../../core/model/clock.js';
 import type { MachineName } from '../../core/model/ids.js';
 import type { MachineType, RentalRecord } from '../../core/model/machines.js';
-import type { HttpResponse, Transport } from '../http-client.js';
+import type { HttpResponse, Method, Transport } from '../http-client.js';
 import { paths } from '../paths.js';
 import { RateLimiter, type RequestPriority } from '../rate-limiter.js';
 import {
-  typesFromWire,
+  listFromWire,
+  listQuery,
+  releaseToWire,
   rentalToWire,
   rentedFromWire,
-  releaseToWire,
+  typesFromWire,
   type ListedMachine,
-  listQuery,
-  listFromWire,
 } from './cloud-messages.js';
 
+const TIMEOUT_MS = 5000;
 const MAX_QUEUED_REQUESTS = 50;
+/** The part of the cloud's rate that is used; the rest absorbs differences between clocks. */
+const RATE_FRACTION = 0.9;
+/** Changes go before listings. */
+const CHANGE_PRIORITY: RequestPriority = 1;
+const LIST_PRIORITY: RequestPriority = 2;
 
 /** What the cloud answered to a rental. */
 export type RentalResult =
   | { readonly kind: 'rented'; readonly machines: readonly MachineName[] }
   | { readonly kind: 'no_capacity' }
-  /** Perhaps carried out: the same request must be asked again. */
+  /** It may have been carried out: the same request must be sent again. */
   | { readonly kind: 'unknown' };
 
-/** The client of the cloud's API, within its rate. */
+interface CloudRequest {
+  readonly method: Method;
+  readonly path: string;
+  readonly body?: unknown;
+  readonly priority: RequestPriority;
+}
+
+/** Sends requests to the cloud, within its rate. */
 export class CloudClient {
   private readonly limiter: RateLimiter;
 
   constructor(
-    private readonly http: Transport,
-    rps: number,
+    private readonly transport: Transport,
+    requestsPerSecond: number,
     clock: Clock,
   ) {
-    const rate = rps * 0.9;
+    const rate = requestsPerSecond * RATE_FRACTION;
     this.limiter = new RateLimiter({
       requestRates: { high: rate, low: rate },
+      // Requests to the cloud count as requests only: no changes are ever acquired.
       writeRates: { high: 1, low: 1 },
       maxQueued: MAX_QUEUED_REQUESTS,
       maxBorrowFactor: 1,
@@ -43,52 +57,67 @@
     });
   }
 
-  private async call(
-    method: 'GET' | 'POST',
-    path: string,
-    body: unknown,
-    priority: RequestPriority,
-  ): Promise<HttpResponse | null> {
-    if (!(await this.limiter.acquire(priority, 0))) return null;
-    try {
-      const r = await this.http.request(method, path, body, 5000);
-      if (r.status === 429) this.limiter.noteExhausted(0);
-      return r;
-    } catch {
-      return null;
-    }
-  }
-
+  /** The machine types; null where no usable answer came. Throws `ProtocolError` on a malformed one. */
   async types(): Promise<MachineType[] | null> {
-    const r = await this.call('GET', paths.types, undefined, 1);
-    return r?.status === 200 ? typesFromWire(r.body) : null;
+    const response = await this.call({ method: 'GET', path: paths.types, priority: CHANGE_PRIORITY });
+    return response?.status === 200 ? typesFromWire(response.body) : null;
   }
 
-  async rent(r: RentalRecord): Promise<RentalResult> {
-    const reply = await this.call('POST', paths.machines, rentalToWire({ ...r, count: r.owners.length }), 1);
-    if (reply?.status === 200) return { kind: 'rented', machines: rentedFromWire(reply.body) };
-    const refused =
-      reply?.status === 400 ||
-      (reply?.status === 503 && JSON.stringify(reply.body ?? '').includes('no capacity'));
-    return { kind: refused ? 'no_capacity' : 'unknown' };
+  /** Rents machines; the cloud recognises a repeated request by the rental's name. */
+  async rent(rental: RentalRecord): Promise<RentalResult> {
+    const body = rentalToWire({ ...rental, count: rental.owners.length });
+    const response = await this.call({
+      method: 'POST',
+      path: paths.machines,
+      body,
+      priority: CHANGE_PRIORITY,
+    });
+    if (response?.status === 200) return { kind: 'rented', machines: rentedFromWire(response.body) };
+    return { kind: isCapacityRefusal(response) ? 'no_capacity' : 'unknown' };
   }
 
-  /** True: the machines and everything on them are gone. */
+  /** Returns machines. True: the machines and everything on them are gone. */
   async release(names: readonly MachineName[]): Promise<boolean> {
-    const r = await this.call('POST', paths.release, releaseToWire(names), 1);
-    return r?.status === 200;
+    const body = releaseToWire(names);
+    const response = await this.call({
+      method: 'POST',
+      path: paths.release,
+      body,
+      priority: CHANGE_PRIORITY,
+    });
+    return response?.status === 200;
   }
 
+  /** All machines, page by page; null where a page could not be read. Throws `ProtocolError` on a malformed one. */
   async list(): Promise<ListedMachine[] | null> {
-    const out: ListedMachine[] = [];
+    const machines: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
-      const r: HttpResponse | null = await this.call('GET', paths.machines + listQuery(after), undefined, 2);
-      if (r?.status !== 200) return null;
-      const page = listFromWire(r.body);
-      out.push(...page.machines);
-      if (!page.more || page.machines.length === 0) return out;
+      const path: string = paths.machines + listQuery(after);
+      const response: HttpResponse | null = await this.call({ method: 'GET', path, priority: LIST_PRIORITY });
+      if (response?.status !== 200) return null;
+      const page = listFromWire(response.body);
+      machines.push(...page.machines);
+      if (!page.hasMore || page.machines.length === 0) return machines;
       after = page.machines[page.machines.length - 1]!.name;
     }
   }
+
+  /** Null: no answer, or the queue is full. */
+  private async call({ method, path, body, priority }: CloudRequest): Promise<HttpResponse | null> {
+    if (!(await this.limiter.acquire(priority, 0))) return null;
+    try {
+      const response = await this.transport.request(method, path, body, TIMEOUT_MS);
+      if (response.status === 429) this.limiter.noteExhausted(0);
+      return response;
+    } catch {
+      return null;
+    }
+  }
+}
+
+/** An outage has status 503, too; only the body tells it from a lack of capacity. */
+function isCapacityRefusal(response: HttpResponse | null): boolean {
+  if (response?.status === 400) return true;
+  return response?.status === 503 && JSON.stringify(response.body ?? '').includes('no capacity');
 }
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -1,8 +1,11 @@
 /**
- * One small JSON client over undici for the cloud, the state service and the workers: a deadline on each
- * request, a bound on sockets, and errors told apart by whether the request can have been carried out.
+ * A JSON client over undici for the cloud and the state service: a deadline on each request and a bound on sockets.
  */
 import { Pool } from 'undici';
+import { CodedError } from '../core/errors.js';
+
+const CONNECT_TIMEOUT_MS = 1500;
+const KEEP_ALIVE_MS = 60_000;
 
 /** A response. */
 export interface HttpResponse {
@@ -10,6 +13,11 @@
   readonly body: unknown;
 }
 
+/** A request without an answer in time: it may or may not have been carried out. */
+export class TimeoutError extends CodedError {
+  readonly code = 'timeout';
+}
+
 /** The HTTP methods in use. */
 export type Method = 'GET' | 'POST' | 'DELETE';
 
@@ -27,21 +35,21 @@
     this.pool = new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
-      connectTimeout: 1500,
+      connectTimeout: CONNECT_TIMEOUT_MS,
       // Deadlines are set per request by a signal; the client's own coarse ones stay off.
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: 60_000,
+      keepAliveTimeout: KEEP_ALIVE_MS,
     });
   }
 
   async request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     const abort = new AbortController();
     const timer = setTimeout(() => {
-      abort.abort(new Error('deadline'));
+      abort.abort(new TimeoutError('deadline'));
     }, timeoutMs);
     try {
-      const r = await this.pool.request({
+      const response = await this.pool.request({
         method,
         path,
         signal: abort.signal,
@@ -49,13 +57,14 @@
           ? {}
           : { body: JSON.stringify(body), headers: { 'content-type': 'application/json' } }),
       });
-      const text = await r.body.text();
-      return { status: r.statusCode, body: text === '' ? null : (JSON.parse(text) as unknown) };
+      const text = await response.body.text();
+      return { status: response.statusCode, body: text === '' ? null : (JSON.parse(text) as unknown) };
     } finally {
       clearTimeout(timer);
     }
   }
 
+  /** Closes all connections; requests under way fail. */
   close(): Promise<void> {
     return this.pool.destroy();
   }
--- a/src/plugin-host/plugin-loader.ts
+++ b/src/plugin-host/plugin-loader.ts
@@ -8,7 +8,7 @@
 import { SettingsError, firstSchemaError, type PlatformSettings } from '../config/platform-settings.js';
 import type { LoadedPlugin, PluginDefinition } from './api.js';
 
-const NAME = /^[a-z][a-z0-9_]*$/;
+const PACKAGE_NAME = /^[a-z][a-z0-9_]*$/;
 
 /** Where the build puts the packages. */
 export const PACKAGES_DIRECTORY = path.join(__dirname, 'packages');
@@ -18,7 +18,7 @@
 
 function definitionOf(name: string, directory: string): PluginDefinition {
   const file = path.join(directory, `${name.replaceAll('_', '-')}.cjs`);
-  if (!NAME.test(name) || !existsSync(file))
+  if (!PACKAGE_NAME.test(name) || !existsSync(file))
     throw new SettingsError(`packages.${name}: there is no such package`);
   const { servicePackage } = createRequire(file)(file) as { servicePackage?: unknown };
   if (!isPackage(servicePackage)) throw new SettingsError(`packages.${name}: ${file} is not a package`);
@@ -33,8 +33,8 @@
   settings: PlatformSettings,
 ): LoadedPlugin {
   const options = structuredClone(section);
-  const wrong = firstSchemaError(definition.schema, options) ?? definition.validate(options, settings);
-  if (wrong !== null) throw new SettingsError(`packages.${name}.${wrong}`);
+  const optionError = firstSchemaError(definition.schema, options) ?? definition.validate(options, settings);
+  if (optionError !== null) throw new SettingsError(`packages.${name}.${optionError}`);
   return { name, definition, options };
 }
 
