--- a/eslint.config.js
+++ b/eslint.config.js
@@ -100,7 +100,10 @@
         {
           enableFixer: false,
           require: { FunctionDeclaration: false },
-          contexts: documented.map((kind) => `ExportNamedDeclaration[declaration.type="${kind}"]`),
+          contexts: [
+            'MethodDefinition[kind="method"]:not([accessibility="private"])',
+            ...documented.map((kind) => `ExportNamedDeclaration[declaration.type="${kind}"]`),
+          ],
         },
       ],
     },
--- a/packages/tracing/src/job-spans.ts
+++ b/packages/tracing/src/job-spans.ts
@@ -40,6 +40,7 @@
     private readonly now: () => number,
   ) {}
 
+  /** Records the spans that the event completes. */
   note(event: ServiceEvent): void {
     switch (event.kind) {
       case 'job_accepted':
--- a/packages/tracing/src/json-lines-exporter.ts
+++ b/packages/tracing/src/json-lines-exporter.ts
@@ -44,6 +44,7 @@
     private readonly node: string,
   ) {}
 
+  /** Appends the spans to the file, one a line; `done` gets the outcome. */
   export(spans: ReadableSpan[], done: ResultCallback): void {
     const text = spans.map((span) => `${JSON.stringify(lineOf(span, this.node))}\n`).join('');
     this.write(text).then(
@@ -68,6 +69,7 @@
     await appendFile(this.file, text);
   }
 
+  /** Nothing is held back, so that there is nothing to do. */
   shutdown(): Promise<void> {
     return Promise.resolve();
   }
--- a/packages/tracing/src/span-queue.ts
+++ b/packages/tracing/src/span-queue.ts
@@ -38,15 +38,18 @@
     return this.queue.length;
   }
 
+  /** Only finished spans are exported. */
   onStart(): void {
     // Spans are taken when they have ended.
   }
 
+  /** Queues a finished span; drops it where the queue is full. */
   onEnd(span: ReadableSpan): void {
     if (this.queue.length >= this.options.queue_spans) this.counts.dropped++;
     else this.queue.push(span);
   }
 
+  /** Exports what is queued, in batches; returns only when it fails. */
   async run(): Promise<never> {
     for (;;) {
       await this.clock.sleep(this.options.flush_ms);
@@ -89,6 +92,7 @@
     });
   }
 
+  /** Closes the exporter. */
   async shutdown(): Promise<void> {
     await this.exporter.shutdown();
   }
--- a/packages/tracing/src/span-tracer.ts
+++ b/packages/tracing/src/span-tracer.ts
@@ -34,6 +34,7 @@
     this.tracer = provider.getTracer('pepperbank');
   }
 
+  /** Records a span that has ended; see `Tracer`. */
   record(span: FinishedSpan): void {
     this.recordBelow(parseTraceParent(span.parent), span);
   }
@@ -48,6 +49,7 @@
     span.end(toWall + Math.max(startMs, endMs));
   }
 
+  /** A context for a span that is recorded later; see `Tracer`. */
   reserve(parent?: TraceParent): TraceParent {
     return formatTraceParent(this.ids.reserve(parseTraceParent(parent)));
   }
--- a/packages/warm-standby/src/backoff.ts
+++ b/packages/warm-standby/src/backoff.ts
@@ -35,6 +35,7 @@
     this.count++;
   }
 
+  /** Milliseconds until the next failover may be; 0: it may be now. */
   leftMs(nowMs: number): number {
     return Math.max(0, this.until - nowMs);
   }
--- a/packages/warm-standby/src/decision-log.ts
+++ b/packages/warm-standby/src/decision-log.ts
@@ -29,6 +29,7 @@
     private readonly tailEntries: number,
   ) {}
 
+  /** Adds an entry, unless it is a heartbeat that says nothing new. */
   append(entry: LogEntry): void {
     if (entry.kind === 'agent' && this.isKnown(entry)) return;
     this.head++;
--- a/packages/warm-standby/src/failover-history.ts
+++ b/packages/warm-standby/src/failover-history.ts
@@ -87,6 +87,7 @@
     });
   }
 
+  /** Begins to follow a failover; the oldest one is forgotten beyond the limit. */
   add(failover: Failover): void {
     this.failovers.push(failover);
     if (this.failovers.length > MAX_KEPT) this.failovers.shift();
--- a/packages/warm-standby/src/failover-loop.ts
+++ b/packages/warm-standby/src/failover-loop.ts
@@ -78,6 +78,7 @@
     });
   }
 
+  /** Watches the holders periodically; returns only when it fails. */
   async run(): Promise<never> {
     for (;;) {
       if (this.service.facts.isReady) {
@@ -93,6 +94,7 @@
     this.expectedHandovers.set(shard, { traceParent, until: this.service.clock.now() + HANDOVER_TIMEOUT_MS });
   }
 
+  /** The backoff between failovers of the shard. */
   backoffOf(shard: NodeName): Backoff {
     const backoff = this.backoffs.get(shard) ?? new Backoff(this.options.takeover, this.service.random);
     this.backoffs.set(shard, backoff);
--- a/packages/warm-standby/src/holder-monitor.ts
+++ b/packages/warm-standby/src/holder-monitor.ts
@@ -16,20 +16,24 @@
     private readonly options: Options['detection'],
   ) {}
 
+  /** A message of the holder has arrived. */
   heard(holder: NodeName, now: MonotonicMs): void {
     const watched = this.holders.get(holder) ?? new PhiAccrual(this.heartbeatMs * LONGEST_USUAL_HEARTBEATS);
     this.holders.set(holder, watched);
     watched.heard(now);
   }
 
+  /** The level of suspicion of the holder; 0 where too little is known. */
   phi(holder: NodeName, now: MonotonicMs): number {
     return this.holders.get(holder)?.phi(now) ?? 0;
   }
 
+  /** When the holder last sent a message, on the monotonic clock; null: never. */
   lastHeardAt(holder: NodeName): number | null {
     return this.holders.get(holder)?.lastHeardAt ?? null;
   }
 
+  /** Whether the holder has been silent for long enough, and unlikely so, to be probed. */
   isSuspected(holder: NodeName, now: MonotonicMs): boolean {
     const watched = this.holders.get(holder);
     const silenceMs = watched?.silenceMs(now) ?? null;
--- a/packages/warm-standby/src/metrics.ts
+++ b/packages/warm-standby/src/metrics.ts
@@ -83,6 +83,7 @@
       this.phases.observe({ phase, cause }, ms / 1000);
   }
 
+  /** All metrics in the text format of Prometheus. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/warm-standby/src/phi-accrual.ts
+++ b/packages/warm-standby/src/phi-accrual.ts
@@ -28,6 +28,7 @@
     private readonly longestIntervalMs: number,
   ) {}
 
+  /** A message has arrived. */
   heard(atMs: number): void {
     if (this.lastAt !== null) {
       const interval = atMs - this.lastAt;
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -118,6 +118,7 @@
     });
   }
 
+  /** Sends heartbeats and entries periodically; returns only when it fails. */
   async run(): Promise<never> {
     for (;;) {
       this.step();
--- a/packages/warm-standby/src/replica.ts
+++ b/packages/warm-standby/src/replica.ts
@@ -61,6 +61,7 @@
 
   constructor(readonly shard: NodeName) {}
 
+  /** Applies entries that follow those applied so far; known ones are skipped. */
   append(message: AppendMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
     if (message.epoch > this.epoch) this.resetTo(message.epoch);
@@ -77,6 +78,7 @@
     return 'applied';
   }
 
+  /** Takes in one part of a snapshot; the last part replaces the replicated state. */
   snapshot(message: SnapshotMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
     if (message.epoch > this.epoch) this.resetTo(message.epoch);
--- a/packages/warm-standby/src/replicated-state.ts
+++ b/packages/warm-standby/src/replicated-state.ts
@@ -30,6 +30,7 @@
   private readonly exits = new Map<string, ExitedEntry>();
   private runs: RunEntry[] = [];
 
+  /** Applies the next entry of the log. */
   apply(entry: LogEntry): void {
     switch (entry.kind) {
       case 'agent':
--- a/src/controller/committed-facts.ts
+++ b/src/controller/committed-facts.ts
@@ -14,10 +14,12 @@
     return this.context.watcher.isReady;
   }
 
+  /** All shards that have a record. */
   shards(): ShardFact[] {
     return [...this.context.view.shards.keys()].map((name) => this.shard(nodeName(name))!);
   }
 
+  /** A shard by its name; null where it has no record. */
   shard(name: NodeName): ShardFact | null {
     const { view } = this.context;
     const record = view.shards.get(name);
@@ -31,6 +33,7 @@
     };
   }
 
+  /** The sessions of all controllers. */
   sessions(): SessionFact[] {
     return [...this.context.view.sessions.values()].map((session) => ({
       node: session.node,
@@ -39,26 +42,32 @@
     }));
   }
 
+  /** A machine's record; null where it has none. */
   machine(name: MachineName): MachineRecord | null {
     return this.context.view.machines.get(name) ?? null;
   }
 
+  /** The machines of a shard. */
   machinesOf(shard: NodeName): MachineRecord[] {
     return [...this.context.view.machines.values()].filter((m) => m.owner === shard);
   }
 
+  /** Whether the job is unfinished. */
   hasJob(job: JobId): boolean {
     return this.context.view.jobs.has(job);
   }
 
+  /** Whether this process holds the shard and its view has all that was committed before. */
   isHeldCompletely(shard: NodeName): boolean {
     return this.context.view.isHeldBy(shard, this.context.incarnation);
   }
 
+  /** Whether nothing suggests that the state service is out of reach. */
   isStateReachable(withinMs: number): boolean {
     return this.context.state.isReachable(withinMs);
   }
 
+  /** Calls the listener after each change of the view. */
   subscribe(listener: (changes: ViewChanges) => void): void {
     this.context.viewChanges.subscribe(listener);
   }
--- a/src/controller/view-change-feed.ts
+++ b/src/controller/view-change-feed.ts
@@ -8,10 +8,12 @@
 export class ViewChangeFeed {
   private readonly listeners: ViewChangeListener[] = [];
 
+  /** Calls the listener with all later changes. */
   subscribe(listener: ViewChangeListener): void {
     this.listeners.push(listener);
   }
 
+  /** Tells all listeners of changes that the view has taken in. */
   publish(changes: ViewChanges): void {
     for (const listener of this.listeners) listener(changes);
   }
--- a/src/core/placement/candidate-machines.ts
+++ b/src/core/placement/candidate-machines.ts
@@ -143,6 +143,7 @@
     this.zoneLimit = maxTasksPerZone(request.spec);
   }
 
+  /** The best candidate so far; null where none fits. */
   result(): MachineChoice | null {
     return this.best === null ? null : { candidate: this.best, fitness: this.bestFitness };
   }
--- a/src/core/scaling/shard-rebalancing.ts
+++ b/src/core/scaling/shard-rebalancing.ts
@@ -50,6 +50,7 @@
     this.total = total;
   }
 
+  /** The capacity of a shard's machines, as a share of the fleet. */
   ofShard(shard: NodeName): number {
     return this.byShard.get(shard) ?? 0;
   }
--- a/src/io/agents/agent-client.ts
+++ b/src/io/agents/agent-client.ts
@@ -38,6 +38,7 @@
 
   constructor(private readonly maxInFlight: number) {}
 
+  /** See `AgentGateway`; gives null at once where too many requests are under way. */
   async sendCommands(
     address: string,
     token: FencingToken,
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -43,6 +43,7 @@
     });
   }
 
+  /** See `Transport`. Throws where no answer came within the timeout. */
   async request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     const abort = new AbortController();
     const timer = setTimeout(() => {
--- a/src/io/peers/peer-link.ts
+++ b/src/io/peers/peer-link.ts
@@ -21,14 +21,17 @@
     private readonly localAddress?: string,
   ) {}
 
+  /** See `Peer`. */
   async cancel(job: string, timeoutMs: number): Promise<string | null> {
     return (await this.send({ cancel: job }, timeoutMs))?.outcome ?? null;
   }
 
+  /** See `Peer`. */
   async contact(timeoutMs: number): Promise<boolean | null> {
     return (await this.send({ contact: true }, timeoutMs))?.contact ?? null;
   }
 
+  /** See `Peer`. */
   async ask(topic: string, payload: Uint8Array, timeoutMs: number): Promise<Uint8Array | null> {
     // A version without topics takes it for a request about its contact, which is harmless.
     const answer = await this.send({ topic, payload, contact: true }, timeoutMs);
--- a/src/io/state/transaction-packing.ts
+++ b/src/io/state/transaction-packing.ts
@@ -74,6 +74,7 @@
     return true;
   }
 
+  /** The transaction with all that was added. */
   build(): PackedTransaction {
     return { operations: this.operations, guards: [...this.guards.values()], changeSets: this.changeSets };
   }
--- a/src/io/token-bucket.ts
+++ b/src/io/token-bucket.ts
@@ -45,6 +45,7 @@
     return (amount - this.tokens) / this.borrowedRate;
   }
 
+  /** Adds what the time has earned, up to the size of the bucket. */
   refill(seconds: number): void {
     this.rate = Math.min(this.range.high, this.rate + this.range.high * RATE_RECOVERY_PER_SECOND * seconds);
     const regained = seconds * BORROW_RECOVERY_PER_SECOND * this.maxBorrowFactor;
--- a/src/plugin-host/plugin-host.ts
+++ b/src/plugin-host/plugin-host.ts
@@ -17,14 +17,17 @@
 export class ForwardingTracer implements Tracer {
   private target: Tracer | null = null;
 
+  /** Spans go to this tracer from now on. */
   provide(target: Tracer): void {
     this.target = target;
   }
 
+  /** Forwards the span; without a tracer it is dropped. */
   record(span: FinishedSpan): void {
     this.target?.record(span);
   }
 
+  /** Forwards the request; without a tracer there is no context. */
   reserve(parent?: TraceParent): TraceParent {
     return this.target?.reserve(parent) ?? NO_CONTEXT;
   }
--- a/src/plugin-host/topic-channel.ts
+++ b/src/plugin-host/topic-channel.ts
@@ -9,6 +9,7 @@
 
   constructor(private readonly links: ReadonlyMap<string, Peer>) {}
 
+  /** See `PeerChannel`. */
   async ask(
     node: NodeName,
     topic: string,
@@ -18,11 +19,13 @@
     return (await this.links.get(node)?.ask(topic, payload, timeoutMs)) ?? null;
   }
 
+  /** See `PeerChannel`. */
   async isAnswering(node: NodeName, timeoutMs: number): Promise<boolean> {
     const contact = await this.links.get(node)?.contact(timeoutMs);
     return contact != null;
   }
 
+  /** See `PeerChannel`; a later handler replaces the one before. */
   serve(topic: string, handler: TopicHandler): void {
     this.handlers.set(topic, handler);
   }
