--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -139,7 +139,7 @@
 /** Where a span belongs, in the form of the W3C trace context; empty without tracing. */
 export type TraceParent = string;
 
-/** Spans as packages record them: after the fact, with their times on the steady clock. */
+/** Spans as packages record them: after the fact, with their times on the monotonic clock. */
 export interface Tracer {
   /** Records a span that has ended. */
   record(span: FinishedSpan): void;
@@ -147,7 +147,7 @@
   reserve(parent?: TraceParent): TraceParent;
 }
 
-/** A span with its times on the steady clock. */
+/** A span with its times on the monotonic clock. */
 export interface FinishedSpan {
   readonly name: string;
   readonly startMs: number;
