--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -1,6 +1,6 @@
 /**
- * The sessions of this controller with the agents of its machines: replies to heartbeats, and direct messages that carry
- * fencing tokens and stop commands. Losing the sessions costs time, never correctness.
+ * Sessions of this controller with the agents of its machines: replies to heartbeats, and direct messages that carry
+ * fencing tokens and stop commands. Sessions are kept in memory only: losing them causes delay, never a wrong decision.
  */
 import { agentCommands } from '../../core/agents/agent-commands.js';
 import { newAgentSession, recordHeartbeat, type AgentSession } from '../../core/agents/agent-session.js';
@@ -16,23 +16,23 @@
 import type { ControllerContext } from '../controller-context.js';
 import type { HealthTracker } from '../health/health-tracker.js';
 
-/** How long a stop that was sent directly is not sent again: the next heartbeat shows what became of it. */
+/** A stop command is not sent directly again within this time: the agent's next heartbeat shows its effect. */
 const STOP_RESEND_INTERVAL_MS = 4000;
-/** Pause between direct messages to one agent after an answer. */
+/** Pause after an answered direct message before the next one to the same agent. */
 const MESSAGE_INTERVAL_MS = 100;
-/** Pause between direct messages to one agent after a failure. */
+/** Pause after an unanswered direct message before the next one to the same agent. */
 const MESSAGE_RETRY_INTERVAL_MS = 1500;
-/** Epoch of a newly started agent, assumed where no heartbeat has told it. */
+/** Epoch of a newly started agent, assumed while no heartbeat of the agent is known. */
 const FIRST_AGENT_EPOCH = 1;
 
-/** Something new is known about a machine. */
+/** A newly observed state of a machine that a reconcile pass has to handle. */
 export interface MachineObservation {
   readonly machine: MachineName;
-  /** Its first heartbeat in this session: tasks may now be placed on it. */
+  /** Whether this was the machine's first heartbeat of the session: tasks may now be placed on it. */
   readonly isNewlyAvailable: boolean;
 }
 
-/** Receives observations that a reconcile pass should look at. */
+/** Called with each observation that needs a reconcile pass of its machine. */
 export type MachineObservationListener = (observation: MachineObservation) => void;
 
 /** Owns the agent sessions of this controller's machines. */
@@ -40,7 +40,7 @@
   private readonly sessions = new Map<MachineName, AgentSession>();
   /** Machines with a direct message in flight, or in the pause after one. */
   private readonly inFlight = new Set<MachineName>();
-  /** When stops were last sent directly, by machine and task; the latest last. */
+  /** Time at which each stop command was last sent directly, by machine and task; the oldest first. */
   private readonly stopSentAt = new Map<string, MonotonicMs>();
   private readonly heartbeatIntervalMs: number;
 
@@ -53,12 +53,12 @@
     this.heartbeatIntervalMs = context.settings.workers.report_s * 1000;
   }
 
-  /** Machines with a session. */
+  /** Names of the machines with a session. */
   names(): Iterable<MachineName> {
     return this.sessions.keys();
   }
 
-  /** The session under the machine's present fencing token; a new one where the token has changed. */
+  /** The machine's session under its present fencing token; it replaces a session under another token. */
   current(machine: MachineRecord): AgentSession {
     const token = this.context.view.fencingTokenOf(machine);
     let session = this.sessions.get(machine.name);
@@ -69,17 +69,20 @@
     return session;
   }
 
-  /** The machine's session, if any, under whichever token it began. */
+  /** The machine's session under any fencing token; undefined if there is none. */
   find(name: MachineName): AgentSession | undefined {
     return this.sessions.get(name);
   }
 
-  /** Ends the session of a machine that this controller does not own any more. */
+  /** Removes the session of a machine that this controller no longer owns. */
   forget(name: MachineName): void {
     this.sessions.delete(name);
   }
 
-  /** Records a heartbeat of an owned machine and returns the reply to its agent. */
+  /**
+   * Records a heartbeat of an owned machine and returns the reply to its agent. An agent that has seen a higher fencing
+   * token than this controller knows of is redirected: the machine has a newer owner.
+   */
   answerHeartbeat(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
     const { context } = this;
     const session = this.current(machine);
@@ -88,7 +91,8 @@
     const isFirst = session.heartbeat === null;
     const now = context.clock.now();
     const arrival = { now, isPushed: true, heartbeatIntervalMs: this.heartbeatIntervalMs };
-    // Late, or overtaken by the answer to a direct message: the agent keeps its lease and gets no commands.
+    // The heartbeat is late or was overtaken by the answer to a direct message. The agent keeps its lease and gets no
+    // commands.
     if (!recordHeartbeat(session, heartbeat, arrival)) return { kind: 'ok', token, commands: [] };
     if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat });
     const desired = this.desiredState();
@@ -101,7 +105,9 @@
     return { kind: 'ok', token, commands };
   }
 
-  /** Sends fencing tokens to agents that have not shown theirs, and stop commands. */
+  /**
+   * Sends the machine's fencing token to each agent that has not reported it yet, and due stop commands to the others.
+   */
   sendDirectCommands(names: readonly MachineName[]): void {
     const desired = this.desiredState();
     for (const name of names) {
@@ -120,7 +126,7 @@
     if (stops === null) return;
     this.inFlight.add(name);
     this.logCommands(name, session.token, stops);
-    // A wrong epoch is refused with a heartbeat, which tells the next message the right one.
+    // An agent refuses a message with a wrong epoch and answers with a heartbeat; the next message uses its epoch.
     const agentEpoch = heartbeat?.agentEpoch ?? FIRST_AGENT_EPOCH;
     void this.agents.sendCommands(address, session.token, agentEpoch, stops).then((answer) => {
       if (answer?.machine === name) this.recordAnswer(answer);
@@ -129,7 +135,7 @@
     });
   }
 
-  /** The stops to send: none where only the token is sent, null where there is nothing to send. */
+  /** The stop commands to send; empty where only the fencing token is to be sent, null where nothing is. */
   private messageFor(
     machine: MachineRecord,
     session: AgentSession,
@@ -150,7 +156,7 @@
     return commands.filter((command) => command.op === 'stop' && this.takeStopTurn(machine.name, command));
   }
 
-  /** Whether the stop has not been sent directly within the resend interval; if so, it counts as sent now. */
+  /** Whether the stop command has not been sent directly within the resend interval. If so, records it as sent now. */
   private takeStopTurn(machine: MachineName, stop: AgentCommand): boolean {
     const key = `${machine} ${taskKey(stop.job, stop.index, stop.attempt)}`;
     const sentAt = this.stopSentAt.get(key);
--- a/src/controller/shard/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -1,4 +1,4 @@
-/** Decides which changes the records of jobs need: completion, cancellation, failures and cancellation of dependents. */
+/** Decides which changes the records of jobs need: for completion, cancellation, failures and cancelled dependents. */
 import { LOG_EVENT } from '../../core/log-events.js';
 import { NO_VERSION, type JobId } from '../../core/model/ids.js';
 import type { DoneSet, FinalRecord, JobFailureRecord, JobRecord } from '../../core/model/jobs.js';
@@ -10,23 +10,24 @@
 import type { HealthTracker } from '../health/health-tracker.js';
 import type { PreparedResults } from './task-exits.js';
 
-/** Dependents of a cancelled job that one pass cancels; hundreds at once would delay all other changes. */
+/** Maximum number of dependents that one pass cancels; hundreds at once would delay all other changes. */
 const MAX_DEPENDENTS_PER_PASS = 16;
-/** Machines that a job's failure record names, the latest ones. */
+/** Maximum number of machines in a job's failure record, which keeps those of the latest failures. */
 const MAX_FAILED_MACHINES_RECORDED = 3;
 
 type ResultsByJob = ReadonlyMap<JobId, DoneSet>;
 
-/** Changes of one pass to records of jobs. */
+/** Changes to the records of jobs that one pass has decided. */
 export interface JobChanges {
-  /** Jobs all of whose tasks are done. */
+  /** Changes that end jobs all of whose tasks are done. */
   readonly finished: readonly ChangeSet[];
+  /** Changes that begin or end cancellations, including those of dependents. */
   readonly cancellations: readonly ChangeSet[];
 }
 
-/** Reconciles the records of jobs of owned teams with results, failures and requests of users. */
+/** Reconciles the records of jobs of owned teams with task results, failures and cancellation requests. */
 export class JobReconciler {
-  /** Jobs whose cancellation was requested from this controller directly. */
+  /** Jobs whose cancellation was requested from this controller, not through the state service. */
   private readonly requested = new Set<JobId>();
 
   constructor(
@@ -39,7 +40,10 @@
     this.requested.add(id);
   }
 
-  /** The changes of this pass. Results precede a cancellation or are written with it: a finished task stays finished. */
+  /**
+   * The changes of this pass. Results are written before the job's cancellation or together with it, so that a finished
+   * task stays finished.
+   */
   reconcile(results: PreparedResults): JobChanges {
     const { jobs } = this.context.view;
     const finished = [...results.finishedJobs].map(([id, done]) =>
@@ -55,8 +59,9 @@
   }
 
   /**
-   * Writes to their records which jobs fail on every machine: a later owner of the team continues their backoff, the leader
-   * rents no machines for them, and users see it. One change for each failed round; the backoff makes rounds rare.
+   * The changes that record which jobs fail on every machine. With the record, a later owner of the team continues the
+   * backoff, the leader rents no machines for the job, and users see the failures. Each failed round costs one change;
+   * the backoff makes rounds rare.
    */
   recordFailingJobs(unfinishedJobs: ResultsByJob): ChangeSet[] {
     const { context } = this;
@@ -82,7 +87,7 @@
     return changes;
   }
 
-  /** Cancellation requests that other controllers have left in the state service. */
+  /** Begins the cancellations that other controllers have requested through the state service. */
   private takeStoredCancellations({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
     const { context } = this;
     const { view } = context;
@@ -99,7 +104,7 @@
     return changes;
   }
 
-  /** Removes a stored request whose job is over. */
+  /** The change that removes a stored cancellation request whose job is over. */
   private removeCancellation(id: JobId): ChangeSet {
     const cancellationKey = key.cancellation(id);
     return {
@@ -122,7 +127,7 @@
     return changes;
   }
 
-  /** Jobs that need a cancelled job. They have never started, so that there is nothing but their records. */
+  /** Cancels jobs that depend on a cancelled job. They have never started, so only their records have to change. */
   private cancelDependents(): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations.current();
@@ -137,7 +142,7 @@
     return changes;
   }
 
-  /** Jobs being cancelled of which no task is on any machine any more: nothing of them can run on. */
+  /** Ends the cancellations of jobs that have no allocated task left: none of their tasks can still be running. */
   private finishCancelled({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
     const { context } = this;
     const totals = context.allocations.current();
@@ -164,7 +169,7 @@
     };
   }
 
-  /** Replaces the job's record by its final state. */
+  /** The change that replaces the job's record with its final record. */
   private finish(job: JobRecord, final: FinalRecord): ChangeSet {
     const { clock, guards: guardsOf, log, state, view } = this.context;
     const { id, team } = job.spec;
@@ -176,7 +181,7 @@
     ];
     const guards: Guard[] = [guardsOf.forKey(key.job(id)), { key: key.final(id), version: NO_VERSION }];
     if (final.state === 'cancelled') guards.push(...guardsOf.forTeam(team));
-    // Where the limit of a transaction leaves no room for it, the leader removes the request later.
+    // Where this operation would exceed the limit of a transaction, the leader removes the request later.
     if (view.cancellations.has(id) && operations.length < state.limits.operationsPerTransaction) {
       operations.push({ key: key.cancellation(id), value: undefined, reason: 'cancellation' });
       guards.push(guardsOf.forKey(key.cancellation(id)));
--- a/src/controller/shard/machine-reachability.ts
+++ b/src/controller/shard/machine-reachability.ts
@@ -13,26 +13,30 @@
 /** A machine counts as available within this many heartbeat intervals after its last contact. */
 export const FRESH_HEARTBEAT_INTERVALS = 2;
 
-/** Time that an agent spends on one controller that does not answer. */
+/** Time that an agent spends on a controller that does not answer before it turns to the next one. */
 const HOP_MS = AGENT_ANSWER_TIMEOUT_MS + AGENT_FAILOVER_PAUSE_MS;
-/** Allowance for delays of the network and of busy processes while an agent reaches the next controller. */
+/** Allowance for delays of the network and of busy processes while an agent turns to the next controller. */
 const HOP_SLACK_MS = 1500;
-/** The same while an agent tries every controller. */
+/** Allowance for delays of the network and of busy processes while an agent tries every controller. */
 const FULL_CYCLE_SLACK_MS = 3000;
-/** With this many other silent machines in a zone, the cause is taken to be common to them. */
+/** From this number of other silent machines in a zone on, their silence is taken to have a common cause. */
 const MIN_CORRELATED_PEERS = 3;
-/** Nothing is concluded from silence without an answer of the state service within this time. */
+/**
+ * Age of the state service's last answer up to which the service counts as reachable although a later request has
+ * failed. While it is unreachable, the silence of machines is not evaluated.
+ */
 const STATE_FRESH_MS = 1000;
 
-/** The owned machines of a zone, as seen from here. */
+/** The owned machines of a zone, without those that are booting. */
 interface ZoneReachability {
   machines: number;
   /** At least one machine has sent heartbeats without a gap until now. */
   isResponding: boolean;
 }
 
-/** Judges the silence of owned machines; zones are evaluated at most once a pass. */
+/** Decides which silent machines are unreachable. The zones are evaluated at most once a pass. */
 export class MachineReachability {
+  /** Null until the zones are evaluated in the present pass. */
   private zones: ReadonlyMap<Zone, ZoneReachability> | null = null;
 
   constructor(
@@ -40,15 +44,15 @@
     private readonly sessions: AgentSessions,
   ) {}
 
-  /** Discards what earlier passes found out about zones. */
+  /** Discards the evaluation of the zones by earlier passes. */
   beginPass(): void {
     this.zones = null;
   }
 
   /**
-   * Whether the machine has been silent for longer than its agent needs to turn to another controller, and no controller
-   * lists it as proxied. Silence proves nothing about the machine's tasks: the machine is released to the cloud, and only
-   * the cloud's answer frees them.
+   * Whether the machine has been silent for longer than its agent needs to turn to another controller, and no
+   * controller lists it as proxied. Silence does not prove that the machine's tasks have ended: the machine is released
+   * to the cloud, and its tasks are freed only once the cloud has answered.
    */
   isUnreachable(machine: MachineRecord, session: AgentSession): boolean {
     if (!this.canJudge(machine, session)) return false;
@@ -70,7 +74,10 @@
     return context.state.isReachable(STATE_FRESH_MS);
   }
 
-  /** Time after which an agent that loses its owner's answers has reached another controller. */
+  /**
+   * Longest time until an agent that loses its owner's answers has reached another controller, where `steps`
+   * controllers do not answer.
+   */
   private failoverDelayMs(hops: number): number {
     return this.maxHeartbeatIntervalMs() + hops * HOP_MS + HOP_SLACK_MS;
   }
@@ -93,8 +100,9 @@
   }
 
   /**
-   * Whether heartbeats have arrived without a gap until now. When a partition ends, the first machine that is back shows
-   * nothing about the others, so that a recent heartbeat alone is not enough.
+   * Whether the machine's heartbeats have arrived without a gap until now, for longer than a failover takes. A recent
+   * heartbeat alone is not enough: when a partition ends, the first machine that is back shows nothing about the
+   * others.
    */
   private isResponding({ lastContactAt, uninterruptedSince }: AgentSession): boolean {
     const now = this.context.clock.now();
@@ -104,10 +112,11 @@
   }
 
   /**
-   * How long a machine may be silent where its whole zone is, or where it is alone there: a partition is then the more
-   * likely cause. Its agent is given time to try every controller and one of them to list it as proxied, and the length of
-   * a lease, since the machine may be back at once while a replacement must boot and fetch images. With several silent
-   * machines the boot of a replacement is added; those that have failed are listed as failed by the cloud.
+   * Longest silence of a machine whose whole zone is silent, or that is alone in its zone: a partition is then the more
+   * likely cause. The time allows the agent to try every controller and one of them to list the machine as proxied. The
+   * length of a lease is added, since the machine may be back at once while a replacement must boot and fetch images.
+   * Where several machines are silent, the boot time of a replacement is added, too; machines that have failed are
+   * listed as failed by the cloud.
    */
   private maxPartitionSilenceMs(machine: MachineRecord, zone: ZoneReachability | undefined): number {
     const { settings, view } = this.context;
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which change a machine's record needs: tasks that have exited, machines that have booted, drain or are
- * unreachable, tasks that stop on a preemption notice of a spot machine.
+ * Decides which changes the records of machines need: for tasks that have exited, for machines that have booted, drain
+ * or are unreachable, and for tasks that are stopped on the preemption notice of a spot machine.
  */
 import type { AgentSession } from '../../core/agents/agent-session.js';
 import { confirmedExits, type TaskExit } from '../../core/agents/confirmed-exits.js';
@@ -27,13 +27,13 @@
 /** A change to a machine's record. */
 export interface MachineChange {
   readonly changeSet: ChangeSet;
-  /** False: it may wait for starts. */
+  /** Whether the change is committed before the starts of the pass; other changes are committed after them. */
   readonly isUrgent: boolean;
 }
 
-/** What a pass sees of a machine beside its record. */
+/** Condition of a machine, as decided from its record, its heartbeats and its health. */
 interface MachineCondition {
-  /** The cloud has announced that it takes the machine back. */
+  /** The cloud has announced that it will reclaim the machine. */
   readonly hasPreemptionNotice: boolean;
   readonly isDraining: boolean;
   readonly isUnreachable: boolean;
@@ -41,13 +41,13 @@
   readonly hasBooted: boolean;
 }
 
-/** The allocations of a machine after a pass. */
+/** The allocations of a machine at the stages of one pass. */
 interface ReconciledAllocations {
   /** Exits whose tasks are removed from the record. */
   readonly removableExits: readonly TaskExit[];
-  /** The record's allocations without them. */
+  /** The record's allocations without the tasks of `removableExits`. */
   readonly remaining: readonly Allocation[];
-  /** The same, with those marked that stop on a preemption notice. */
+  /** The allocations of `remaining`, with those that stop on a preemption notice marked as stopping. */
   readonly updated: readonly Allocation[];
 }
 
@@ -60,18 +60,21 @@
     private readonly sessions: AgentSessions,
     private readonly health: HealthTracker,
     private readonly taskExits: TaskExits,
-    /** Called when a task has left its machine, so that its room is used again. */
+    /** Called when a task has left its machine, so that its resources are allocated again. */
     private readonly onTaskExit: () => void,
   ) {
     this.reachability = new MachineReachability(context, sessions);
   }
 
-  /** Discards what earlier passes found out about the reachability of zones. */
+  /** Discards the evaluation of the zones' reachability by earlier passes. */
   beginPass(): void {
     this.reachability.beginPass();
   }
 
-  /** The change that the machine's record needs now, if any; results of its tasks are added to `results`. */
+  /**
+   * The change that the machine's record needs now; null if there is none. Adds the results of the machine's tasks to
+   * `results`.
+   */
   reconcile(name: MachineName, desired: DesiredState, results: UncommittedResults): MachineChange | null {
     const { context } = this;
     const machine = context.view.machines.get(name);
@@ -90,7 +93,7 @@
     return this.changeFor(machine, session, exits);
   }
 
-  /** Fields of the record that heartbeats tell; written along with any change of the record. */
+  /** Fields of the machine's record that come from heartbeats; written along with reconciled changes and starts. */
   observedFields(machine: MachineRecord, session: AgentSession): Partial<MachineRecord> {
     const address = session.heartbeat?.address ?? machine.address;
     const images = this.health.cachedImages(machine);
@@ -101,7 +104,7 @@
     };
   }
 
-  /** Remembers, logs and publishes an exit once, and lets the health tracker evaluate it. */
+  /** Records, logs and publishes an exit once, and passes it to the health tracker. */
   private recordExit(machine: MachineRecord, session: AgentSession, exit: TaskExit): void {
     const { context } = this;
     const { allocation, index, reason } = exit;
@@ -173,7 +176,10 @@
     return { removableExits, remaining, updated };
   }
 
-  /** Stops services and tasks with checkpoints, so that they move on before the cloud takes the machine. */
+  /**
+   * Marks services and tasks with checkpoints as stopping, so that they move to other machines before the cloud
+   * reclaims this one.
+   */
   private stopOnPreemptionNotice(allocations: readonly Allocation[]): Allocation[] {
     return allocations.map((allocation) =>
       allocation.stop === true || !this.stopsOnPreemptionNotice(allocation)
@@ -197,7 +203,10 @@
     return updated.some((allocation, position) => allocation !== remaining[position]);
   }
 
-  /** Whether a change that is not urgent has waited long enough for a start on the same machine to carry it. */
+  /**
+   * Whether a change that is not urgent has waited long enough for a start on the same machine, whose write would
+   * include it.
+   */
   private isCleanupDue(
     machine: MachineRecord,
     session: AgentSession,
@@ -221,7 +230,8 @@
     const reason = isUrgent ? 'machine_state' : 'tidying';
     return {
       operations: [{ key: key.machine(value.name), value, reason }],
-      // Guarded on the shard, too: a controller that has lost it must not write the records of its machines.
+      // The guards include the shard's: a controller that has lost the shard must not write the records of its
+      // machines.
       guards: this.context.guards.forMachine(value),
     };
   }
@@ -242,7 +252,7 @@
 
 interface CleanupConditions {
   readonly hasSpareBudget: boolean;
-  /** No task that still runs is allocated to the machine. */
+  /** Whether the machine's record has no allocations but those to be removed. */
   readonly isEmpty: boolean;
 }
 
--- a/src/controller/shard/pending-job-log.ts
+++ b/src/controller/shard/pending-job-log.ts
@@ -1,4 +1,4 @@
-/** Logs from time to time why jobs that have waited for long are still pending. */
+/** Logs at intervals why jobs that have waited for long are still pending. */
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { JobId } from '../../core/model/ids.js';
 import type { JobRecord } from '../../core/model/jobs.js';
@@ -6,16 +6,16 @@
 import type { WaitReason } from '../../core/placement/placement-types.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** A pending job is logged after this time, and again each time it has passed. */
+/** A job is logged once it has been pending for this time, and again at this interval. */
 const LOG_INTERVAL_MS = 30_000;
 
-/** Remembers which pending jobs were logged when. */
+/** Logs pending jobs with their wait reasons, each job at most once per interval. */
 export class PendingJobLog {
   private readonly loggedAt = new Map<JobId, WallClockMs>();
 
   constructor(private readonly context: ControllerContext) {}
 
-  /** Logs those of the jobs that are due. Jobs without a wait reason are forgotten. */
+  /** Logs those of the jobs whose interval has passed. Drops the log times of jobs without a wait reason. */
   log(jobs: readonly JobRecord[], waitReasons: ReadonlyMap<JobId, WaitReason>): void {
     const now = this.context.clock.wallClock();
     for (const id of this.loggedAt.keys()) if (!waitReasons.has(id)) this.loggedAt.delete(id);
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -21,30 +21,36 @@
 import { StartTransactions, type PlacementPlan } from './start-transactions.js';
 import type { TaskExits } from './task-exits.js';
 
-/** Partly used machines are preferred for this long after the last gang, so that empty ones are left for gangs. */
+/**
+ * Partly used machines are preferred for this long after the last gang was seen, so that empty ones are left for gangs.
+ */
 const GANG_MEMORY_MS = 600_000;
-/** Starts planned in one pass; each costs processor time. */
+/** Maximum number of starts planned in one pass; each costs processor time. */
 const MAX_PLACEMENTS = 256;
 /**
- * Bounds of the machines that one pass places tasks on. Each costs a write, so that between the bounds the pass is limited
- * to what can be written within `MAX_COMMIT_MS`.
+ * One pass may place tasks on this many machines even where fewer can be written within `MAX_COMMIT_MS`; each machine
+ * costs a write.
  */
 const MIN_MACHINES_PER_PASS = 16;
+/** Maximum number of machines that one pass places tasks on, whatever the write budget. */
 const MAX_MACHINES_PER_PASS = 64;
+/** Between its two bounds, the number of machines of a pass is limited to what can be written within this time. */
 const MAX_COMMIT_MS = 2500;
 
-/** Fetch ranks of machines without the image: fetching it already, and fetching none. */
+/** Fetch rank of a machine that is already fetching the image. */
 const FETCH_RANK_IN_PROGRESS = 1;
+/** Fetch rank of a machine that lacks the image and fetches no other one. */
 const FETCH_RANK_IDLE = 2;
 
 /** An exited task whose allocation is still in its machine's record. */
 interface ExitedAllocation {
   readonly machine: MachineRecord;
   readonly allocation: Allocation;
+  /** Whether the task's result is in the state service; only then its part of the team's quota counts as free. */
   readonly isDurable: boolean;
 }
 
-/** Plans and commits the starts of one pass after the other. */
+/** Plans and commits the starts of successive placement passes. */
 export class PlacementPass {
   /** Why the last pass left jobs of this controller's teams pending. */
   waitReasons: ReadonlyMap<JobId, WaitReason> = new Map();
@@ -66,7 +72,7 @@
     this.pendingJobLog = new PendingJobLog(context);
   }
 
-  /** Places pending tasks; where none can be placed, preempts tasks for one job. */
+  /** The changes that start pending tasks; where none can be placed, those that preempt tasks for one job. */
   plan(): PlacementPlan {
     const placements = this.place();
     if (placements.length > 0) return this.startTransactions.build(placements);
@@ -74,8 +80,8 @@
   }
 
   /**
-   * Commits a plan, gangs first: a gang that is committed in part would have to stop again. Returns whether all of the plan
-   * was committed.
+   * Commits a plan, gangs first: a gang of which only some starts are committed would have to be stopped again. Returns
+   * whether the whole plan was committed.
    */
   async commit({ gangs, nonGangs }: PlacementPlan): Promise<boolean> {
     const { state, watcher } = this.context;
@@ -99,7 +105,7 @@
     return placements;
   }
 
-  /** Places tasks with the room of exited tasks counted as free, although their allocations are still recorded. */
+  /** Places tasks with the resources of exited tasks counted as free, although their allocations are still recorded. */
   private placeBesideExits(jobs: readonly JobRecord[]): ReturnType<typeof placeTasks> {
     const exited = this.exitedAllocations();
     const totals = this.context.allocations.current();
@@ -136,7 +142,7 @@
     };
   }
 
-  /** Owned machines that may get tasks now. */
+  /** Owned machines that tasks may be placed on now. */
   private availableMachines(): MachineRecord[] {
     const { clock, ownership, settings } = this.context;
     const freshMs = settings.workers.report_s * 1000 * FRESH_HEARTBEAT_INTERVALS;
@@ -165,7 +171,7 @@
     return Math.max(MIN_MACHINES_PER_PASS, Math.min(MAX_MACHINES_PER_PASS, affordable));
   }
 
-  /** Whether any team has had a gang lately. */
+  /** Whether an unfinished gang of any team was seen within `RECENT_GANG_MS`. */
   private hasRecentGangs(): boolean {
     const { clock, view } = this.context;
     const now = clock.now();
@@ -177,7 +183,7 @@
     return now - this.lastGangSeenAt < GANG_MEMORY_MS;
   }
 
-  /** How soon the machine would have the image: 0 if it has it, up to `FETCH_RANK_BUSY`. */
+  /** How soon the machine would have the image, as a rank from 0 (it has the image) to `FETCH_RANK_BUSY`. */
   private fetchRank(machine: MachineRecord, image: string): number {
     if (this.health.hasImage(machine, image)) return 0;
     let rank = FETCH_RANK_IDLE;
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -1,7 +1,7 @@
 /**
- * Preempts tasks for jobs that have found no room for a while: production jobs, jobs within their team's guarantee, and
- * gangs that lower priorities keep from whole machines. Serves at most one job a pass, so that the next pass sees the
- * effect.
+ * Preempts tasks for jobs that have not fitted on any machine for a while: production jobs, jobs within their team's
+ * guarantee, and gangs that tasks of lower priority keep from whole machines. A pass preempts for at most one job, so
+ * that the next pass sees the effect.
  */
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { JobId, MachineName } from '../../core/model/ids.js';
@@ -17,40 +17,43 @@
 import type { ChangeSet } from '../../io/state/change-set.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** Room on a machine that is reserved for the job that tasks were stopped for. */
+/** Reservation of a machine for the job that tasks were stopped for. */
 interface Claim {
   readonly job: JobId;
   readonly until: MonotonicMs;
 }
 
-/** Tasks that are stopped for a job. */
+/** Tasks of one job that are stopped for another job. */
 interface Preemption {
   readonly job: JobRecord;
   readonly machine: MachineRecord;
   readonly victim: Allocation;
-  /** The job is within the guarantee of its team. */
+  /** Whether the job that tasks are stopped for is within its team's guarantee. */
   readonly isEntitled: boolean;
 }
 
-/** Chooses tasks to preempt and reserves their room for the job that they were stopped for. */
+/** Chooses tasks to preempt, and reserves their machines for the job that they are stopped for. */
 export class Preemptor {
   private readonly claims = new Map<MachineName, Claim>();
+  /** Time at which each pending job was first considered for preemption. */
   private readonly waitingSince = new Map<JobId, MonotonicMs>();
 
   constructor(private readonly context: ControllerContext) {}
 
-  /** Whether the machine's room is reserved for another job. */
+  /** Whether the machine is reserved for another job. */
   isClaimedByOther(job: JobId, machine: MachineName): boolean {
     const claim = this.claims.get(machine);
     return claim !== undefined && claim.job !== job && claim.until > this.context.clock.now();
   }
 
-  /** Ends the machine's claim: a task was placed there. */
+  /** Ends the claim on the machine after a task was placed there. */
   releaseClaim(machine: MachineName): void {
     this.claims.delete(machine);
   }
 
-  /** Changes that preempt tasks for the first pending job that may preempt, if there is any. */
+  /**
+   * The changes that preempt tasks for the first pending job that may preempt and has victims; empty if there is none.
+   */
   preempt(waitReasons: ReadonlyMap<JobId, WaitReason>, machines: readonly MachineRecord[]): ChangeSet[] {
     this.forgetOutdated(waitReasons);
     const { startable } = this.context.dependencies.current();
@@ -73,7 +76,10 @@
     for (const [machine, claim] of this.claims) if (claim.until <= now) this.claims.delete(machine);
   }
 
-  /** Whether the job has waited as long as operators allow for room to become free by itself. */
+  /**
+   * Whether the job has waited as long as operators allow (`patience_s`) for resources to become free without
+   * preemption. The time starts with the first call for the job.
+   */
   private hasWaited(id: JobId): boolean {
     const { clock, operator } = this.context;
     const now = clock.now();
@@ -84,7 +90,7 @@
 
   private mayPreempt(job: JobRecord): boolean {
     const { spec, done, failing } = job;
-    // Nothing is stopped for a job that fails on every machine.
+    // No tasks are stopped for a job that fails on every machine.
     if (failing !== undefined) return false;
     const claimed = this.claimsOf(spec.id);
     if (needsSeveralMachines(job)) return claimed === 0;
@@ -109,7 +115,7 @@
     return selected === null ? [] : [this.stopVictims(job, selected.machine, selected.victims)];
   }
 
-  /** A gang starts as a whole, so that room for all its tasks is made and reserved at once. */
+  /** Preempts tasks on all machines that the gang needs and claims them at once, since a gang starts as a whole. */
   private preemptForGang(job: JobRecord, machines: readonly MachineRecord[]): ChangeSet[] {
     const selected = selectGangVictims(this.preemptionInput(job, machines)) ?? [];
     const changes: ChangeSet[] = [];
@@ -138,7 +144,7 @@
     this.claims.set(machine.name, { job: spec.id, until });
   }
 
-  /** The change that stops the victims; claims their room for the job. */
+  /** The change that marks the victims as stopping; claims their machine for the job. */
   private stopVictims(job: JobRecord, machine: MachineRecord, victims: readonly Allocation[]): ChangeSet {
     this.claim(job, machine);
     const isEntitled = this.isEntitled(job);
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -1,6 +1,7 @@
 /**
- * The reconcile loop over this controller's machines and teams: commits what heartbeats prove and places pending tasks. All
- * changes to records of owned machines leave through this loop, one transaction at a time.
+ * The reconcile loop over this controller's machines and teams: commits what heartbeats prove and places pending tasks.
+ * Apart from the leader's, all changes to records of owned machines are committed by this loop, one transaction at a
+ * time.
  */
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
@@ -22,23 +23,23 @@
 import { TaskExits, type UncommittedResults } from './task-exits.js';
 import { FULL_RECONCILE_INTERVAL_MS } from './timing.js';
 
-/** The loop runs at least this often without a notification. */
+/** Longest wait of the loop for a notification before its next pass. */
 const MAX_IDLE_MS = 200;
-/** Pause after a pass that was committed as a whole. */
+/** Pause after a pass whose changes were all committed. */
 const PASS_PAUSE_MS = 20;
-/** Pause after a pass that was not. */
+/** Pause after a pass with a change that was not committed. */
 const RETRY_DELAY_MS = 100;
-/** Pause after a pass that failed with an error. */
+/** Pause after a pass that threw an error. */
 const ERROR_DELAY_MS = 300;
-/** Time that one pass may spend on committing changes that are not urgent. */
+/** Time that one pass may spend on committing its deferred changes. */
 const MAX_CLEANUP_MS = 1000;
 /**
- * After a placement pass, the next one waits for the time that the pass took, times this: placement takes at most a
+ * Minimum pause between placement passes, as a multiple of the planning time of the last one: planning takes at most a
  * quarter of the processor time, so that heartbeats and lease renewals are not delayed.
  */
 const PLACEMENT_PAUSE_FACTOR = 3;
 
-/** Changes of one pass, in the order in which they are committed. */
+/** Changes that one pass has decided beside placements, in the order in which they are committed. */
 interface ReconciledChanges {
   readonly urgent: readonly ChangeSet[];
   /** Committed after the placement pass. */
@@ -56,8 +57,9 @@
   /** Machines with a heartbeat or a committed change since they were last reconciled. */
   private readonly dirtyMachines = new Set<MachineName>();
   private nextFullReconcileAt = Number.NEGATIVE_INFINITY;
-  /** Something that placement depends on has changed. */
+  /** Whether something that placement depends on has changed since the last placement pass. */
   private isPlacementDue = true;
+  /** Time on the monotonic clock before which no placement pass runs. */
   private placementNotBefore = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -96,7 +98,7 @@
     this.notification.notify();
   }
 
-  /** Runs the loop; an error in a pass is logged and the pass repeated. */
+  /** Runs the loop for the life of the process. An error in a pass is logged, and the loop goes on. */
   async run(): Promise<never> {
     const { context } = this;
     for (;;) {
@@ -114,7 +116,10 @@
     }
   }
 
-  /** Returns whether all changes were committed; the others have to be decided again from a newer view. */
+  /**
+   * Runs one pass. Returns whether all its changes were committed; the others have to be decided again from a newer
+   * view.
+   */
   private async runPass(machines: readonly MachineName[]): Promise<boolean> {
     const { state, watcher } = this.context;
     this.sessions.sendDirectCommands(machines);
@@ -149,13 +154,13 @@
     const { finished, cancellations } = this.jobs.reconcile(prepared);
     const failing = this.jobs.recordFailingJobs(prepared.unfinishedJobs);
     return {
-      // Finished jobs first: other jobs may depend on them.
+      // Finished jobs come first, since other jobs may depend on them.
       urgent: [...finished, ...urgentMachines, ...cancellations],
       deferred: [...failing, ...deferredMachines, ...prepared.dueCommits],
     };
   }
 
-  /** Returns whether all starts of the pass were committed, or no pass was due. */
+  /** Runs a placement pass if one is due. Returns false where the pass has changes that were not committed. */
   private async placeIfDue(): Promise<boolean> {
     const { clock } = this.context;
     const startedAt = clock.now();
@@ -201,7 +206,7 @@
     if (isConcerned) this.notification.notify();
   }
 
-  /** Returns whether the change concerns this controller. */
+  /** Marks a changed machine for the next pass. Returns whether the change concerns this controller. */
   private markMachineDirty(name: MachineName): boolean {
     const machine = this.context.view.machines.get(name);
     if (machine !== undefined && !this.context.ownership.owns(machine)) return false;
@@ -210,7 +215,7 @@
     return true;
   }
 
-  /** Returns whether the change concerns this controller. */
+  /** Marks what a changed job affects for the next pass. Returns whether the change concerns this controller. */
   private markJobDirty(id: JobId): boolean {
     const { context } = this;
     const job = context.view.jobs.get(id);
--- a/src/controller/shard/start-transactions.ts
+++ b/src/controller/shard/start-transactions.ts
@@ -1,4 +1,4 @@
-/** Turns placements into changes of machine records: one for each machine. */
+/** Turns placements into changes of machine records, one change set for each machine. */
 import { groupBy } from '../../core/collections.js';
 import { LOG_EVENT } from '../../core/log-events.js';
 import { attempt, taskId, type Attempt, type TeamName } from '../../core/model/ids.js';
@@ -14,17 +14,17 @@
 import type { TaskExits } from './task-exits.js';
 
 /**
- * An attempt consists of the revision at which the holder of the team's shard acquired it, and of a counter below this
- * number.
+ * Number of attempts in one epoch of a shard. An attempt is composed of the epoch, which is the revision at which the
+ * holder of the team's shard acquired it, and of a counter below this number.
  */
 const ATTEMPTS_PER_EPOCH = 2 ** 22;
 
 /** Significant digits of shares and fitness in log lines. */
 const LOGGED_DIGITS = 5;
 
-/** Changes that start tasks. */
+/** Changes of a placement pass: starts, or the preemptions of a pass without starts. */
 export interface PlacementPlan {
-  /** Changes with at least one task of a gang; committed first. */
+  /** Changes that start at least one task of a gang; committed first. */
   readonly gangs: readonly ChangeSet[];
   readonly nonGangs: readonly ChangeSet[];
 }
@@ -51,7 +51,7 @@
     return { gangs, nonGangs };
   }
 
-  /** The change that starts tasks on one machine and removes durable exits from its record. */
+  /** The change that starts tasks on one machine and removes tasks with durable exits from its record. */
   private startOn(machine: MachineRecord, placements: readonly Placement[]): ChangeSet {
     const { guards: guardsOf, state } = this.context;
     const guards = new GuardSet(state.limits.operationsPerTransaction * GUARDS_PER_OPERATION);
@@ -59,12 +59,12 @@
     const exits = this.taskExits.confirmedExitsOn(machine);
     const durableExits = exits.filter((exit) => this.taskExits.isDurable(exit));
     let placed = removeExits(machine.placed, durableExits);
-    // Gangs first: none of their tasks may be left out.
+    // Tasks of gangs come first, since none of them may be left out.
     const gangsFirst = [...placements].sort((a, b) => kindRank(a.job) - kindRank(b.job));
     for (const placement of gangsFirst) {
       const { job, index } = placement;
-      // A transaction with more guards than the limit would be rejected each time, and the machine get no more tasks.
-      // Tasks whose guards do not fit are left to the next pass.
+      // A transaction with more guards than the limit would be rejected each time, and the machine would get no more
+      // tasks. Tasks whose guards do not fit are left to the next pass.
       if (!guards.add([...guardsOf.forTeam(job.team), guardsOf.forKey(key.job(job.id))])) continue;
       const startAttempt = this.attemptOf(placement);
       placed = addAllocation(placed, allocationFor(job, startAttempt, [index]));
@@ -82,12 +82,15 @@
     };
   }
 
-  /** Unique among all starts of the job: two holders of the team's shard have different epochs. */
+  /**
+   * The attempt under which a placement is started, unique among all starts of the job: no two holders of the team's
+   * shard have the same epoch.
+   */
   private attemptOf({ job, attempt: counter }: Placement): Attempt {
     return attempt(this.epochOf(job.team) * ATTEMPTS_PER_EPOCH + (counter % ATTEMPTS_PER_EPOCH));
   }
 
-  /** The revision at which the holder of the team's shard acquired it. */
+  /** The epoch of the team's shard: the revision at which its present holder acquired it. */
   private epochOf(team: TeamName): number {
     const { view } = this.context;
     return view.versionOf(key.shard(view.teams.get(team)!.owner));
--- a/src/controller/shard/task-exits.ts
+++ b/src/controller/shard/task-exits.ts
@@ -1,7 +1,7 @@
 /**
- * Confirmed exits and results of tasks: which results are durable, which allocations of finished tasks may stay in their
- * records for a while, and how often results of unfinished jobs are written. Writes are the scarcest part of the state
- * service's budget, so that results are gathered before they are written.
+ * Confirmed exits and results of tasks: which results are durable, which allocations of finished tasks may stay in
+ * machine records for a while, and how often results of unfinished jobs are written. Writes are the scarcest part of
+ * the state service's budget, so results are written in batches.
  */
 import type { TaskExit } from '../../core/agents/confirmed-exits.js';
 import { isDone, markDone } from '../../core/jobs/done-tasks.js';
@@ -14,25 +14,27 @@
 import type { ControllerContext } from '../controller-context.js';
 import { FULL_RECONCILE_INTERVAL_MS, MAX_CLEANUP_DELAY_MS } from './timing.js';
 
-/** Results of a job are gathered for at least this long while the write budget is short. */
+/** Minimum time for which results of a job are batched while the write budget is short. */
 const MIN_BATCH_MS = 2500;
 /**
- * Results of a job are gathered for about the run time of a task, at most this long: tasks of most arrays run in parallel,
- * so that the job finishes before its results need a write of their own. A result that is not written is lost with its
- * machine.
+ * Maximum time for which results of a job are batched. Up to this bound they are batched for about the run time of a
+ * task: tasks of most arrays run in parallel, so that the job finishes before its results need a write of their own. A
+ * result that is not written is lost with its machine.
  */
 const MAX_BATCH_MS = 20_000;
-/** Fraction of this controller's write budget for results of unfinished jobs; twice that with budget to spare. */
+/**
+ * Fraction of this controller's write budget for results of unfinished jobs; doubled while there is budget to spare.
+ */
 const WRITE_BUDGET_FRACTION = 0.15;
 
-/** Results that one pass has found and that are not durable yet, by job. */
+/** Done tasks that one pass has found and whose results are not durable yet, by job. */
 export type UncommittedResults = Map<JobId, Set<TaskIndex>>;
 
-/** What follows from the results of a pass. */
+/** What one pass writes because of the results that it has found. */
 export interface PreparedResults {
-  /** Jobs all of whose tasks are done. */
+  /** Jobs all of whose tasks are done, with their results. */
   readonly finishedJobs: ReadonlyMap<JobId, DoneSet>;
-  /** All known results of other jobs that have uncommitted ones. */
+  /** Other jobs with uncommitted results, with all their known results. */
   readonly unfinishedJobs: ReadonlyMap<JobId, DoneSet>;
   /** Changes that write the results of unfinished jobs that are due. */
   readonly dueCommits: readonly ChangeSet[];
@@ -44,54 +46,60 @@
   readonly exits: readonly TaskExit[];
 }
 
-/** Keeps track of finished tasks with allocations in their machines' records, and of results that are not written yet. */
+/** Keeps track of finished tasks whose allocations are still recorded, and of results that are not written yet. */
 export class TaskExits {
   /**
-   * Exits whose allocations are still in their machine's record, although their room may be used again. After a crash the
-   * next owner confirms them anew from the next heartbeat.
+   * Exits whose allocations are still in their machine's record, although their resources may be allocated again. After
+   * a crash of this controller, the next owner confirms the exits from the machine's next heartbeat.
    */
   private readonly confirmed = new Map<MachineName, ConfirmedExits>();
-  /** Since when results of unfinished jobs have been gathered. */
+  /** Start of each unfinished job's present batch of results. */
   private readonly pendingSince = new Map<JobId, MonotonicMs>();
 
   constructor(private readonly context: ControllerContext) {}
 
-  /** Remembers the exits of a machine whose allocations may stay for now. */
+  /** Keeps those exits of a machine whose allocations may stay in its record for now; replaces earlier ones. */
   recordExits(machine: MachineRecord, token: FencingToken, exits: readonly TaskExit[]): void {
     const kept = exits.filter((exit) => this.mayKeepAllocation(exit));
     if (kept.length > 0) this.confirmed.set(machine.name, { token, exits: kept });
     else this.confirmed.delete(machine.name);
   }
 
-  /** Forgets the exits of a machine that this controller does not own any more. */
+  /** Drops the exits of a machine that this controller no longer owns. */
   forget(name: MachineName): void {
     this.confirmed.delete(name);
   }
 
-  /** Machines with remembered exits. */
+  /** Machines with exits whose allocations may still be recorded. */
   machines(): Iterable<MachineName> {
     return this.confirmed.keys();
   }
 
-  /** Remembered exits whose allocations are still in the machine's record. */
+  /** Exits whose allocations are still in the machine's record; none where its fencing token has changed. */
   confirmedExitsOn(machine: MachineRecord): TaskExit[] {
     const confirmed = this.confirmed.get(machine.name);
     if (confirmed?.token !== this.context.view.fencingTokenOf(machine)) return [];
     return confirmed.exits.filter((exit) => hasAllocationOf(machine, exit));
   }
 
-  /** Whether the allocation of an exited task may stay: it delays nothing but the cancellation of its job. */
+  /**
+   * Whether the allocation of an exited task may stay in its machine's record for now. That of a finished task may,
+   * unless its job is being cancelled: it would delay the end of the cancellation, but nothing else.
+   */
   mayKeepAllocation({ reason, allocation }: TaskExit): boolean {
     return reason === 'done' && this.context.view.jobs.get(allocation.job)?.phase !== 'cancelling';
   }
 
-  /** Whether the task's result is in the state service: only then may its agent forget it. */
+  /**
+   * Whether the result of an exited task is in the state service, or its job is over: only then may its agent forget
+   * it.
+   */
   isDurable({ allocation, index }: TaskExit): boolean {
     const job = this.context.view.jobs.get(allocation.job);
     return job === undefined || isDone(job.done, index);
   }
 
-  /** Adds the result that the exit shows, if it is not durable yet. */
+  /** Adds the result of a finished task to `results`, if it is not durable yet. */
   collectResult(exit: TaskExit, results: UncommittedResults): void {
     if (exit.reason !== 'done' || this.isDurable(exit)) return;
     const { job, kind } = exit.allocation;
@@ -101,7 +109,7 @@
       indexes.add(exit.index);
       return;
     }
-    // Tasks of a gang finish together: one that is done shows that all are.
+    // Tasks of a gang finish together: if one is done, all are.
     const tasks = this.context.view.jobs.get(job)?.spec.tasks ?? 0;
     for (let index = 0; index < tasks; index++) indexes.add(index);
   }
@@ -128,11 +136,11 @@
     return { finishedJobs, unfinishedJobs, dueCommits };
   }
 
-  /** Whether the job's results are written now; if so, the next ones are gathered from now on. */
+  /** Whether the job's batch of results is to be written now. If so, its next batch starts now. */
   private takeCommitTurn(job: JobRecord, done: DoneSet, commitIntervalMs: number): boolean {
     const { id } = job.spec;
     const now = this.context.clock.now();
-    // A result shows that a job does not fail everywhere, so that its record is corrected at once.
+    // A result shows that the job does not fail on every machine, so its failure record is removed at once.
     const isFailing = job.failing !== undefined;
     const delayMs = isFailing ? 0 : Math.max(commitIntervalMs, this.maxDelayMs(job, done));
     const since = this.pendingSince.get(id) ?? now;
@@ -153,9 +161,9 @@
   }
 
   /**
-   * How long a job's results may be gathered beyond the commit interval. Not at all where another controller may need
-   * them: each owner sees the tasks on its own machines only, and a team's controller counts a task against the team's
-   * quota until its result is written.
+   * How long a job's results may be batched where that is longer than the commit interval; 0 where another controller
+   * may need them. Each owner sees the tasks on its own machines only, and a team's controller counts a task against
+   * the team's quota until its result is written.
    */
   private maxDelayMs(job: JobRecord, done: DoneSet): number {
     const { context } = this;
@@ -173,7 +181,10 @@
     return machine !== undefined && this.context.ownership.owns(machine);
   }
 
-  /** Interval between writes of one job's results at which those of all `jobs` stay within their part of the budget. */
+  /**
+   * Interval between writes of one job's results that keeps the writes for all `jobs` within their fraction of the
+   * write budget, as far as the bounds of the interval allow.
+   */
   private commitIntervalMs(jobs: number): number {
     const { limits, hasSpareBudget } = this.context.state;
     const fraction = hasSpareBudget ? 2 * WRITE_BUDGET_FRACTION : WRITE_BUDGET_FRACTION;
--- a/src/controller/shard/timing.ts
+++ b/src/controller/shard/timing.ts
@@ -1,10 +1,15 @@
-/** Intervals of the shard controller, and how long changes that are not urgent may wait. */
+/** Reconcile interval of the shard controller, and how long its changes that are not urgent may be delayed. */
 
-/** Interval at which every machine is reconciled, for changes that only the passing of time brings about. */
+/** Interval at which every owned machine is reconciled, for changes that become due by time alone. */
 export const FULL_RECONCILE_INTERVAL_MS = 500;
-/** How long allocations of finished tasks may stay in a record while the write budget is not fully used. */
+/** How long allocations of finished tasks may stay in a machine's record while there is write budget to spare. */
 export const CLEANUP_DELAY_SPARE_MS = 1500;
-/** How long they may stay while the write budget is short. */
+/**
+ * Longest time that allocations of finished tasks may stay in a machine's record; used while the write budget is short.
+ */
 export const MAX_CLEANUP_DELAY_MS = 10_000;
-/** How long they may stay as a machine's only ones: an empty machine can serve another shard or be released. */
+/**
+ * How long allocations of finished tasks may stay while the write budget is short, if the machine has no others: an
+ * empty machine can serve another shard or be released.
+ */
 export const CLEANUP_DELAY_EMPTY_MS = 3000;
