--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -54,7 +54,7 @@
   }
 
   /** Names of the machines with a session. */
-  names(): Iterable<MachineName> {
+  machineNames(): Iterable<MachineName> {
     return this.sessions.keys();
   }
 
@@ -96,8 +96,8 @@
     if (!recordHeartbeat(session, heartbeat, arrival)) return { kind: 'ok', token, commands: [] };
     if (context.events.isActive) context.events.emit({ kind: 'heartbeat_recorded', heartbeat });
     const desired = this.desiredState();
-    const isNews = isFirst || machine.phase === 'booting' || heartbeat.preemptionNoticeS !== null;
-    if (isNews || confirmedExits(machine, session, desired).length > 0)
+    const needsReconcile = isFirst || machine.phase === 'booting' || heartbeat.preemptionNoticeS !== null;
+    if (needsReconcile || confirmedExits(machine, session, desired).length > 0)
       this.onObservation({ machine: machine.name, isNewlyAvailable: isFirst });
     const mayStart = machine.phase !== 'releasing';
     const commands = agentCommands({ machine, session, desired, now, mayStart });
@@ -122,7 +122,7 @@
     const heartbeat = session.heartbeat ?? this.health.lastHeartbeat(name);
     const address = heartbeat?.address ?? machine.address;
     if (address === undefined || machine.phase === 'releasing' || this.inFlight.has(name)) return;
-    const stops = this.messageFor(machine, session, heartbeat, desired);
+    const stops = this.directCommandsFor(machine, session, heartbeat, desired);
     if (stops === null) return;
     this.inFlight.add(name);
     this.logCommands(name, session.token, stops);
@@ -136,7 +136,7 @@
   }
 
   /** The stop commands to send; empty where only the fencing token is to be sent, null where nothing is. */
-  private messageFor(
+  private directCommandsFor(
     machine: MachineRecord,
     session: AgentSession,
     heartbeat: Heartbeat | null,
@@ -153,11 +153,11 @@
   private dueStops(machine: MachineRecord, session: AgentSession, desired: DesiredState): AgentCommand[] {
     const now = this.context.clock.now();
     const commands = agentCommands({ machine, session, desired, now, mayStart: false });
-    return commands.filter((command) => command.op === 'stop' && this.takeStopTurn(machine.name, command));
+    return commands.filter((command) => command.op === 'stop' && this.recordStopIfDue(machine.name, command));
   }
 
   /** Whether the stop command has not been sent directly within the resend interval. If so, records it as sent now. */
-  private takeStopTurn(machine: MachineName, stop: AgentCommand): boolean {
+  private recordStopIfDue(machine: MachineName, stop: AgentCommand): boolean {
     const key = `${machine} ${taskKey(stop.job, stop.index, stop.attempt)}`;
     const sentAt = this.stopSentAt.get(key);
     const now = this.context.clock.now();
--- a/src/controller/shard/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -28,7 +28,7 @@
 /** Reconciles the records of jobs of owned teams with task results, failures and cancellation requests. */
 export class JobReconciler {
   /** Jobs whose cancellation was requested from this controller, not through the state service. */
-  private readonly requested = new Set<JobId>();
+  private readonly requestedCancellations = new Set<JobId>();
 
   constructor(
     private readonly context: ControllerContext,
@@ -37,7 +37,7 @@
 
   /** Begins the cancellation of a job of an owned team with the next pass. */
   requestCancellation(id: JobId): void {
-    this.requested.add(id);
+    this.requestedCancellations.add(id);
   }
 
   /**
@@ -50,8 +50,8 @@
       this.finish(jobs.get(id)!, { state: 'done', done: done.count }),
     );
     const cancellations = [
-      ...this.takeStoredCancellations(results),
-      ...this.takeCancellationRequests(results),
+      ...this.beginStoredCancellations(results),
+      ...this.beginRequestedCancellations(results),
       ...this.cancelDependents(),
       ...this.finishCancelled(results),
     ];
@@ -88,7 +88,7 @@
   }
 
   /** Begins the cancellations that other controllers have requested through the state service. */
-  private takeStoredCancellations({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
+  private beginStoredCancellations({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
     const { context } = this;
     const { view } = context;
     const changes: ChangeSet[] = [];
@@ -113,16 +113,16 @@
     };
   }
 
-  private takeCancellationRequests({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
+  private beginRequestedCancellations({ finishedJobs, unfinishedJobs }: PreparedResults): ChangeSet[] {
     const { view, ownership } = this.context;
     const changes: ChangeSet[] = [];
-    for (const id of this.requested) {
+    for (const id of this.requestedCancellations) {
       if (finishedJobs.has(id)) continue;
       const job = view.jobs.get(id);
       const mayCancel = job?.phase === 'active' && ownership.ownsTeam(job.spec.team);
       if (mayCancel && !view.cancellations.has(id))
         changes.push(this.beginCancellation(job, unfinishedJobs.get(id)));
-      else this.requested.delete(id);
+      else this.requestedCancellations.delete(id);
     }
     return changes;
   }
--- a/src/controller/shard/machine-reachability.ts
+++ b/src/controller/shard/machine-reachability.ts
@@ -14,11 +14,11 @@
 export const FRESH_HEARTBEAT_INTERVALS = 2;
 
 /** Time that an agent spends on a controller that does not answer before it turns to the next one. */
-const HOP_MS = AGENT_ANSWER_TIMEOUT_MS + AGENT_FAILOVER_PAUSE_MS;
+const FAILOVER_STEP_MS = AGENT_ANSWER_TIMEOUT_MS + AGENT_FAILOVER_PAUSE_MS;
 /** Allowance for delays of the network and of busy processes while an agent turns to the next controller. */
-const HOP_SLACK_MS = 1500;
+const FAILOVER_SLACK_MS = 1500;
 /** Allowance for delays of the network and of busy processes while an agent tries every controller. */
-const FULL_CYCLE_SLACK_MS = 3000;
+const FULL_FAILOVER_SLACK_MS = 3000;
 /** From this number of other silent machines in a zone on, their silence is taken to have a common cause. */
 const MIN_CORRELATED_PEERS = 3;
 /**
@@ -55,19 +55,19 @@
    * to the cloud, and its tasks are freed only once the cloud has answered.
    */
   isUnreachable(machine: MachineRecord, session: AgentSession): boolean {
-    if (!this.canJudge(machine, session)) return false;
+    if (!this.canEvaluate(machine, session)) return false;
     const { settings, clock } = this.context;
     const silentMs = clock.now() - session.lastContactAt;
     // An agent that has not pushed a heartbeat to this owner yet may have to try every other controller first.
-    const hops = session.lastPushedAt === null ? settings.nodes : 1;
-    if (silentMs < this.failoverDelayMs(hops)) return false;
+    const steps = session.lastPushedAt === null ? settings.nodes : 1;
+    if (silentMs < this.failoverDelayMs(steps)) return false;
     this.zones ??= this.evaluateZones();
     const zone = this.zones.get(machine.zone);
     if (zone?.isResponding === true) return true;
     return silentMs > this.maxPartitionSilenceMs(machine, zone);
   }
 
-  private canJudge(machine: MachineRecord, session: AgentSession): boolean {
+  private canEvaluate(machine: MachineRecord, session: AgentSession): boolean {
     const { context } = this;
     if (machine.phase === 'releasing' || context.ownership.proxyOf(machine) !== null) return false;
     if (machine.phase === 'booting' && session.heartbeat === null) return false;
@@ -78,8 +78,8 @@
    * Longest time until an agent that loses its owner's answers has reached another controller, where `steps`
    * controllers do not answer.
    */
-  private failoverDelayMs(hops: number): number {
-    return this.maxHeartbeatIntervalMs() + hops * HOP_MS + HOP_SLACK_MS;
+  private failoverDelayMs(steps: number): number {
+    return this.maxHeartbeatIntervalMs() + steps * FAILOVER_STEP_MS + FAILOVER_SLACK_MS;
   }
 
   private maxHeartbeatIntervalMs(): number {
@@ -122,7 +122,8 @@
     const { settings, view } = this.context;
     const peers = (zone?.machines ?? 0) - (machine.phase === 'booting' ? 0 : 1);
     const bootS = peers >= MIN_CORRELATED_PEERS ? (view.typesByName.get(machine.type)?.bootS ?? 0) : 0;
-    const fullCycleMs = this.maxHeartbeatIntervalMs() + settings.nodes * HOP_MS + FULL_CYCLE_SLACK_MS;
-    return fullCycleMs + (settings.workers.lease_s + bootS) * 1000;
+    const fullFailoverMs =
+      this.maxHeartbeatIntervalMs() + settings.nodes * FAILOVER_STEP_MS + FULL_FAILOVER_SLACK_MS;
+    return fullFailoverMs + (settings.workers.lease_s + bootS) * 1000;
   }
 }
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -24,7 +24,7 @@
 /**
  * Partly used machines are preferred for this long after the last gang was seen, so that empty ones are left for gangs.
  */
-const GANG_MEMORY_MS = 600_000;
+const RECENT_GANG_MS = 600_000;
 /** Maximum number of starts planned in one pass; each costs processor time. */
 const MAX_PLACEMENTS = 256;
 /**
@@ -94,7 +94,7 @@
     const { ownership, dependencies } = this.context;
     const { startable } = dependencies.current();
     const jobs = startable.filter((job) => ownership.ownsTeam(job.spec.team));
-    const { placements, waitReasons } = this.placeBesideExits(jobs);
+    const { placements, waitReasons } = this.placeWithExitsReleased(jobs);
     const backingOff = jobs.filter((job) => this.health.isBackingOff(job));
     this.waitReasons = new Map([
       ...waitReasons,
@@ -106,7 +106,7 @@
   }
 
   /** Places tasks with the resources of exited tasks counted as free, although their allocations are still recorded. */
-  private placeBesideExits(jobs: readonly JobRecord[]): ReturnType<typeof placeTasks> {
+  private placeWithExitsReleased(jobs: readonly JobRecord[]): ReturnType<typeof placeTasks> {
     const exited = this.exitedAllocations();
     const totals = this.context.allocations.current();
     for (const { machine, allocation, isDurable } of exited)
@@ -180,7 +180,7 @@
       this.lastGangSeenAt = now;
       break;
     }
-    return now - this.lastGangSeenAt < GANG_MEMORY_MS;
+    return now - this.lastGangSeenAt < RECENT_GANG_MS;
   }
 
   /** How soon the machine would have the image, as a rank from 0 (it has the image) to `FETCH_RANK_BUSY`. */
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -62,7 +62,7 @@
       if (reason !== 'no_room') continue;
       const job = startableJobs.get(id);
       if (!this.hasWaited(id) || job === undefined || !this.mayPreempt(job)) continue;
-      const changes = needsSeveralMachines(job)
+      const changes = isMultiTaskGang(job)
         ? this.preemptForGang(job, machines)
         : this.preemptForTask(job, machines);
       if (changes.length > 0) return changes;
@@ -93,7 +93,7 @@
     // No tasks are stopped for a job that fails on every machine.
     if (failing !== undefined) return false;
     const claimed = this.claimsOf(spec.id);
-    if (needsSeveralMachines(job)) return claimed === 0;
+    if (isMultiTaskGang(job)) return claimed === 0;
     const allocated = this.context.allocations.current().jobs.get(spec.id)?.tasks.size ?? 0;
     if (claimed >= spec.tasks - done.count - allocated) return false;
     return spec.priority === 'production' || this.isEntitled(job);
@@ -156,22 +156,22 @@
     };
   }
 
-  private reportPreemption({ job: preemptor, machine, victim, isEntitled }: Preemption): void {
+  private reportPreemption({ job: preemptingJob, machine, victim, isEntitled }: Preemption): void {
     const { events, log } = this.context;
     const { job, tasks, attempt } = victim;
-    const preemptorId = preemptor.spec.id;
+    const preemptingId = preemptingJob.spec.id;
     if (events.isActive)
       for (const index of tasks)
         events.emit({
           kind: 'task_preempted',
           task: { job, index, attempt, machine: machine.name },
-          inFavourOf: preemptorId,
+          inFavourOf: preemptingId,
         });
     log.info(
-      { job, tasks, attempt, machine: machine.name, for: preemptorId, entitled: isEntitled },
+      { job, tasks, attempt, machine: machine.name, for: preemptingId, entitled: isEntitled },
       LOG_EVENT.taskPreempted,
     );
   }
 }
 
-const needsSeveralMachines = ({ spec }: JobRecord): boolean => spec.kind === 'gang' && spec.tasks > 1;
+const isMultiTaskGang = ({ spec }: JobRecord): boolean => spec.kind === 'gang' && spec.tasks > 1;
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -32,7 +32,7 @@
 /** Pause after a pass that threw an error. */
 const ERROR_DELAY_MS = 300;
 /** Time that one pass may spend on committing its deferred changes. */
-const MAX_CLEANUP_MS = 1000;
+const MAX_DEFERRED_COMMIT_MS = 1000;
 /**
  * Minimum pause between placement passes, as a multiple of the planning time of the last one: planning takes at most a
  * quarter of the processor time, so that heartbeats and lease renewals are not delayed.
@@ -60,7 +60,7 @@
   /** Whether something that placement depends on has changed since the last placement pass. */
   private isPlacementDue = true;
   /** Time on the monotonic clock before which no placement pass runs. */
-  private placementNotBefore = Number.NEGATIVE_INFINITY;
+  private nextPlacementAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly context: ControllerContext,
@@ -132,7 +132,7 @@
       watcher,
       deferred,
       REQUEST_PRIORITY.starts,
-      MAX_CLEANUP_MS,
+      MAX_DEFERRED_COMMIT_MS,
     );
     return areDeferredCommitted && isCommitted;
   }
@@ -164,11 +164,11 @@
   private async placeIfDue(): Promise<boolean> {
     const { clock } = this.context;
     const startedAt = clock.now();
-    if (!this.isPlacementDue || startedAt < this.placementNotBefore) return true;
+    if (!this.isPlacementDue || startedAt < this.nextPlacementAt) return true;
     this.isPlacementDue = false;
     const plan = this.placementPass.plan();
     const endedAt = clock.now();
-    this.placementNotBefore = endedAt + (endedAt - startedAt) * PLACEMENT_PAUSE_FACTOR;
+    this.nextPlacementAt = endedAt + (endedAt - startedAt) * PLACEMENT_PAUSE_FACTOR;
     const isCommitted = await this.placementPass.commit(plan);
     if (!isCommitted) this.isPlacementDue = true;
     return isCommitted;
@@ -181,7 +181,7 @@
       this.nextFullReconcileAt = now + FULL_RECONCILE_INTERVAL_MS;
       this.isPlacementDue = true;
       for (const machine of context.ownership.ownedMachines()) this.dirtyMachines.add(machine.name);
-      for (const name of this.sessions.names()) this.dirtyMachines.add(name);
+      for (const name of this.sessions.machineNames()) this.dirtyMachines.add(name);
     }
     const machines = [...this.dirtyMachines];
     this.dirtyMachines.clear();
@@ -195,15 +195,15 @@
   }
 
   private onViewChanges({ machines, jobs, shards, teams, types, cancellations }: ViewChanges): void {
-    let isConcerned = cancellations.size > 0;
-    for (const name of machines) isConcerned = this.markMachineDirty(name) || isConcerned;
-    for (const id of jobs) isConcerned = this.markJobDirty(id) || isConcerned;
+    let needsPass = cancellations.size > 0;
+    for (const name of machines) needsPass = this.markMachineDirty(name) || needsPass;
+    for (const id of jobs) needsPass = this.markJobDirty(id) || needsPass;
     if (shards.size > 0 || teams.size > 0 || types) {
       this.nextFullReconcileAt = Number.NEGATIVE_INFINITY;
       this.isPlacementDue = true;
-      isConcerned = true;
+      needsPass = true;
     }
-    if (isConcerned) this.notification.notify();
+    if (needsPass) this.notification.notify();
   }
 
   /** Marks a changed machine for the next pass. Returns whether the change concerns this controller. */
--- a/src/controller/shard/task-exits.ts
+++ b/src/controller/shard/task-exits.ts
@@ -54,7 +54,7 @@
    */
   private readonly confirmed = new Map<MachineName, ConfirmedExits>();
   /** Start of each unfinished job's present batch of results. */
-  private readonly pendingSince = new Map<JobId, MonotonicMs>();
+  private readonly batchStartedAt = new Map<JobId, MonotonicMs>();
 
   constructor(private readonly context: ControllerContext) {}
 
@@ -130,26 +130,28 @@
         continue;
       }
       unfinishedJobs.set(id, done);
-      if (this.takeCommitTurn(job, done, commitIntervalMs)) dueCommits.push(this.commitResults(job, done));
+      if (this.closeBatchIfDue(job, done, commitIntervalMs))
+        dueCommits.push(this.resultsChangeSet(job, done));
     }
-    for (const id of this.pendingSince.keys()) if (!context.view.jobs.has(id)) this.pendingSince.delete(id);
+    for (const id of this.batchStartedAt.keys())
+      if (!context.view.jobs.has(id)) this.batchStartedAt.delete(id);
     return { finishedJobs, unfinishedJobs, dueCommits };
   }
 
   /** Whether the job's batch of results is to be written now. If so, its next batch starts now. */
-  private takeCommitTurn(job: JobRecord, done: DoneSet, commitIntervalMs: number): boolean {
+  private closeBatchIfDue(job: JobRecord, done: DoneSet, commitIntervalMs: number): boolean {
     const { id } = job.spec;
     const now = this.context.clock.now();
     // A result shows that the job does not fail on every machine, so its failure record is removed at once.
     const isFailing = job.failing !== undefined;
-    const delayMs = isFailing ? 0 : Math.max(commitIntervalMs, this.maxDelayMs(job, done));
-    const since = this.pendingSince.get(id) ?? now;
+    const delayMs = isFailing ? 0 : Math.max(commitIntervalMs, this.batchDelayMs(job, done));
+    const since = this.batchStartedAt.get(id) ?? now;
     const isDue = now - since >= delayMs;
-    this.pendingSince.set(id, isDue ? now : since);
+    this.batchStartedAt.set(id, isDue ? now : since);
     return isDue;
   }
 
-  private commitResults(job: JobRecord, done: DoneSet): ChangeSet {
+  private resultsChangeSet(job: JobRecord, done: DoneSet): ChangeSet {
     const { recordBudget, guards } = this.context;
     const { failing, ...withoutFailures } = job;
     const jobKey = key.job(job.spec.id);
@@ -165,7 +167,7 @@
    * may need them. Each owner sees the tasks on its own machines only, and a team's controller counts a task against
    * the team's quota until its result is written.
    */
-  private maxDelayMs(job: JobRecord, done: DoneSet): number {
+  private batchDelayMs(job: JobRecord, done: DoneSet): number {
     const { context } = this;
     const { id, team, demand, estimateS } = job.spec;
     if (!context.ownership.ownsTeam(team)) return 0;
