--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,4 +1,7 @@
-/** Keeps the records in step with the cloud: machine types, machines that failed or are gone, and machines without records. */
+/**
+ * Keeps the records consistent with the cloud: machine types, machines that have failed or are gone, and machines that
+ * have no record.
+ */
 import { addToCount } from '../../core/collections.js';
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { MachineName, NodeName } from '../../core/model/ids.js';
@@ -17,23 +20,23 @@
 import { maxListLagS, type UnregisteredMachines } from './unregistered-machines.js';
 
 const LIST_INTERVAL_MS = 4000;
-/** A machine must be missing from the list for so much longer than any list lags. */
+/** A machine counts as gone once the list has lacked it for the list's longest lag plus this margin. */
 const DELISTED_MARGIN_S = 4;
-/** Prices change: the machine types are read again once in so many lists. */
+/** The machine types are read again once in this many lists, since prices change. */
 const LISTS_PER_TYPES_REFRESH = 8;
 
-/** What the inventory is made with. */
+/** Dependencies of `CloudInventory`. */
 export interface CloudInventoryOptions {
   readonly context: ControllerContext;
   readonly membership: Membership;
   readonly cloud: CloudClient;
   readonly transactions: LeaderTransactions;
   readonly unregisteredMachines: UnregisteredMachines;
-  /** Called after a comparison when there are machines to register. */
+  /** Called after each comparison that leaves machines to register. */
   readonly onMachinesFound: () => void;
 }
 
-/** Compares the records with the cloud's list, and registers machines that have no record. */
+/** Compares the records with the cloud's list of machines, and registers machines that have no record. */
 export class CloudInventory {
   private readonly context: ControllerContext;
   private readonly transactions: LeaderTransactions;
@@ -47,7 +50,7 @@
     this.unregisteredMachines = options.unregisteredMachines;
   }
 
-  /** Compares the records with the cloud's list again and again while this controller leads. */
+  /** Compares the records with the cloud's list at intervals while this controller leads; failures are logged. */
   async run(): Promise<never> {
     const { context } = this;
     const { membership, cloud } = this.options;
@@ -65,15 +68,19 @@
     }
   }
 
-  /** Reads the machine types from the cloud and records them if they have changed. */
+  /**
+   * Reads the machine types from the cloud and records them if they have changed; without an answer the recorded types
+   * stay. Throws `ProtocolError` on a malformed answer.
+   */
   async refreshTypes(): Promise<void> {
     const { view, state } = this.context;
     const types = await this.options.cloud.types();
     if (types === null) return;
     if (JSON.stringify(view.types) === JSON.stringify(types)) return;
     const parts = splitBySize(types, state.limits.valueBytes);
-    // A list above the size limit that stands in one record, written under a higher limit, is left while only prices
-    // differ: an older process that reads no further parts would miss the types in them.
+    // A list that needs several parts is not rewritten while its type names are the same. It may be stored in one
+    // record, written under a higher size limit, and an older process that reads only that record would miss the types
+    // in the other parts.
     if (parts.length > 1 && haveSameNames(view.types, types)) return;
     const operations: WriteOperation[] = parts.map((value, part) => ({
       key: part === 0 ? key.types : key.moreTypes(part),
@@ -81,11 +88,11 @@
     }));
     for (let part = parts.length; view.entries.has(key.moreTypes(part)); part++)
       operations.push({ key: key.moreTypes(part), value: undefined });
-    // Several transactions may be needed; the parts are read one by one in any case.
+    // The parts may need several transactions. That is safe, since readers apply each part by itself.
     await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
   }
 
-  /** Gives the machines that have no record one, each in the shard that has the fewest machines. */
+  /** Creates a record for each confirmed machine that has none, in the shard that has the fewest machines. */
   async registerMachines(shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
     if (this.unregisteredMachines.size === 0) return;
@@ -127,9 +134,10 @@
   }
 
   /**
-   * Machines that the cloud listed before and lists no more. A machine stays listed until it is gone, but a list may be
-   * older than the one before by as much as lists lag. Marking them for release is safe: only the cloud's confirmation of
-   * the release frees their tasks. Without it, a machine alone in its zone would be taken for one that is partitioned.
+   * Machines with a record that the cloud once listed and has not listed for longer than any list lags. A machine stays
+   * listed until it is gone, but a list may be older than the previous one by as much as lists lag. Marking these
+   * machines for release is safe: only the cloud's confirmation of the release frees their tasks. Unmarked, a machine
+   * that is alone in its zone would be treated as partitioned.
    */
   private delistedMachines(list: readonly ListedMachine[], requestedAt: MonotonicMs): MachineRecord[] {
     const { view, clock, settings } = this.context;
--- a/src/controller/leader/headroom-planner.ts
+++ b/src/controller/leader/headroom-planner.ts
@@ -1,4 +1,4 @@
-/** The capacity that the leader keeps free: for jobs that are likely to arrive, and for services of a machine that is lost. */
+/** Plans the capacity that the leader keeps free for jobs likely to arrive and for the services of a lost machine. */
 import { addToCount } from '../../core/collections.js';
 import { allowsMachineType } from '../../core/jobs/feasibility.js';
 import type { JobSpec } from '../../core/model/jobs.js';
@@ -8,7 +8,7 @@
 import type { Headroom } from '../../core/scaling/scaling-types.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** Records arriving jobs and tells the headroom to keep. */
+/** Records the arrivals of jobs and computes the headroom to keep. */
 export class HeadroomPlanner {
   private readonly forecast: DemandForecast;
 
@@ -21,7 +21,7 @@
     });
   }
 
-  /** Headroom for the jobs that are likely to arrive, and then for services. */
+  /** Headroom for the jobs that are likely to arrive, followed by headroom for services. */
   headroom(): Headroom[] {
     const unfinishedTasks = this.recordJobs();
     const { clock } = this.context;
@@ -36,9 +36,9 @@
   /** Records the startable jobs as arrived and counts their unfinished tasks by job class. */
   private recordJobs(): ReadonlyMap<string, number> {
     const unfinishedTasks = new Map<string, number>();
-    // A job that depends on others arrives when the last of them is done.
+    // `submitted` of a startable job that depends on others is the time at which the last of them was done.
     for (const { spec, done, submitted, failing } of this.context.dependencies.current().startable) {
-      // A job that fails everywhere tells nothing about the capacity that its class needs.
+      // A job that fails on every machine says nothing about the capacity that its class needs.
       if (failing !== undefined) continue;
       this.forecast.recordArrival(spec, submitted / 1000);
       addToCount(unfinishedTasks, spec.class, spec.tasks - done.count);
@@ -52,7 +52,10 @@
     );
   }
 
-  /** Services never end: headroom for the largest number of their tasks on one machine, should it be lost. */
+  /**
+   * Headroom to restart the service tasks of a machine that is lost: for the largest number of them on one machine. It is
+   * kept for as long as there are services, since they never end.
+   */
   private serviceHeadroom(): Headroom[] {
     let largest: Headroom | null = null;
     for (const machine of this.context.view.machines.values()) {
@@ -60,7 +63,7 @@
       if (services !== null && services.tasks > (largest?.tasks ?? 0)) largest = services;
     }
     if (largest === null) return [];
-    // Without the job's ties to zones: the headroom serves any service.
+    // `oneZone` and `spread` are dropped, since the headroom may serve any service.
     const { spec, tasks } = largest;
     return [{ spec: { ...spec, oneZone: false, spread: false, tasks }, tasks }];
   }
--- a/src/controller/leader/leader-transactions.ts
+++ b/src/controller/leader/leader-transactions.ts
@@ -1,4 +1,4 @@
-/** Commits that only the current leader can make: each transaction is guarded on the leadership. */
+/** Transactions that only the current leader can commit: each is guarded on the leadership. */
 import { key, parseKey } from '../../core/records/keys.js';
 import type { RequestPriority } from '../../io/rate-limiter.js';
 import type { ChangeSet } from '../../io/state/change-set.js';
@@ -8,14 +8,17 @@
 import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from '../membership/membership.js';
 
-/** Commits changes that are guarded on the leadership. All methods tell whether everything was committed. */
+/**
+ * Commits changes that are guarded on the leadership. All methods resolve to true only if every transaction is known to be
+ * committed, and to false while this controller does not lead.
+ */
 export class LeaderTransactions {
   constructor(
     private readonly context: ControllerContext,
     private readonly membership: Membership,
   ) {}
 
-  /** Commits one transaction as it is. */
+  /** Commits one change set as one transaction. */
   async commit({ operations, guards }: ChangeSet, priority: RequestPriority): Promise<boolean> {
     if (!this.membership.isLeader) return false;
     const { state, watcher } = this.context;
@@ -28,17 +31,17 @@
     return outcome === 'ok';
   }
 
-  /** Commits change sets in order, as many to a transaction as fit, and stops at the first transaction that fails. */
+  /** Commits change sets in order, as many per transaction as fit, and stops at the first transaction that fails. */
   async commitInOrder(changeSets: readonly ChangeSet[], priority: RequestPriority): Promise<boolean> {
     for (const transaction of this.packed(changeSets))
       if (!(await this.commit(transaction, priority))) return false;
     return true;
   }
 
-  /** Commits independent operations, as many to a transaction as fit; a transaction that fails does not stop the others. */
+  /** Commits independent operations, as many per transaction as fit; a failed transaction does not stop the others. */
   async commitEach(operations: readonly WriteOperation[], priority: RequestPriority): Promise<boolean> {
-    // All guards are read before the first wait, as the values were: guards read later would admit versions committed in
-    // between, and the operation would overwrite them.
+    // All guards are taken before the first wait, from the same view as the values: a guard taken later would accept a
+    // version committed in between, and the operation would overwrite it.
     const changeSets = operations.map((operation) => ({
       operations: [operation],
       guards: this.guardsOf(operation),
@@ -51,6 +54,7 @@
     return areAllCommitted;
   }
 
+  /** Change sets whose guards have failed in the view by now are left out, and do not count as failures. */
   private packed(changeSets: readonly ChangeSet[]): Generator<ChangeSet> {
     const { state, view } = this.context;
     return packTransactions(changeSets, [this.leaderGuard()], state.limits, view);
@@ -61,8 +65,8 @@
   }
 
   /**
-   * The written key, and for a machine also the shard that it belongs to: the floor set by a move is above the machine's
-   * fencing token only as long as that shard keeps its holder.
+   * Guards on the written key and, for a machine, on the shard that it belongs to: the floor set by a move is above the
+   * machine's fencing token only while that shard keeps its holder.
    */
   private guardsOf(operation: WriteOperation): Guard[] {
     const { guards } = this.context;
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -1,7 +1,7 @@
 /**
- * What only the leader does: assigns shards to controllers, teams to shards and machines to shards, and decides which
- * machines are rented and released. Every commit is guarded on the leadership, and the cloud is asked for nothing that was
- * not committed before.
+ * Duties of the leader: it assigns shards to controllers, teams and machines to shards, and decides which machines are
+ * rented and released. Every commit is guarded on the leadership, and each rental and release is committed before it is
+ * requested from the cloud.
  */
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { ShardRecord, TeamRecord } from '../../core/model/cluster.js';
@@ -31,20 +31,20 @@
 import { ScalingPlanner } from './scaling-planner.js';
 import { UnregisteredMachines } from './unregistered-machines.js';
 
-/** The longest wait for a notification before the next pass. */
+/** Longest wait for a notification before the next pass. */
 const IDLE_INTERVAL_MS = 500;
-/** The shortest pause between two passes. */
+/** Shortest pause between two passes. */
 const MIN_PAUSE_MS = 100;
 const PAUSE_AFTER_ERROR_MS = 500;
-/** The pause is at least so many times as long as the last scaling plan took, to bound its part of the processor. */
+/** The pause after a pass is at least this many times as long as its scaling plan took, to bound the CPU time used. */
 const PAUSE_PER_PLAN_TIME = 4;
-/** For so long after taking the leadership, shards without a record are left for their own controllers to acquire. */
+/** For this long after its election, the leader leaves shards without a record to their own controllers to acquire. */
 const INITIAL_ASSIGNMENT_DELAY_MS = 1500;
 
-/** Why a machine is moved to another shard, as the log tells. */
+/** Why a machine is moved to another shard: field `reason` of the log event. */
 type MoveReason = 'misrouted' | 'scaling plan';
 
-/** The loop of the leader. It runs in every controller and acts only while this one leads. */
+/** The leader's loop. It runs in every controller and acts only while its controller leads. */
 export class Leader {
   private readonly notification: Notification;
   private readonly transactions: LeaderTransactions;
@@ -55,7 +55,7 @@
   private readonly misroutedAgents: MisroutedAgents;
   private readonly planner: ScalingPlanner;
   private leadingSince: MonotonicMs | null = null;
-  /** How long the scaling plan of the last pass took. */
+  /** How long the scaling plan of the last pass took; 0 if the pass made none. */
   private planTimeMs = 0;
 
   constructor(
@@ -86,12 +86,12 @@
     });
   }
 
-  /** Records a heartbeat of an agent whose machine has no record. */
+  /** Records a heartbeat of an agent whose machine has no record; a confirmed machine starts the next pass early. */
   recordUnregistered(heartbeat: Heartbeat): void {
     if (this.unregisteredMachines.recordHeartbeat(heartbeat)) this.notification.notify();
   }
 
-  /** Makes a pass after each notification, or after a while without one; a failed pass is logged and repeated. */
+  /** Runs a pass after each notification and at least at the idle interval; a failed pass is logged and repeated. */
   async run(): Promise<never> {
     const { context } = this;
     let pauseMs = 0;
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Each step starts from what the one before has committed; where a commit fails, the next pass begins anew. */
+  /** Runs the steps in order: each builds on the commits of the previous one, and a failed commit ends the pass. */
   private async runPass(): Promise<void> {
     const { view, settings } = this.context;
     if (view.types === null) await this.inventory.refreshTypes();
@@ -132,7 +132,7 @@
     await this.scaleFleet(shards);
   }
 
-  /** The controllers that have a session, by name. */
+  /** The controllers that have a session, sorted by name. */
   private liveControllers(): LiveController[] {
     const { view, clock } = this.context;
     const now = clock.now();
@@ -181,7 +181,7 @@
     return operations.length === 0 || this.transactions.commitEach(operations, REQUEST_PRIORITY.session);
   }
 
-  /** Makes a scaling plan, commits its moves and releases, and begins its rentals. */
+  /** Makes a scaling plan, commits its moves and releases, and starts its rentals. */
   private async scaleFleet(shards: readonly NodeName[]): Promise<void> {
     const { clock } = this.context;
     const startedAt = clock.now();
@@ -195,7 +195,7 @@
     this.rentals.start(plan.rentals, shards);
   }
 
-  /** Moves a machine to another shard, with a fencing token above the present one. */
+  /** The write that moves a machine to another shard, with a floor above the machine's present fencing token. */
   private moveOperation({ machine, to }: MachineMove, reason: MoveReason): WriteOperation {
     const { view, log } = this.context;
     const floor = view.fencingTokenOf(machine) + 1;
@@ -212,7 +212,7 @@
   }
 }
 
-/** The controller that leads, as this controller's view tells; null where none does. */
+/** The controller that leads according to this controller's view; null if none does. */
 export function leaderOf({ view }: ControllerContext): NodeName | null {
   return view.leader === null ? null : nodeName(view.leader.node);
 }
--- a/src/controller/leader/machine-changes.ts
+++ b/src/controller/leader/machine-changes.ts
@@ -6,7 +6,7 @@
 import type { ControllerContext } from '../controller-context.js';
 import type { UnregisteredMachine } from './unregistered-machines.js';
 
-/** The first record of a machine, with a fencing token above the highest that it has seen. */
+/** The first record of a machine. Its floor is above the highest fencing token that the machine's agent has seen. */
 export function newMachineRecord(
   context: ControllerContext,
   name: MachineName,
@@ -26,7 +26,7 @@
   };
 }
 
-/** Marks the machine for release. Its tasks are freed only by the cloud's confirmation that it is gone. */
+/** The write that marks a machine for release. Its tasks stay allocated until the cloud confirms that it is gone. */
 export function markForRelease(machine: MachineRecord): WriteOperation {
   const value: MachineRecord = { ...machine, phase: 'releasing' };
   return { key: key.machine(machine.name), value, reason: 'return' };
--- a/src/controller/leader/machine-releases.ts
+++ b/src/controller/leader/machine-releases.ts
@@ -1,4 +1,4 @@
-/** Returns machines that are marked for release to the cloud, and then removes their records. */
+/** Releases the machines that are marked for release to the cloud, and then removes their records. */
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { MachineName } from '../../core/model/ids.js';
 import { key } from '../../core/records/keys.js';
@@ -10,10 +10,10 @@
 import { isMarkedForRelease } from './machine-changes.js';
 import type { UnregisteredMachines } from './unregistered-machines.js';
 
-/** The most machines that the cloud releases by one request. */
+/** Largest number of machines that the cloud releases per request. */
 const MAX_MACHINES_PER_RELEASE = 100;
 
-/** What releases are made with. */
+/** Dependencies of `MachineReleases`. */
 export interface MachineReleasesOptions {
   readonly context: ControllerContext;
   readonly cloud: CloudClient;
@@ -21,7 +21,7 @@
   readonly unregisteredMachines: UnregisteredMachines;
 }
 
-/** Releases marked machines, one request at a time. */
+/** Releases machines that are marked for release, one request at a time. */
 export class MachineReleases {
   private readonly task: BackgroundTask;
 
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Begins to release the machines that are marked for it, unless a release is running. */
+  /** Starts to release the machines that are marked for it, unless a release is in progress. */
   start(): void {
     if (this.task.isRunning) return;
     const marked = [...this.options.context.view.machines.values()].filter(isMarkedForRelease);
--- a/src/controller/leader/misrouted-agents.ts
+++ b/src/controller/leader/misrouted-agents.ts
@@ -1,6 +1,6 @@
 /**
- * Misrouted agents: machines whose heartbeats another controller answers as a proxy, because they do not reach their
- * owner. After a while such a machine is moved to the shard of its proxy.
+ * Detects misrouted agents: those that do not reach their machine's owner, so that another controller answers their
+ * heartbeats as a proxy. A machine whose agent stays misrouted is moved to the shard of the proxy.
  */
 import { AGENT_ANSWER_TIMEOUT_MS, AGENT_FAILOVER_PAUSE_MS } from '../../core/agents/agent-timing.js';
 import { addToCount } from '../../core/collections.js';
@@ -11,46 +11,46 @@
 import type { LiveController } from '../../core/state/shard-assignment.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** Allowance for delays while an agent turns to the next controller. */
+/** Allowance for delays while an agent fails over to the next controller. */
 const FAILOVER_SLACK_MS = 1000;
-/** Longest time from a heartbeat without an answer to the one that the next controller receives. */
+/** Longest time from an unanswered heartbeat to the arrival of the agent's next one at another controller. */
 const MAX_FAILOVER_MS = AGENT_ANSWER_TIMEOUT_MS + AGENT_FAILOVER_PAUSE_MS + FAILOVER_SLACK_MS;
-/** A machine is moved to its proxy's shard after so many heartbeat intervals. */
+/** A machine is moved to its proxy's shard once it has had a proxy for this many heartbeat intervals. */
 const INTERVALS_BEFORE_MOVE = 1.6;
-/** A controller that reaches none of at least so many machines counts as cut off from its agents. */
+/** A controller that reaches none of its machines counts as cut off from its agents if it has at least this many. */
 const MIN_LOST_MACHINES = 2;
-/** For how long a controller that is cut off is given no shards. */
+/** How long a controller that is cut off from its agents is assigned no shards. */
 const CUT_OFF_MS = 25_000;
 
 interface ProxiedMachine {
-  /** The machine's fencing token then: under another one the time starts anew. */
+  /** The machine's fencing token when it was last seen with a proxy; under another token `since` starts over. */
   readonly token: FencingToken;
   readonly since: MonotonicMs;
 }
 
-/** Keeps track of machines that do not reach their owner, and of controllers that do not reach their agents. */
+/** Tracks machines whose agents do not reach their owner, and controllers that do not reach their agents. */
 export class MisroutedAgents {
   private readonly proxiedMachines = new Map<MachineName, ProxiedMachine>();
   /**
-   * When a machine was last seen with a proxy. An agent that sends but does not receive tries all controllers one after
-   * the other; moved to another shard, it would be judged anew and given work once more.
+   * When each machine was last seen with a proxy. An agent that can send but not receive tries all controllers in turn.
+   * If its machine were moved to another shard, the new owner would judge it anew and place tasks on it once more.
    */
   private readonly lastProxiedAt = new Map<MachineName, MonotonicMs>();
   private readonly cutOffUntil = new Map<string, MonotonicMs>();
 
   constructor(private readonly context: ControllerContext) {}
 
-  /** Whether the controller reaches its agents, as far as is known. */
+  /** Whether the controller reaches its agents; true unless it was found to be cut off from them recently. */
   canReachAgents(node: string): boolean {
     return (this.cutOffUntil.get(node) ?? 0) < this.context.clock.now();
   }
 
-  /** Whether the machine has recently turned to another controller than its owner. */
+  /** Whether the machine's agent has recently turned to a controller other than its owner. */
   isMisrouted(name: MachineName): boolean {
     return this.lastProxiedAt.has(name);
   }
 
-  /** Records which machines have proxies now, and returns the machines to move to the shards of their proxies. */
+  /** Records which machines have proxies now. Returns the machines to move, each to the shard of its proxy. */
   update(live: readonly LiveController[]): MachineMove[] {
     const { context } = this;
     const moves: MachineMove[] = [];
@@ -74,7 +74,7 @@
     return moves;
   }
 
-  /** Records that the machine has a proxy; whether it has had one for so long that it is to be moved. */
+  /** Records that the machine has a proxy. Returns whether it has had one for long enough to be moved to its shard. */
   private shouldFollowProxy(machine: MachineRecord): boolean {
     const { clock, view, settings } = this.context;
     const now = clock.now();
@@ -86,7 +86,7 @@
     return now - since > settings.workers.report_s * 1000 * INTERVALS_BEFORE_MOVE;
   }
 
-  /** Forgets machines that have had no proxy for as long as an agent takes to try all controllers. */
+  /** Forgets machines that have had no proxy for longer than an agent takes to try all controllers. */
   private forgetReturned(): void {
     const { clock, settings, view } = this.context;
     const now = clock.now();
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -1,4 +1,4 @@
-/** Rents machines. Each rental is committed before the cloud is asked for it, so that no machine is rented twice. */
+/** Rents machines. Each rental is committed before it is requested from the cloud, so that no machine is rented twice. */
 import { groupBy } from '../../core/collections.js';
 import type { MachineTraits } from '../../core/jobs/feasibility.js';
 import { LOG_EVENT } from '../../core/log-events.js';
@@ -22,14 +22,14 @@
 import type { LeaderTransactions } from './leader-transactions.js';
 import { newMachineRecord } from './machine-changes.js';
 
-/** The most machines that the cloud rents by one request. */
+/** Largest number of machines that the cloud rents out per request. */
 const MAX_MACHINES_PER_RENTAL = 50;
-/** Size of a rental's record without the names of the shards. */
+/** Allowance for a rental's record, without the names of its shards. */
 const RENTAL_RECORD_BYTES = 500;
 
-/** Rents machines and records them, whichever leader decided the rental. */
+/** Rents machines and creates their records; also completes rentals that an earlier leader committed. */
 export class Rentals {
-  /** Until when each kind of machine is taken to be unavailable. */
+  /** Until when the cloud is assumed to refuse machines of a type, zone and billing kind; by `kindOf`. */
   private readonly refusedUntil = new Map<string, MonotonicMs>();
   private readonly task: BackgroundTask;
   private rentalCount = 0;
@@ -42,12 +42,12 @@
     this.task = new BackgroundTask({ log: context.log, failureEvent: LOG_EVENT.machineRentalFailed });
   }
 
-  /** False while the cloud refuses machines of this type, zone and billing kind. */
+  /** False while the cloud is assumed to refuse machines of this type, zone and billing kind. */
   isAvailable(type: TypeName, zone: Zone, spot: boolean): boolean {
     return (this.refusedUntil.get(kindOf({ type, zone, spot })) ?? 0) < this.context.clock.now();
   }
 
-  /** Begins to rent what is requested, and to complete earlier rentals, unless that is running already. */
+  /** Starts to complete earlier rentals and to rent what is requested, unless that is in progress already. */
   start(requests: readonly RentalRequest[], shards: readonly NodeName[]): void {
     if (this.task.isRunning) return;
     if (requests.length === 0 && this.context.view.rentals.size === 0) return;
@@ -56,8 +56,8 @@
 
   private async rent(requests: readonly RentalRequest[], shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
-    // Rentals that an earlier round or an earlier leader committed and did not complete: the cloud gives the same answer
-    // for the same rental name again.
+    // Rentals that an earlier call or an earlier leader committed and did not complete. They can be requested again,
+    // since the cloud gives the same answer for the same rental name.
     for (const rental of [...context.view.rentals.values()]) await this.carryOut(rental, shards);
     for (const sameKind of groupBy(requests, kindOf).values()) {
       const { type, zone, spot } = sameKind[0];
@@ -74,14 +74,17 @@
     }
   }
 
-  /** How many machines one rental may be for: its record names a shard for each and must not exceed the size limit. */
+  /** Largest number of machines in one rental: its record names a shard for each and must stay within the size limit. */
   private maxMachines(shards: readonly NodeName[]): number {
     const longestNameBytes = Math.max(...shards.map((shard) => jsonBytes(shard))) + 1;
     const bytesForNames = this.context.state.limits.valueBytes - RENTAL_RECORD_BYTES;
     return Math.min(MAX_MACHINES_PER_RENTAL, Math.floor(bytesForNames / longestNameBytes));
   }
 
-  /** Asks the cloud for the rental's machines and records them; without an answer the rental stays on record. */
+  /**
+   * Requests the rental's machines from the cloud and creates their records. Without a usable answer the rental stays
+   * recorded, and is requested again later.
+   */
   private async carryOut(rental: RentalRecord, shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
     const answer = await this.cloud.rent(rental);
@@ -100,8 +103,8 @@
   }
 
   /**
-   * First the records of the machines, then the removal of the rental: it stays on record until all its machines have
-   * records, so that whoever completes it gets the same answer from the cloud.
+   * Creates the machines' records first and removes the rental last: it stays recorded until all its machines have
+   * records, so that any leader that completes it later gets the same answer from the cloud.
    */
   private completionChanges(
     rental: RentalRecord,
@@ -125,7 +128,7 @@
   }
 }
 
-/** One type, zone and billing kind of machine. */
+/** A key for the type, zone and billing kind of a machine. */
 function kindOf({ type, zone, spot }: MachineTraits): string {
   return `${type} ${zone} ${spot}`;
 }
@@ -138,7 +141,7 @@
   };
 }
 
-/** The shard requested for the machine at this index, or the next one requested that still exists. */
+/** The shard requested for the machine at this index; if it no longer exists, the next requested one, else the first. */
 function shardFor(rental: RentalRecord, index: number, shards: readonly NodeName[]): NodeName {
   const owner = rental.owners.find((shard, position) => position >= index && shards.includes(shard));
   return owner ?? shards[0]!;
--- a/src/controller/leader/scaling-planner.ts
+++ b/src/controller/leader/scaling-planner.ts
@@ -1,4 +1,4 @@
-/** Makes the leader's scaling plan: what the plan needs to know beside the view is collected here. */
+/** Makes the leader's scaling plan, and collects the input that the plan needs beside the view. */
 import type { MachineName } from '../../core/model/ids.js';
 import type { JobRecord } from '../../core/model/jobs.js';
 import type { MachineRecord } from '../../core/model/machines.js';
@@ -10,16 +10,16 @@
 import type { MisroutedAgents } from './misrouted-agents.js';
 import type { Rentals } from './rentals.js';
 
-/** A machine whose record has no more bytes left than this is full: another job's allocation does not fit. */
+/** A machine whose record has no more than this many bytes left is full: another job's allocation would not fit. */
 const MIN_RECORD_BYTES_LEFT = 300;
-/** The boot time of a machine type that is no longer known. */
+/** Boot time assumed for a machine type that is not known. */
 const DEFAULT_BOOT_S = 60;
-/** Beyond the operators' factor, a machine that does not come up is released so much later. */
+/** A machine that does not come up is released this long after its boot time multiplied by `lost_boot_factor`. */
 const LOST_BOOT_GRACE_S = 30;
-/** A job that fails everywhere for more rounds than this has hardly met faulty machines only. */
+/** A job with more rounds of failures on every machine causes no rentals: the machines are unlikely to be at fault. */
 const MAX_FAILED_ROUNDS_WITH_RENTALS = 2;
 
-/** Makes the scaling plan from the view, the forecast and what is known of machines. */
+/** Makes scaling plans from the view, the forecast of demand and the observed state of machines. */
 export class ScalingPlanner {
   private readonly emptySince = new Map<MachineName, MonotonicMs>();
   private readonly headroomPlanner: HeadroomPlanner;
@@ -32,7 +32,7 @@
     this.headroomPlanner = new HeadroomPlanner(context);
   }
 
-  /** The plan for the present state; machines that never came up or are drained are released besides. */
+  /** The plan for the present state. Its releases include machines that never came up and those drained and empty. */
   plan(): ScalingPlan {
     const { context } = this;
     const { view, policy } = context;
@@ -58,7 +58,7 @@
     return { ...plan, releases: [...abandoned, ...plan.releases] };
   }
 
-  /** The age of the machine's record. */
+  /** The age of the machine's record in seconds. */
   ageS(machine: MachineRecord): number {
     return (this.context.clock.wallClock() - machine.since) / 1000;
   }
@@ -76,7 +76,10 @@
     for (const name of this.emptySince.keys()) if (!view.machines.has(name)) this.emptySince.delete(name);
   }
 
-  /** Machines are provided for the first tries of a job that fails everywhere; later tries use what is free. */
+  /**
+   * Whether the plan may provide machines for the job. For one that fails on every machine it does so in the first rounds
+   * only, and not while the job backs off; later tries use free machines.
+   */
   private mayUseRentals({ failing }: JobRecord): boolean {
     if (failing === undefined) return true;
     const isBackingOff = failing.until > this.context.clock.wallClock();
@@ -88,7 +91,7 @@
     const { placed, phase, drain } = machine;
     if (drain === true) return false;
     if (placed.length > 0 && recordBudget.bytesLeft(machine) <= MIN_RECORD_BYTES_LEFT) return false;
-    // Its owner does not reach it and cannot start anything there.
+    // The owner does not reach a machine that has a proxy, and cannot start tasks there.
     if (ownership.proxyOf(machine) !== null) return false;
     if (phase === 'booting')
       return this.ageS(machine) < this.bootS(machine) * operator.fleet.late_boot_factor;
@@ -100,7 +103,7 @@
     return hasConfirmedToken && !this.misroutedAgents.isMisrouted(machine.name);
   }
 
-  /** The machine has been empty for so long, relative to its boot time, that it is released. */
+  /** Whether the machine has been empty long enough, relative to its boot time, to be released. */
   private isIdle(machine: MachineRecord): boolean {
     const { clock, operator } = this.context;
     const since = this.emptySince.get(machine.name);
@@ -108,7 +111,7 @@
     return clock.now() - since > operator.fleet.idle_boot_factor * this.bootS(machine) * 1000;
   }
 
-  /** The machine did not come up in time, or it is drained and empty. */
+  /** Whether the machine did not come up in time, or is drained and empty. */
   private isLostOrDrained(machine: MachineRecord): boolean {
     const { phase, drain, placed } = machine;
     if (phase === 'booting') {
--- a/src/controller/leader/unregistered-machines.ts
+++ b/src/controller/leader/unregistered-machines.ts
@@ -1,6 +1,6 @@
 /**
- * Machines without a record: agents that send heartbeats, and machines that the cloud lists. A heartbeat may be a late
- * copy from a machine that was released long ago, and the list lags, so either is believed only after a while.
+ * Machines without a record, known from heartbeats of their agents or from the cloud's list. A heartbeat may be a late
+ * copy from a machine that was released long ago, and the list lags, so a machine is confirmed only after a delay.
  */
 import type { PlatformSettings } from '../../config/platform-settings.js';
 import { isNewer } from '../../core/agents/agent-session.js';
@@ -11,21 +11,21 @@
 import type { ListedMachine } from '../../io/cloud/cloud-messages.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** An agent is confirmed by a second heartbeat that comes no earlier and no later than this after the first. */
+/** Shortest and longest time from the first heartbeat of an agent to a second one that confirms its machine. */
 const MIN_CONFIRMATION_MS = 700;
 const MAX_CONFIRMATION_MS = 30_000;
-/** Bounds the memory that heartbeats of unknown machines can take: several times the largest fleet. */
+/** Bounds the memory that heartbeats of unknown machines can take; several times the size of the largest fleet. */
 const MAX_UNCONFIRMED = 20_000;
-/** For so long after its release a machine may still be listed, and late copies of its heartbeats may arrive. */
+/** How long after its release a machine may still be listed, and late copies of its heartbeats may arrive. */
 const RELEASED_MEMORY_MS = 120_000;
-/** The cloud's list lags by up to so many times its usual lag. */
+/** The cloud's list lags by up to this many times its usual lag, the setting `list_lag_s`. */
 const MAX_LAG_FACTOR = 2;
-/** The longest that the record of a rented machine takes. */
+/** Longest time until a machine that was rented has its record. */
 const MAX_RECORD_DELAY_S = 3;
 
-/** What is known of a machine without a record. */
+/** A machine without a record, as far as it is known. */
 export interface UnregisteredMachine extends MachineTraits {
-  /** The highest fencing token that it has seen; 0 where none is known. */
+  /** The highest fencing token that its agent has seen; 0 where none is known. */
   readonly token: number;
 }
 
@@ -33,17 +33,17 @@
   readonly heardAt: MonotonicMs;
 }
 
-/** How old the cloud's list may be, in seconds. */
+/** Longest lag of the cloud's list, in seconds. */
 export function maxListLagS({ cloudLimits }: Pick<PlatformSettings, 'cloudLimits'>): number {
   return MAX_LAG_FACTOR * cloudLimits.list_lag_s;
 }
 
-/** Collects machines without a record until it is certain that they exist. */
+/** Collects machines without a record until it is confirmed that they exist. */
 export class UnregisteredMachines {
   private readonly confirmed = new Map<MachineName, UnregisteredMachine>();
-  /** First heartbeats of agents without a record, the oldest first. */
+  /** First heartbeats of agents whose machines have no record and are not confirmed, the oldest first. */
   private readonly unconfirmed = new Map<MachineName, UnconfirmedAgent>();
-  /** Since when the list shows a machine without a record. */
+  /** Since when the cloud's list has shown each machine that has no record. */
   private readonly listedSince = new Map<MachineName, MonotonicMs>();
   private readonly releasedAt = new Map<MachineName, MonotonicMs>();
 
@@ -73,7 +73,10 @@
     for (const name of names) this.releasedAt.set(name, now);
   }
 
-  /** Records a heartbeat of an agent without a record; true if it confirms the machine, as a later and newer one does. */
+  /**
+   * Records a heartbeat of an agent whose machine has no record. Returns whether it confirms the machine: it must be newer
+   * than the first and arrive within the time for confirmation.
+   */
   recordHeartbeat(heartbeat: Heartbeat): boolean {
     const { machine: name, type, zone, spot, token } = heartbeat;
     if (this.releasedAt.has(name)) return false;
@@ -90,7 +93,10 @@
     return true;
   }
 
-  /** Records that the cloud lists a machine without a record; it is confirmed once it is listed for longer than any lag. */
+  /**
+   * Records that the cloud lists a machine without a record. The machine is confirmed once it has been listed for longer
+   * than the list may lag and the record of a rented machine may take.
+   */
   recordListed({ name, type, zone, spot }: ListedMachine): void {
     if (this.releasedAt.has(name)) return;
     const now = this.context.clock.now();
@@ -100,21 +106,21 @@
     else if (now - since > maxDelayMs) this.confirmed.set(name, { type, zone, spot, token: 0 });
   }
 
-  /** Forgets since when machines were listed, except for those that are listed without a record now. */
+  /** Forgets all machines listed without a record, except those named, which still are. */
   retainListed(names: ReadonlySet<MachineName>): void {
     for (const name of this.listedSince.keys()) if (!names.has(name)) this.listedSince.delete(name);
   }
 
   private recordFirst({ machine, agentEpoch, sequence }: Heartbeat, now: MonotonicMs): void {
     this.evictUnconfirmed(now);
-    // Deleted first, so that it becomes the latest entry.
+    // A map keeps the position of an existing key: deleting it first makes it the latest entry.
     this.unconfirmed.delete(machine);
     this.unconfirmed.set(machine, { agentEpoch, sequence, heardAt: now });
   }
 
   /**
-   * Drops agents that were not confirmed in time and, while there are too many, the oldest. Not all of them: where
-   * thousands send their first heartbeat, none would be remembered by its second.
+   * Drops agents that were not confirmed in time and, while there are too many, the oldest. Dropping all of them at once
+   * would prevent any confirmation where thousands of agents send their first heartbeats at the same time.
    */
   private evictUnconfirmed(now: MonotonicMs): void {
     for (const [name, { heardAt }] of this.unconfirmed) {
