--- a/src/controller/membership/availability.ts
+++ b/src/controller/membership/availability.ts
@@ -1,23 +1,23 @@
 /**
- * What a controller may still do while the state service does not answer it. By itself it cannot tell whether the service
- * is out for all controllers or only for this one; the other controllers can.
+ * Decides what a controller may still do while the state service does not answer it. The controller alone cannot tell
+ * whether the service is unreachable for all controllers or only for itself, so it asks its peers.
  */
 import type { Peer } from '../../io/peers/peer.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from './membership.js';
 
-/** Interval at which contact to the state service is checked. */
+/** Interval at which contact with the state service is checked. */
 const CHECK_INTERVAL_MS = 700;
 const PEER_ANSWER_TIMEOUT_MS = 1200;
-/** How long the peers' last answers count. */
+/** How long the peers' last answers are valid. */
 const PEER_ANSWERS_VALID_MS = 5000;
-/** Without an answer for this long the peers are asked about their contact. */
+/** After this long without an answer of the state service, the peers are asked whether they have contact with it. */
 const CONTACT_LOST_MS = 1500;
-/** Without an answer for this long the controller is unhealthy, unless there is a state outage. */
+/** After this long without an answer of the state service, the controller is unhealthy, except in a state outage. */
 const UNHEALTHY_AFTER_MS = 3000;
 
 interface PeerContact {
-  /** Whether any peer has contact to the state service. */
+  /** Whether any peer has contact with the state service. */
   readonly hasStateContact: boolean;
   readonly at: number;
 }
@@ -25,7 +25,7 @@
 /** Decides whether this controller may answer agents and users now. */
 export class Availability {
   private lastPeerContact: PeerContact = { hasStateContact: true, at: Number.NEGATIVE_INFINITY };
-  /** Neither the state service nor any other controller answers: all may have failed, or this one's zone is cut off. */
+  /** Neither the state service nor any peer answers: all may have failed, or this controller's zone is partitioned. */
   isIsolated = false;
 
   constructor(
@@ -35,17 +35,18 @@
   ) {}
 
   /**
-   * Whether this controller may answer for its shard: its session is certainly alive, or the service is out for all, so
-   * that nobody can have acquired the shard. Cut off from the service and from all peers it knows neither: then its
-   * agents must go, before their leases expire, to a controller that can act for them.
+   * Whether this controller may answer agents for its shard: its session has certainly not expired, or no controller
+   * reaches the state service, so that none can have acquired the shard. A controller that reaches neither the service
+   * nor any peer knows neither; its agents must turn, before their leases expire, to a controller that can act for them.
    */
   get mayAnswerAgents(): boolean {
     return this.membership.hasValidLease || this.isStateOutage;
   }
 
   /**
-   * Whether users and the load balancer should use this controller. While no controller reaches the state service, final
-   * states can still be answered, and taking all controllers out of service would only prolong the outage for users.
+   * Whether users and the load balancer should use this controller. It stays healthy while no controller reaches the
+   * state service: final states can still be answered, and taking all controllers out of service would only prolong the
+   * outage for users.
    */
   get isHealthy(): boolean {
     const { context } = this;
@@ -53,7 +54,7 @@
     return context.state.isReachable(UNHEALTHY_AFTER_MS) || this.isStateOutage;
   }
 
-  /** Checks contact to the state service for ever, and asks the peers while it is lost. */
+  /** Checks contact with the state service at intervals, and asks the peers about theirs while it is lost. */
   async run(): Promise<never> {
     const { clock, state } = this.context;
     for (;;) {
@@ -69,7 +70,7 @@
     }
   }
 
-  /** No peer has contact to the state service either, and at least one peer said so recently. */
+  /** Whether no peer has contact with the state service either and at least one said so recently; true without peers. */
   private get isStateOutage(): boolean {
     if (this.peers.size === 0) return true;
     const { hasStateContact, at } = this.lastPeerContact;
--- a/src/controller/membership/membership.ts
+++ b/src/controller/membership/membership.ts
@@ -1,4 +1,4 @@
-/** This process's session and, if it is elected, the leadership; both are bound to one lease of the state service. */
+/** This process's session and, if elected, its leadership; both records are bound to one lease of the state service. */
 import { UnavailableError } from '../../core/errors.js';
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { LeaderRecord, SessionRecord, ShardRecord } from '../../core/model/cluster.js';
@@ -10,24 +10,24 @@
 import type { ControllerContext } from '../controller-context.js';
 import { Notification } from '../notification.js';
 
-/** The part of a lease that counts: monotonic clocks drift by at most 0.05%, and twice that is allowed for. */
+/** Part of a lease's duration that is relied on. Monotonic clocks drift by at most 0.05%; twice that is allowed for. */
 const LEASE_VALID_FRACTION = 0.999;
-/** Pause after the state service did not answer. */
+/** Pause before the session is renewed again after the state service did not answer. */
 const UNAVAILABLE_RETRY_MS = 150;
-/** Interval at which this process looks whether its view is ready. */
+/** Interval at which this process checks whether its view is ready. */
 const READY_CHECK_MS = 30;
-/** How long the view may take to show what a transaction conflicted with. */
+/** Longest wait until the view shows what a transaction conflicted with. */
 const CONFLICT_VIEW_TIMEOUT_MS = 1000;
 
-/** Keeps this process's session alive, acquires its own shard, and stands for election as leader. */
+/** Keeps this process's session alive, acquires its own shard, and takes the leadership while no other has it. */
 export class Membership {
-  /** When this process first saw each session. */
+  /** When this process first saw each session, by name of its controller. */
   readonly sessionsFirstSeen = new Map<string, MonotonicMs>();
   private readonly notification: Notification;
   private lease: number | null = null;
-  /** Until then the lease has certainly not expired: counted from when the renewal was sent. */
+  /** The lease has certainly not expired before this time, which is counted from when the renewal was sent. */
   private leaseValidUntil = Number.NEGATIVE_INFINITY;
-  /** Until then this process acquires nothing: it has handed over what it held. */
+  /** Until when this process is draining: it hands over its shards and should be assigned none. */
   private drainingUntil = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly context: ControllerContext) {
@@ -42,23 +42,26 @@
     return this.lease !== null && this.context.clock.now() < this.leaseValidUntil;
   }
 
-  /** The lease to which this process's own records may be bound, or null. */
+  /** The id of the lease to which this process's own records may be bound; null unless it has certainly not expired. */
   get currentLease(): number | null {
     return this.hasValidLease ? this.lease : null;
   }
 
-  /** Whether this process is the leader under its present lease. */
+  /** Whether this process is the leader under its present lease, which has certainly not expired. */
   get isLeader(): boolean {
     const { view, incarnation } = this.context;
     return this.hasValidLease && view.leader?.incarnation === incarnation && view.leader.lease === this.lease;
   }
 
-  /** For this time this process acquires neither shards nor the leadership; 0 ends that. */
+  /**
+   * Makes this process drain for `ms`: its session is marked as draining, so that the leader assigns shards to other
+   * controllers where it can, and this process leads only if no other controller could. 0 ends the draining.
+   */
   drainFor(ms: number): void {
     this.drainingUntil = this.context.clock.now() + ms;
   }
 
-  /** Renews the session at its interval and whenever a change of the view calls for it; throws only on defects. */
+  /** Renews the session at its interval and after changes of this session or the leadership; throws only on defects. */
   async run(): Promise<never> {
     const { operator, clock, watcher } = this.context;
     const renewIntervalMs = operator.sessions.renew_every_s * 1000;
@@ -86,7 +89,7 @@
     return this.context.clock.now() < this.drainingUntil;
   }
 
-  /** While it drains, this process leads only if no other controller could. */
+  /** Whether this process may take the leadership; while draining, only if no other controller could. */
   private get mayLead(): boolean {
     const { view, settings } = this.context;
     const others = [...view.sessions.values()].filter((session) => session.node !== settings.node);
@@ -130,13 +133,14 @@
       ...(this.isDraining ? { draining: true } : {}),
     };
     const isWritten = await this.putWithLease(key.session(settings.node), value);
-    // A session under this node's name that is not this process's is its predecessor's: the platform runs one process per
-    // node, so it can be ended without waiting for its lease. It is ended only once it is replaced: were there no session
-    // for a moment, the leader would give the shard away, and a plain restart would cost two changes of holder.
+    // A session under this node's name that is not this process's belongs to its predecessor. The platform runs one
+    // process per node, so the predecessor has ended, and its lease can be revoked before it expires. That is done only
+    // once the session is replaced: if there were no session for a moment, the leader would assign the shard to another
+    // controller, and a plain restart would cost two changes of holder.
     if (isWritten && !isOwn && session !== undefined) await state.revokeLease(session.lease);
   }
 
-  /** Acquires the shard of this node at once where it has no holder or is held by this process's predecessor. */
+  /** Acquires this node's own shard at once if it has no holder or is held by this process's predecessor. */
   private async acquireOwnShard(): Promise<void> {
     const { settings, incarnation, state, view, watcher, guards, log } = this.context;
     const { node } = settings;
@@ -156,7 +160,7 @@
       await watcher.waitForRevision(result.revision, CONFLICT_VIEW_TIMEOUT_MS);
   }
 
-  /** Writes a record that disappears with the lease; false where it was not written. */
+  /** Writes a record that the state service deletes with the lease; false if it is not known to be written. */
   private async putWithLease(recordKey: string, value: { lease: number }): Promise<boolean> {
     const { state, watcher, guards } = this.context;
     const operation: WriteOperation = {
--- a/src/controller/membership/shard-transfer.ts
+++ b/src/controller/membership/shard-transfer.ts
@@ -1,7 +1,7 @@
 /**
- * Acquires shards of controllers that are considered failed, and hands shards over in a planned handover. The state
- * service decides: each change is guarded on the shard's record as it was seen and on the sessions of both sides, and
- * every commit of a holder is guarded on the shard's record, so that the former holder can commit nothing afterwards.
+ * Acquires shards of controllers that are suspected to have failed, and hands shards over in a planned handover. The state
+ * service decides: each change is guarded on the shard's record as it was seen and on the sessions of both sides. Every
+ * commit of a holder is guarded on the shard's record, so that a former holder can commit nothing.
  */
 import { UnavailableError } from '../../core/errors.js';
 import type { SessionRecord, ShardRecord } from '../../core/model/cluster.js';
@@ -16,31 +16,34 @@
 
 const OVERTAKEN: ShardTransferOutcome = { kind: 'overtaken' };
 const UNAVAILABLE: ShardTransferOutcome = { kind: 'unavailable' };
-/** How long the view may take to show what a transaction conflicted with. */
+/** Longest wait until the view shows what a transaction conflicted with. */
 const CONFLICT_VIEW_TIMEOUT_MS = 1000;
-/** Changes of a handover beside those of the shards: this controller's session and its leadership. */
+/** Largest number of operations in a handover beside those on shards: on this controller's session and leadership. */
 const MAX_OWN_CHANGES = 2;
 
-/** Changes the holders of shards. */
+/** Changes the holders of shards, by guarded transactions only. */
 export class ShardTransfer implements ShardControl {
   constructor(
     private readonly context: ControllerContext,
     private readonly membership: Membership,
   ) {}
 
-  /** Acquires the shard and ends its holder's session in one transaction, unless something has changed meanwhile. */
+  /** Acquires the shard and ends its holder's session in one transaction, unless a guarded record has changed. */
   async failOver(shard: ShardFact): Promise<ShardTransferOutcome> {
     const { context, membership } = this;
     if (!membership.hasValidLease) return UNAVAILABLE;
     const session = context.view.sessions.get(shard.holder);
-    // A restarted holder acquires its shard again by itself.
+    // The holder has restarted and acquires its shard again by itself.
     if (session !== undefined && session.incarnation !== shard.incarnation) return OVERTAKEN;
     const outcome = await this.commit(this.failOverChanges(shard, session));
     if (outcome.kind === 'committed' && session !== undefined) await this.endLease(session.lease);
     return outcome;
   }
 
-  /** Hands shards that this process holds over to a controller with a session, and acquires nothing for `drainForMs`. */
+  /**
+   * Hands shards that this process holds over to a controller that has a session, and makes this process drain for
+   * `drainForMs`; the outcome `overtaken` ends the draining at once.
+   */
   async handOver(
     shards: readonly ShardFact[],
     to: NodeName,
@@ -64,8 +67,8 @@
   }
 
   /**
-   * The shard's change of holder, and with it, as far as they fit into the transaction, the end of the holder's session
-   * and leadership. Were the session ended first, the leader might give the shard to another controller.
+   * Changes the shard's holder and, as far as they fit into the transaction, ends the former holder's session and
+   * leadership. If the session ended first, the leader might assign the shard to another controller.
    */
   private failOverChanges(shard: ShardFact, session: SessionRecord | undefined): ChangeSet {
     const { settings, incarnation, guards: guard, state, view } = this.context;
@@ -89,7 +92,7 @@
     return { guards, operations };
   }
 
-  /** The former holder's other keys disappear with its lease; where revoking fails, when the lease expires. */
+  /** Ends the former holder's lease, which deletes its other keys. If revoking fails, they go when the lease expires. */
   private async endLease(lease: number): Promise<void> {
     try {
       await this.context.state.revokeLease(lease);
@@ -119,8 +122,8 @@
   }
 
   /**
-   * Marks this controller's session as draining and ends its leadership, in the same transaction as the shards' change of
-   * holder; otherwise the leader would give the shards back at once.
+   * Marks this controller's session as draining and ends its leadership. Both are committed together with the shards'
+   * change of holder; otherwise the leader would assign the shards to this controller again at once.
    */
   private withdrawal(ownSession: SessionRecord): ChangeSet {
     const { context, membership } = this;
