--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -102,7 +102,7 @@
       pauseMs = MIN_PAUSE_MS;
       if (!context.watcher.isReady || !this.membership.isLeader) {
         this.leadingSince = null;
-        this.unregisteredMachines.clear();
+        this.unregisteredMachines.clearConfirmed();
         continue;
       }
       this.leadingSince ??= context.clock.now();
--- a/src/controller/leader/misrouted-agents.ts
+++ b/src/controller/leader/misrouted-agents.ts
@@ -18,7 +18,7 @@
 /** A machine is moved to its proxy's shard once it has had a proxy for this many heartbeat intervals. */
 const INTERVALS_BEFORE_MOVE = 1.6;
 /** A controller that reaches none of its machines counts as cut off from its agents if it has at least this many. */
-const MIN_LOST_MACHINES = 2;
+const MIN_UNREACHABLE_MACHINES = 2;
 /** How long a controller that is cut off from its agents is assigned no shards. */
 const CUT_OFF_MS = 25_000;
 
@@ -54,28 +54,28 @@
   update(live: readonly LiveController[]): MachineMove[] {
     const { context } = this;
     const moves: MachineMove[] = [];
-    const reachedByHolder = new Map<string, number>();
-    const lostByHolder = new Map<string, number>();
+    const reachableByHolder = new Map<string, number>();
+    const unreachableByHolder = new Map<string, number>();
     for (const machine of context.view.machines.values()) {
       if (machine.phase === 'booting') continue;
       const proxy = context.ownership.proxyOf(machine);
       const holder = context.ownership.holderOf(machine);
-      if (holder !== null) addToCount(proxy === null ? reachedByHolder : lostByHolder, holder, 1);
+      if (holder !== null) addToCount(proxy === null ? reachableByHolder : unreachableByHolder, holder, 1);
       if (proxy === null || holder === null) this.proxiedMachines.delete(machine.name);
-      else if (this.shouldFollowProxy(machine)) {
+      else if (this.shouldMoveToProxy(machine)) {
         const to = liveNode(live, proxy);
         if (to === null) continue;
         this.proxiedMachines.delete(machine.name);
         moves.push({ machine, to });
       }
     }
-    this.forgetReturned();
-    this.updateCutOffControllers(reachedByHolder, lostByHolder);
+    this.expireLastProxied();
+    this.updateCutOffControllers(reachableByHolder, unreachableByHolder);
     return moves;
   }
 
   /** Records that the machine has a proxy. Returns whether it has had one for long enough to be moved to its shard. */
-  private shouldFollowProxy(machine: MachineRecord): boolean {
+  private shouldMoveToProxy(machine: MachineRecord): boolean {
     const { clock, view, settings } = this.context;
     const now = clock.now();
     const token = view.fencingTokenOf(machine);
@@ -87,7 +87,7 @@
   }
 
   /** Forgets machines that have had no proxy for longer than an agent takes to try all controllers. */
-  private forgetReturned(): void {
+  private expireLastProxied(): void {
     const { clock, settings, view } = this.context;
     const now = clock.now();
     const maxAgeMs = MAX_FAILOVER_MS * settings.nodes;
@@ -96,12 +96,13 @@
   }
 
   private updateCutOffControllers(
-    reachedByHolder: ReadonlyMap<string, number>,
-    lostByHolder: ReadonlyMap<string, number>,
+    reachableByHolder: ReadonlyMap<string, number>,
+    unreachableByHolder: ReadonlyMap<string, number>,
   ): void {
     const until = monotonicMs(this.context.clock.now() + CUT_OFF_MS);
-    for (const [node, machines] of lostByHolder)
-      if (machines >= MIN_LOST_MACHINES && !reachedByHolder.has(node)) this.cutOffUntil.set(node, until);
+    for (const [node, machines] of unreachableByHolder)
+      if (machines >= MIN_UNREACHABLE_MACHINES && !reachableByHolder.has(node))
+        this.cutOffUntil.set(node, until);
   }
 }
 
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -29,7 +29,7 @@
 
 /** Rents machines and creates their records; also completes rentals that an earlier leader committed. */
 export class Rentals {
-  /** Until when the cloud is assumed to refuse machines of a type, zone and billing kind; by `kindOf`. */
+  /** Until when the cloud is assumed to refuse machines of a type, zone and billing kind; by `traitsKeyOf`. */
   private readonly refusedUntil = new Map<string, MonotonicMs>();
   private readonly task: BackgroundTask;
   private rentalCount = 0;
@@ -44,7 +44,7 @@
 
   /** False while the cloud is assumed to refuse machines of this type, zone and billing kind. */
   isAvailable(type: TypeName, zone: Zone, spot: boolean): boolean {
-    return (this.refusedUntil.get(kindOf({ type, zone, spot })) ?? 0) < this.context.clock.now();
+    return (this.refusedUntil.get(traitsKeyOf({ type, zone, spot })) ?? 0) < this.context.clock.now();
   }
 
   /** Starts to complete earlier rentals and to rent what is requested, unless that is in progress already. */
@@ -58,19 +58,19 @@
     const { context } = this;
     // Rentals that an earlier call or an earlier leader committed and did not complete. They can be requested again,
     // since the cloud gives the same answer for the same rental name.
-    for (const rental of [...context.view.rentals.values()]) await this.carryOut(rental, shards);
-    for (const sameKind of groupBy(requests, kindOf).values()) {
-      const { type, zone, spot } = sameKind[0];
+    for (const rental of [...context.view.rentals.values()]) await this.completeRental(rental, shards);
+    for (const sameTraits of groupBy(requests, traitsKeyOf).values()) {
+      const { type, zone, spot } = sameTraits[0];
       if (!this.isAvailable(type, zone, spot)) continue;
       const rental: RentalRecord = {
         name: `${context.incarnation}-${++this.rentalCount}`,
         type,
         zone,
         spot,
-        owners: sameKind.slice(0, this.maxMachines(shards)).map((request) => request.shard),
+        owners: sameTraits.slice(0, this.maxMachines(shards)).map((request) => request.shard),
       };
       if (!(await this.transactions.commit(rentalChange(rental), REQUEST_PRIORITY.starts))) return;
-      await this.carryOut(rental, shards);
+      await this.completeRental(rental, shards);
     }
   }
 
@@ -85,21 +85,24 @@
    * Requests the rental's machines from the cloud and creates their records. Without a usable answer the rental stays
    * recorded, and is requested again later.
    */
-  private async carryOut(rental: RentalRecord, shards: readonly NodeName[]): Promise<void> {
+  private async completeRental(rental: RentalRecord, shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
     const answer = await this.cloud.rent(rental);
     if (answer.kind === 'unknown') return;
-    const got = answer.kind === 'rented' ? answer.machines : [];
+    const rented = answer.kind === 'rented' ? answer.machines : [];
     const { name, type, zone, spot, owners } = rental;
-    context.log.info({ rental: name, type, zone, spot, asked: owners.length, got }, LOG_EVENT.machinesRented);
-    if (got.length < owners.length) this.recordRefusal(rental);
-    const changes = this.completionChanges(rental, got, shards);
+    context.log.info(
+      { rental: name, type, zone, spot, asked: owners.length, got: rented },
+      LOG_EVENT.machinesRented,
+    );
+    if (rented.length < owners.length) this.recordRefusal(rental);
+    const changes = this.completionChanges(rental, rented, shards);
     await this.transactions.commitInOrder(changes, REQUEST_PRIORITY.starts);
   }
 
   private recordRefusal(rental: RentalRecord): void {
     const { clock, operator } = this.context;
-    this.refusedUntil.set(kindOf(rental), monotonicMs(clock.now() + operator.fleet.refused_s * 1000));
+    this.refusedUntil.set(traitsKeyOf(rental), monotonicMs(clock.now() + operator.fleet.refused_s * 1000));
   }
 
   /**
@@ -108,13 +111,13 @@
    */
   private completionChanges(
     rental: RentalRecord,
-    got: readonly MachineName[],
+    rented: readonly MachineName[],
     shards: readonly NodeName[],
   ): ChangeSet[] {
     const { context } = this;
     const guard = context.guards.forKey(key.rental(rental.name));
     const changes: ChangeSet[] = [];
-    got.forEach((name, index) => {
+    rented.forEach((name, index) => {
       if (context.view.machines.has(name)) return;
       const owner = shardFor(rental, index, shards);
       const value = newMachineRecord(context, name, { ...rental, token: 0 }, owner);
@@ -129,7 +132,7 @@
 }
 
 /** A key for the type, zone and billing kind of a machine. */
-function kindOf({ type, zone, spot }: MachineTraits): string {
+function traitsKeyOf({ type, zone, spot }: MachineTraits): string {
   return `${type} ${zone} ${spot}`;
 }
 
--- a/src/controller/leader/scaling-planner.ts
+++ b/src/controller/leader/scaling-planner.ts
@@ -54,8 +54,8 @@
       isAvailable: (type, zone, spot) => this.rentals.isAvailable(type, zone, spot),
       isIdle: (machine) => this.isIdle(machine),
     });
-    const abandoned = machines.filter((machine) => this.isLostOrDrained(machine));
-    return { ...plan, releases: [...abandoned, ...plan.releases] };
+    const lostOrDrained = machines.filter((machine) => this.isLostOrDrained(machine));
+    return { ...plan, releases: [...lostOrDrained, ...plan.releases] };
   }
 
   /** The age of the machine's record in seconds. */
--- a/src/controller/leader/unregistered-machines.ts
+++ b/src/controller/leader/unregistered-machines.ts
@@ -17,7 +17,7 @@
 /** Bounds the memory that heartbeats of unknown machines can take; several times the size of the largest fleet. */
 const MAX_UNCONFIRMED = 20_000;
 /** How long after its release a machine may still be listed, and late copies of its heartbeats may arrive. */
-const RELEASED_MEMORY_MS = 120_000;
+const RELEASED_RETENTION_MS = 120_000;
 /** The cloud's list lags by up to this many times its usual lag, the setting `list_lag_s`. */
 const MAX_LAG_FACTOR = 2;
 /** Longest time until a machine that was rented has its record. */
@@ -62,14 +62,15 @@
   }
 
   /** Forgets the confirmed machines. */
-  clear(): void {
+  clearConfirmed(): void {
     this.confirmed.clear();
   }
 
   /** Records that the cloud has released these machines. */
   recordReleased(names: readonly MachineName[]): void {
     const now = this.context.clock.now();
-    for (const [name, at] of this.releasedAt) if (now - at > RELEASED_MEMORY_MS) this.releasedAt.delete(name);
+    for (const [name, at] of this.releasedAt)
+      if (now - at > RELEASED_RETENTION_MS) this.releasedAt.delete(name);
     for (const name of names) this.releasedAt.set(name, now);
   }
 
--- a/src/controller/membership/shard-transfer.ts
+++ b/src/controller/membership/shard-transfer.ts
@@ -107,16 +107,16 @@
     ownSession: SessionRecord,
   ): ChangeSet {
     const value: ShardRecord = { holder: receiver.node, incarnation: receiver.incarnation };
-    const withdrawal = this.withdrawal(ownSession);
+    const drainChanges = this.drainChanges(ownSession);
     return {
       guards: [
         ...shards.map(({ name, epoch }) => ({ key: key.shard(name), version: epoch })),
         this.context.guards.forKey(key.session(receiver.node)),
-        ...withdrawal.guards,
+        ...drainChanges.guards,
       ],
       operations: [
         ...shards.map(({ name }) => ({ key: key.shard(name), value, reason: 'membership' as const })),
-        ...withdrawal.operations,
+        ...drainChanges.operations,
       ],
     };
   }
@@ -125,7 +125,7 @@
    * Marks this controller's session as draining and ends its leadership. Both are committed together with the shards'
    * change of holder; otherwise the leader would assign the shards to this controller again at once.
    */
-  private withdrawal(ownSession: SessionRecord): ChangeSet {
+  private drainChanges(ownSession: SessionRecord): ChangeSet {
     const { context, membership } = this;
     const sessionKey = key.session(context.settings.node);
     const value: SessionRecord = { ...ownSession, draining: true };
