--- a/src/controller/health/avoided-machines.ts
+++ b/src/controller/health/avoided-machines.ts
@@ -4,13 +4,13 @@
 import type { JobId, MachineName } from '../../core/model/ids.js';
 import { monotonicMs, type MonotonicMs } from '../../core/model/time.js';
 
-/** Remembers pairs of a job and a machine, the oldest of which are forgotten first. */
+/** A bounded map of pairs of a job and a machine to avoid; the oldest pairs are evicted first. */
 export class AvoidedMachines {
   private readonly avoidedUntil = new Map<string, MonotonicMs>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Keeps the job off the machine for a time; remembers about `maxPairs` pairs. */
+  /** Marks the machine as avoided by the job for `forMs` milliseconds; evicts the oldest pair beyond `maxPairs`. */
   avoid(job: JobId, machine: MachineName, forMs: number, maxPairs: number): void {
     const pair = pairOf(job, machine);
     this.avoidedUntil.delete(pair);
--- a/src/controller/health/health-tracker.ts
+++ b/src/controller/health/health-tracker.ts
@@ -1,4 +1,7 @@
-/** What heartbeats and exits show about machines and jobs. Kept in memory only: losing it costs time, never correctness. */
+/**
+ * The health of machines and jobs, as heartbeats and exits of tasks show it. Kept in memory only: losing it costs time,
+ * never correctness.
+ */
 import { FailureTracker } from '../../core/health/failure-tracker.js';
 import { SlowMachineDetector, type TaskRun } from '../../core/health/slow-machine-detector.js';
 import type { ExitReason, Heartbeat } from '../../core/model/heartbeats.js';
@@ -14,13 +17,13 @@
 import { ObservedImages } from './observed-images.js';
 import { TaskRunObserver } from './task-run-observer.js';
 
-/** Heartbeats that are remembered at least; in larger fleets twice the number of machines. */
+/** Limit on the heartbeats kept in a small fleet; in a larger one it is twice the number of machines. */
 const MIN_HEARTBEATS_KEPT = 4000;
-/** Pairs of a job and a machine to avoid that are remembered at least; in larger fleets twice the number of machines. */
+/** Limit on avoided pairs of job and machine in a small fleet; in a larger one it is twice the number of machines. */
 const MIN_AVOIDED_KEPT = 5000;
-/** How long a job is not placed on a machine after a task of it failed there. */
+/** How long a job is not placed on a machine after one of its tasks failed there. */
 const AVOID_AFTER_ERROR_MS = 60_000;
-/** How long a job is not placed on a machine that had no room for it. */
+/** How long a job is not placed on a machine that refused one of its tasks for lack of room. */
 const AVOID_AFTER_REFUSAL_MS = 3000;
 /** Runs of a job or a class that must be known before others are compared with them. */
 const MIN_RUN_SAMPLES = 12;
@@ -28,7 +31,7 @@
 type AgentHint = Extract<Hint, { kind: 'agent' }>;
 type JobFailingHint = Extract<Hint, { kind: 'job_failing' }>;
 
-/** Answers which machines are quarantined or avoided, which jobs fail, and which images machines have. */
+/** Tracks which machines are quarantined or avoided, which jobs fail, and which images machines have cached. */
 export class HealthTracker {
   readonly failures: FailureTracker;
   private readonly slowMachines: SlowMachineDetector;
@@ -63,19 +66,19 @@
     });
   }
 
-  /** Takes in a heartbeat of any machine, owned or not. Heartbeats older than the newest known one are ignored. */
+  /** Processes a heartbeat of any machine, owned or not; ignores it where a newer one of the machine is known. */
   observeHeartbeat(heartbeat: Heartbeat): void {
     if (!this.keepIfNewest(heartbeat)) return;
     this.taskRuns.observe(heartbeat);
     this.images.observe(heartbeat);
   }
 
-  /** The newest heartbeat known of the machine. */
+  /** The newest known heartbeat of the machine; null where none is known. */
   lastHeartbeat(machine: MachineName): Heartbeat | null {
     return this.latestHeartbeats.get(machine);
   }
 
-  /** Whether the machine has the image, as far as is known. */
+  /** Whether the machine is known to have cached the image. */
   hasImage(machine: MachineRecord, image: string): boolean {
     return this.images.has(machine, image);
   }
@@ -85,7 +88,10 @@
     return this.images.cachedOn(machine);
   }
 
-  /** Evaluates what the exit of a task shows about its job and its machine. */
+  /**
+   * Updates the health of a task's job and of its machine after its exit. The reason is null where the machine does not
+   * know the task.
+   */
   recordExit(machine: MachineRecord, { job }: Allocation, reason: ExitReason | null): void {
     const { name } = machine;
     const record = this.context.view.jobs.get(job);
@@ -99,7 +105,7 @@
     if (reason === 'error' || reason === 'unknown') this.recordFailure(record, name, reason);
   }
 
-  /** Takes over what another controller has learned; never replaces newer knowledge. */
+  /** Merges an observation of another controller; never replaces newer ones of this controller. */
   applyHint(hint: Hint): void {
     switch (hint.kind) {
       case 'agent':
@@ -118,19 +124,19 @@
     return this.avoidedMachines.isAvoided(job, machine);
   }
 
-  /** Whether the job fails on every machine, as far as this controller or an earlier owner of its team has seen. */
+  /** Whether the job fails on every machine, according to this controller or an earlier owner of its team. */
   isFailingEverywhere(job: JobRecord): boolean {
     return job.failing !== undefined || this.failures.failuresOf(job.spec.id) !== null;
   }
 
-  /** Whether the job fails on every machine and must not be tried yet. */
+  /** Whether the job fails on every machine and its backoff has not ended. */
   isBackingOff(job: JobRecord): boolean {
     const { clock } = this.context;
     if ((job.failing?.until ?? 0) > clock.wallClock()) return true;
     return (this.failures.failuresOf(job.spec.id)?.until ?? 0) > clock.now();
   }
 
-  /** Whether the machine fails what it starts, or runs it much slower than others. */
+  /** Whether the machine gets no new tasks, since tasks fail on it or run much slower than on other machines. */
   isQuarantined(machine: MachineRecord): boolean {
     return this.slowMachines.isSlow(machine.name) || this.failures.isFaulty(machine.name);
   }
@@ -175,7 +181,7 @@
     if (events.isActive && failures !== null) events.emit({ kind: 'job_failing', job, failures });
   }
 
-  /** Address, epoch and sequence of an agent let direct messages reach it before its first heartbeat. */
+  /** Records the agent's address, epoch and sequence: direct commands can then reach it before its first heartbeat. */
   private applyAgentHint({ machine: name, address, agentEpoch, sequence, token }: AgentHint): void {
     const { view } = this.context;
     const machine = view.machines.get(name);
--- a/src/controller/health/latest-heartbeats.ts
+++ b/src/controller/health/latest-heartbeats.ts
@@ -1,14 +1,14 @@
-/** The newest heartbeat of each machine that this controller knows, whoever owns the machine. */
+/** The newest known heartbeat of each machine, whichever controller owns the machine. */
 import { isNewer } from '../../core/agents/agent-session.js';
 import { evictOldest } from '../../core/bounded-map.js';
 import type { Heartbeat } from '../../core/model/heartbeats.js';
 import type { MachineName } from '../../core/model/ids.js';
 
-/** Remembers heartbeats, the one updated longest ago is forgotten first. */
+/** A bounded map of heartbeats by machine; the entry that was updated longest ago is evicted first. */
 export class LatestHeartbeats {
   private readonly heartbeats = new Map<MachineName, Heartbeat>();
 
-  /** Remembers the heartbeat unless a newer one of the same agent is known. Returns whether it is remembered. */
+  /** Stores the heartbeat unless a newer one of the machine is known, and returns whether it was stored. */
   record(heartbeat: Heartbeat, maxMachines: number): boolean {
     const known = this.heartbeats.get(heartbeat.machine);
     if (known !== undefined && isNewer(known, heartbeat)) return false;
@@ -18,12 +18,12 @@
     return true;
   }
 
-  /** The machine's newest heartbeat. */
+  /** The machine's newest heartbeat; null where none is known. */
   get(machine: MachineName): Heartbeat | null {
     return this.heartbeats.get(machine) ?? null;
   }
 
-  /** Forgets a machine that has no record any more. */
+  /** Forgets a machine that no longer has a record. */
   forgetMachine(machine: MachineName): void {
     this.heartbeats.delete(machine);
   }
--- a/src/controller/health/observed-images.ts
+++ b/src/controller/health/observed-images.ts
@@ -1,16 +1,16 @@
-/** Which images machines have cached, as far as heartbeats and records tell. */
+/** Which images machines have cached, according to heartbeats and machines' records. */
 import type { Heartbeat, ReportedTask } from '../../core/model/heartbeats.js';
 import type { MachineName } from '../../core/model/ids.js';
 import type { MachineRecord } from '../../core/model/machines.js';
 import { jsonBytes } from '../../core/records/stored-records.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** Images whose sizes are remembered; beyond that all are forgotten. */
+/** Limit on the known sizes of images; beyond it all of them are cleared. */
 const MAX_IMAGE_SIZES = 4000;
-/** Bytes of a machine's record that the field of images takes beside the names, `,"images":[]`. */
+/** Bytes of `,"images":[]` in a machine's record, without the names. */
 const IMAGES_FIELD_BYTES = 12;
 
-/** Remembers the images of tasks that have run on machines. */
+/** Tracks the images that machines have fetched for their tasks. */
 export class ObservedImages {
   /** Images of each machine, the most recently used last. */
   private readonly images = new Map<MachineName, Set<string>>();
@@ -18,7 +18,7 @@
 
   constructor(private readonly context: ControllerContext) {}
 
-  /** Records the images of tasks that the machine has fetched. */
+  /** Records the images that the machine has fetched for the tasks in its heartbeat. */
   observe({ machine, tasks }: Heartbeat): void {
     for (const task of tasks) {
       const spec = this.context.view.jobs.get(task.job)?.spec;
@@ -29,14 +29,15 @@
     }
   }
 
-  /** Whether the machine has the image, by what was observed here or by its record. */
+  /** Whether the machine has cached the image, according to heartbeats seen here or to its record. */
   has(machine: MachineRecord, image: string): boolean {
     return this.images.get(machine.name)?.has(image) === true || machine.images?.includes(image) === true;
   }
 
   /**
-   * The images that the machine's record should name, the most recently used last: no more than fit the machine's cache and
-   * the part of the record for them. Without them the next owner would place tasks where their images must be fetched.
+   * The images that the machine's record should name, the most recently used last: no more than fit into the machine's
+   * cache and into the record's bytes for images. Without them the next owner would place tasks where their images must
+   * be fetched.
    */
   cachedOn(machine: MachineRecord): string[] {
     const mostRecentFirst = [...this.knownOn(machine)].reverse();
@@ -52,7 +53,7 @@
     return cached.reverse();
   }
 
-  /** Forgets a machine that has no record any more. */
+  /** Forgets a machine that no longer has a record. */
   forgetMachine(machine: MachineName): void {
     this.images.delete(machine);
   }
--- a/src/controller/health/task-run-observer.ts
+++ b/src/controller/health/task-run-observer.ts
@@ -1,4 +1,4 @@
-/** Derives from successive heartbeats how long tasks run. */
+/** Derives the run times of tasks from successive heartbeats. */
 import { taskKey } from '../../core/agents/task-key.js';
 import { LONG_RUN_MS } from '../../core/health/failure-tracker.js';
 import type { TaskRun } from '../../core/health/slow-machine-detector.js';
@@ -8,17 +8,17 @@
 import type { MonotonicMs } from '../../core/model/time.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** Receives what the run times show. */
+/** Callbacks for run times that show something about a job or a machine. */
 export interface TaskRunListener {
   /** A task of the job has been running for at least `LONG_RUN_MS`. */
   onLongRun(job: JobId): void;
-  /** A task has finished; its run time is characteristic of the machine. */
+  /** A task of an array is done; its run time depends on the speed of its own machine only. */
   onRunFinished(machine: MachineName, run: TaskRun): void;
 }
 
-/** Remembers since when tasks have been running. */
+/** Tracks since when tasks have been running. */
 export class TaskRunObserver {
-  /** By machine and task key; since the first heartbeat that showed the task running. */
+  /** When a heartbeat first showed a task as running, by machine and task key. */
   private readonly runningSince = new Map<MachineName, ReadonlyMap<string, MonotonicMs>>();
 
   constructor(
@@ -29,25 +29,25 @@
   /** Compares the heartbeat with the machine's previous one. */
   observe({ machine, tasks }: Heartbeat): void {
     const now = this.context.clock.now();
-    const before = this.runningSince.get(machine);
+    const previous = this.runningSince.get(machine);
     const running = new Map<string, MonotonicMs>();
     for (const task of tasks) {
       const key = taskKey(task.job, task.index, task.attempt);
-      const since = before?.get(key);
+      const since = previous?.get(key);
       if (task.state === 'running') running.set(key, since ?? now);
       if (since !== undefined) this.reportRun(machine, task, now - since);
     }
     this.runningSince.set(machine, running);
   }
 
-  /** Forgets a machine that has no record any more. */
+  /** Forgets a machine that no longer has a record. */
   forgetMachine(machine: MachineName): void {
     this.runningSince.delete(machine);
   }
 
   private reportRun(machine: MachineName, task: ReportedTask, durationMs: number): void {
     const spec = this.context.view.jobs.get(task.job)?.spec;
-    // A late heartbeat of a finished job is ignored: what it shows about the job would never be forgotten.
+    // A late heartbeat about a finished job is ignored: what is recorded for the job would never be removed.
     if (spec === undefined) return;
     if (task.state === 'running' && durationMs >= LONG_RUN_MS) this.listener.onLongRun(task.job);
     // A gang runs at the speed of its slowest machine, so that its run time says nothing about this one.
