--- a/src/controller/api/job-cancellation.ts
+++ b/src/controller/api/job-cancellation.ts
@@ -1,4 +1,4 @@
-/** Cancels jobs: by this controller where it holds the shard of the job's team, else by the controller that does. */
+/** Cancels jobs: directly where this controller holds the shard of the job's team, else through the one that does. */
 import { LOG_EVENT } from '../../core/log-events.js';
 import type { JobId } from '../../core/model/ids.js';
 import type { CancellationResult, ForwardedCancellationOutcome } from '../../core/model/job-results.js';
@@ -15,7 +15,7 @@
 const CANCELLATION_TIMEOUT_MS = 3000;
 const PEER_TIMEOUT_MS = 800;
 
-/** What cancellations are made with. */
+/** The modules and connections that `JobCancellation` uses. */
 export interface JobCancellationOptions {
   readonly context: ControllerContext;
   readonly lookup: JobLookup;
@@ -37,7 +37,10 @@
     });
   }
 
-  /** Cancels a job. Throws `UnavailableError` where its state cannot be known now. */
+  /**
+   * Cancels a job and waits until it has ended, for `CANCELLATION_TIMEOUT_MS` at most. Throws `UnavailableError` where
+   * the job's state cannot be known now.
+   */
   async cancel(id: JobId): Promise<CancellationResult> {
     const { clock, ownership, view, log } = this.context;
     const status = await this.options.lookup.find(id);
@@ -51,14 +54,14 @@
     const finished = this.waitUntilFinished(id);
     const peer = this.peerFor(job);
     const outcome = peer === undefined ? null : await peer.cancel(id, PEER_TIMEOUT_MS);
-    // Where the holder cannot be reached directly, the request is left for it in the state service.
+    // A request that the holder did not accept directly is stored in the state service, where the holder reads it.
     if (outcome !== 'taken' && !view.cancellations.has(id)) await this.storeCancellation(id);
     await finished;
     log.debug({ job: id, ms: clock.now() - start, outcome }, LOG_EVENT.cancellationForwarded);
     return this.result(id);
   }
 
-  /** Accepts a cancellation that a peer forwards, where this controller holds the shard of the job's team. */
+  /** Accepts a cancellation that a peer forwards, if this controller knows the job and holds the shard of its team. */
   acceptForwarded(id: JobId): ForwardedCancellationOutcome {
     const job = this.context.view.jobs.get(id);
     if (job === undefined || !this.context.ownership.ownsTeam(job.spec.team)) return 'not_mine';
@@ -72,7 +75,7 @@
     return this.result(id);
   }
 
-  /** The controller that holds the shard of the job's team. */
+  /** The controller that holds the shard of the job's team; undefined where no other controller does. */
   private peerFor({ spec }: JobRecord): Peer | undefined {
     const { ownership, view } = this.context;
     const holder = ownership.holderOf(view.teams.get(spec.team));
@@ -96,7 +99,7 @@
     return final === undefined ? { kind: 'later' } : { kind: 'final', state: final.state };
   }
 
-  /** Resolves when the job has left the view, or after the timeout. */
+  /** Resolves when the job has left the view, or after `CANCELLATION_TIMEOUT_MS`. */
   private waitUntilFinished(id: JobId): Promise<void> {
     const { view, clock } = this.context;
     if (!view.jobs.has(id)) return Promise.resolve();
--- a/src/controller/api/job-lookup.ts
+++ b/src/controller/api/job-lookup.ts
@@ -1,11 +1,11 @@
-/** Answers users' questions about the state of a job. */
+/** Looks up the states of jobs for users. */
 import { UnavailableError } from '../../core/errors.js';
 import type { DependencyStatus } from '../../core/jobs/dependencies.js';
 import type { JobId } from '../../core/model/ids.js';
 import type { FinalRecord, JobRecord, JobStatus } from '../../core/model/jobs.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** Without an answer of the state service for this long only final states can be answered. */
+/** After this long without an answer of the state service only cached final states can be shown. */
 export const STATE_CONTACT_MS = 1500;
 
 /** Finds jobs in the view and among the final states. */
@@ -13,15 +13,16 @@
   constructor(private readonly context: ControllerContext) {}
 
   /**
-   * The job's state, at least as new as anything that any controller has told a user. Undefined: never accepted.
-   * Throws `UnavailableError` where that cannot be known now.
+   * The job's state, at least as new as anything that any controller told a user before the call; undefined where the
+   * job was never accepted. Throws `UnavailableError` where that cannot be known now.
    */
   async find(id: JobId): Promise<JobStatus | undefined> {
     const { watcher, state, view, finalStates, dependencies } = this.context;
     const cached = finalStates.cached(id);
     if (cached !== undefined) return finalStatus(cached);
-    // Without the state service only final states can be answered: fails at once, not after a timeout.
-    if (!watcher.isReady || !state.isReachable(STATE_CONTACT_MS)) throw new UnavailableError('not ready');
+    // Without the state service only cached final states are certain: fails at once instead of after a timeout.
+    if (!watcher.isReady || !state.isReachable(STATE_CONTACT_MS))
+      throw new UnavailableError(`lookup of ${id}: view incomplete or state service unreachable`);
     await watcher.waitUntilFresh();
     const job = view.jobs.get(id);
     if (job !== undefined) return this.unfinishedStatus(job, await dependencies.resolve(job));
@@ -30,8 +31,8 @@
   }
 
   private unfinishedStatus(job: JobRecord, dependency: DependencyStatus | undefined): JobStatus {
-    // The record may stay for a while, but the job can never start: its user need not wait for the change to be written,
-    // nor for an outage to end. A cancellation is final, so every controller gives this answer from now on.
+    // A withdrawn job can never start, even while its record still exists: its user need not wait until the record is
+    // replaced or an outage has ended. A cancellation is final, so every controller gives this answer from now on.
     if (dependency?.kind === 'withdrawn')
       return { state: 'cancelled', done: 0, running: 0, because: dependency.because };
     const running = this.context.allocations.current().jobs.get(job.spec.id)?.tasks.size ?? 0;
--- a/src/controller/api/job-service.ts
+++ b/src/controller/api/job-service.ts
@@ -13,7 +13,7 @@
 import { JobLookup } from './job-lookup.js';
 import { JobSubmission } from './job-submission.js';
 
-/** Serves users' requests; what a user is told has been committed before. */
+/** Serves users' requests; every state that a user is told has been committed before. */
 export class JobService {
   private readonly lookup: JobLookup;
   private readonly submission: JobSubmission;
@@ -29,7 +29,7 @@
     this.cancellation = new JobCancellation({ context, lookup: this.lookup, shardController, peers });
   }
 
-  /** Accepts a job, or says why not. Throws `UnavailableError` where that cannot be decided now. */
+  /** Accepts a job, or returns why it was not accepted. Throws `UnavailableError` where that cannot be decided now. */
   submit(spec: JobSpec): Promise<SubmissionResult> {
     return this.submission.submit(spec);
   }
@@ -39,7 +39,10 @@
     return this.lookup.find(id);
   }
 
-  /** Cancels a job and waits, within bounds, until it has ended. Throws `UnavailableError` as `find` does. */
+  /**
+   * Cancels a job and waits, within bounds, until it has ended. Throws `UnavailableError` where the job's state cannot
+   * be known now.
+   */
   cancel(id: JobId): Promise<CancellationResult> {
     return this.cancellation.cancel(id);
   }
--- a/src/controller/api/job-submission.ts
+++ b/src/controller/api/job-submission.ts
@@ -13,10 +13,11 @@
 import type { ControllerContext } from '../controller-context.js';
 import { STATE_CONTACT_MS, type JobLookup } from './job-lookup.js';
 
-/** What the jobs that a submission depends on mean for it. */
+/** What the dependencies of a submitted job mean for it. */
 type DependencyVerdict =
+  /** All of them were accepted and none was cancelled. */
   | { readonly kind: 'open'; readonly unfinished: readonly JobId[] }
-  /** One of them was cancelled. */
+  /** One of them was cancelled or withdrawn; `because` is the job whose cancellation caused that. */
   | { readonly kind: 'withdrawn'; readonly because: JobId }
   /** One of them was never accepted, is the job itself, or is a service. */
   | { readonly kind: 'impossible' };
@@ -32,7 +33,10 @@
     this.commits = new GroupCommit(context.state);
   }
 
-  /** Accepts a job, or says that it is known or impossible. Throws `UnavailableError` where that cannot be known now. */
+  /**
+   * Accepts a job, or returns that it is known, that it is impossible, or that its user should retry. Throws
+   * `UnavailableError` where records that decide this cannot be read now.
+   */
   async submit(spec: JobSpec): Promise<SubmissionResult> {
     const { teams, view, watcher, state, finalStates } = this.context;
     if (!watcher.isReady || view.types === null || !state.isReachable(STATE_CONTACT_MS))
@@ -54,7 +58,7 @@
     }
   }
 
-  /** A job that depends on a cancelled one is accepted, and is cancelled from the first moment. */
+  /** Accepts a job that depends on a cancelled one: its first record is its final state, cancelled. */
   private acceptCancelled(spec: JobSpec, because: JobId): Promise<SubmissionResult> {
     const at = this.context.clock.wallClock();
     const value: FinalRecord = { state: 'cancelled', done: 0, at, because };
@@ -76,7 +80,7 @@
     return this.accept(spec, { key: key.job(spec.id), value, reason: 'submission' }, 'pending');
   }
 
-  /** Commits a job that is in the given state from the first moment. */
+  /** Commits the first record of a job, which then has the given state. */
   private async accept(spec: JobSpec, operation: WriteOperation, state: JobState): Promise<SubmissionResult> {
     const { clock, watcher, log, events } = this.context;
     const { id, team, kind, tasks } = spec;
@@ -93,19 +97,19 @@
       const known = await this.lookup.find(id);
       if (known !== undefined) return { kind: 'known', state: known.state };
     }
-    // Without an answer it may have been committed: the user's retry finds out.
+    // Without an answer the job may have been committed; then the user's retry finds it.
     return { kind: 'later' };
   }
 
-  /** A job that was accepted stays accepted, whatever has changed since: limits, teams, machine types. */
+  /** A job accepted earlier is known even if it is impossible now: limits, teams and machine types may have changed. */
   private async knownOrImpossible(id: JobId, why: string): Promise<SubmissionResult> {
     const known = await this.lookup.find(id);
     return known === undefined ? { kind: 'impossible', why } : { kind: 'known', state: known.state };
   }
 
   /**
-   * Which of the jobs that it depends on are unfinished; whether they were accepted is decided on a view as fresh as that
-   * of a lookup. Throws `UnavailableError` where that cannot be known now.
+   * Checks the dependencies of a submitted job and finds the unfinished ones. Whether a dependency was accepted is
+   * decided on a view as fresh as that of a lookup. Throws `UnavailableError` where that cannot be known now.
    */
   private async checkDependencies({ id, needs = [] }: JobSpec): Promise<DependencyVerdict> {
     const { watcher, view, finalStates, dependencies } = this.context;
@@ -119,25 +123,25 @@
       if (job === undefined) {
         const final = await finalStates.read(dependency, view.revision);
         if (final === undefined) return { kind: 'impossible' };
-        because ??= cancellationBehind(final, dependency);
+        because ??= causeOfCancellation(final, dependency);
         continue;
       }
       // A service runs until it is cancelled, so that a job waiting for its end could never run.
       if (job.spec.kind === 'service') return { kind: 'impossible' };
       unfinished.push(dependency);
       const status = await dependencies.resolve(job);
-      because ??= withdrawalBehind(status);
+      because ??= causeOfWithdrawal(status);
     }
     return because === null ? { kind: 'open', unfinished } : { kind: 'withdrawn', because };
   }
 }
 
-/** The cancellation that a finished dependency ended with; null where it is done. */
-function cancellationBehind(final: FinalRecord, id: JobId): JobId | null {
+/** The job whose cancellation ended the finished dependency `id`; null where the dependency is done. */
+function causeOfCancellation(final: FinalRecord, id: JobId): JobId | null {
   return final.state === 'cancelled' ? (final.because ?? id) : null;
 }
 
-/** The cancellation that withdraws an unfinished dependency; null where none does. */
-function withdrawalBehind(status: DependencyStatus | undefined): JobId | null {
+/** The job whose cancellation withdraws an unfinished dependency; null where none does. */
+function causeOfWithdrawal(status: DependencyStatus | undefined): JobId | null {
   return status?.kind === 'withdrawn' ? status.because : null;
 }
--- a/src/controller/api/status.ts
+++ b/src/controller/api/status.ts
@@ -10,7 +10,7 @@
 import { leaderOf } from '../leader/leader.js';
 import type { ShardController } from '../shard/shard-controller.js';
 
-/** Longest list of machines or pending jobs, so that the answer stays readable and small. */
+/** Limit on the lists of machines and of pending jobs, which keeps the answer readable and small. */
 const MAX_LISTED = 200;
 
 /** The status for operators; its field names are part of the interface. */
@@ -44,8 +44,8 @@
     team: team.name,
     slice: view.teams.get(team.name)?.owner ?? null,
     share: Number(totals.dominantShareOf(team.name).toPrecision(5)),
-    uses: inUnits(totals.usedBy(team.name)),
-    guaranteed: inUnits(team.guarantee),
+    uses: fromMicroUnits(totals.usedBy(team.name)),
+    guaranteed: fromMicroUnits(team.guarantee),
     limit: {
       cpus: team.limitCpu === null ? null : team.limitCpu / MICRO_UNITS,
       gpus: team.limitGpu === null ? null : team.limitGpu / MICRO_UNITS,
@@ -63,12 +63,12 @@
     phase: machine.phase,
     drain: machine.drain === true,
     answeredBy: ownership.proxyOf(machine) ?? ownership.holderOf(machine),
-    free: inUnits(allocations.current().freeByMachine.get(machine.name) ?? NO_RESOURCES),
+    free: fromMicroUnits(allocations.current().freeByMachine.get(machine.name) ?? NO_RESOURCES),
     tasks: machine.placed.flatMap(({ job, tasks }) => tasks.map((index) => taskId(job, index))),
   };
 }
 
-/** Jobs with tasks that are on no machine, those that have waited longest first. */
+/** Jobs with tasks that are neither done nor on a machine, those that have waited longest first. */
 function pendingJobStatuses(context: ControllerContext, shardController: ShardController) {
   const totals = context.allocations.current();
   const now = context.clock.wallClock();
@@ -107,7 +107,7 @@
   }
 }
 
-const inUnits = (resources: ResourceVector) => ({
+const fromMicroUnits = (resources: ResourceVector) => ({
   cpus: resources[CPU] / MICRO_UNITS,
   gpus: resources[GPU] / MICRO_UNITS,
 });
