--- a/src/controller/allocation-tracker.ts
+++ b/src/controller/allocation-tracker.ts
@@ -5,7 +5,7 @@
 import { AllocationTotals } from '../core/state/allocation-totals.js';
 import type { ClusterView } from '../core/state/cluster-view.js';
 
-/** Applies the machines that changed to the totals whenever these are asked for. */
+/** Caches allocation totals, and applies the view's changed machines to them on each read. */
 export class AllocationTracker {
   private totals: AllocationTotals | null = null;
   private types: ReadonlyMap<TypeName, MachineType> | null = null;
@@ -15,7 +15,7 @@
     private readonly teams: ReadonlyMap<TeamName, Team>,
   ) {}
 
-  /** Totals over the present view; the same object as long as the machine types stay. */
+  /** Totals over the current view. The same object is updated in place until the list of machine types changes. */
   current(): AllocationTotals {
     const { view } = this;
     if (this.totals === null || this.types !== view.typesByName) {
--- a/src/controller/background-task.ts
+++ b/src/controller/background-task.ts
@@ -1,10 +1,10 @@
-/** Work that runs beside a loop, at most once at a time. */
+/** Asynchronous work that a loop starts without waiting for it, with at most one run in progress. */
 import type { Logger } from 'pino';
 
-/** How a task reports its failures. */
+/** How a background task reports failures. */
 export interface BackgroundTaskOptions {
   readonly log: Logger;
-  /** The event that is logged when the work fails. */
+  /** Text of the log line for a failed run. */
   readonly failureEvent: string;
 }
 
@@ -14,12 +14,12 @@
 
   constructor(private readonly options: BackgroundTaskOptions) {}
 
-  /** Whether work has been started that has not ended yet. */
+  /** Whether a run is in progress. */
   get isRunning(): boolean {
     return this.running;
   }
 
-  /** Starts the work unless other work is running. */
+  /** Starts the work and returns at once; does nothing while an earlier run is in progress. */
   start(work: () => Promise<void>): void {
     if (this.running) return;
     this.running = true;
--- a/src/controller/committed-facts.ts
+++ b/src/controller/committed-facts.ts
@@ -1,4 +1,4 @@
-/** The committed facts of a controller's view, as packages read them. */
+/** The committed state of the cluster, as plugins read it from a controller's view. */
 import { nodeName, type JobId, type MachineName, type NodeName } from '../core/model/ids.js';
 import type { MachineRecord } from '../core/model/machines.js';
 import { key } from '../core/records/keys.js';
@@ -6,7 +6,7 @@
 import type { CommittedFacts, SessionFact, ShardFact } from '../plugin-host/api.js';
 import type { ControllerContext } from './controller-context.js';
 
-/** Reads the view of one controller. */
+/** Implements `CommittedFacts` on the view of one controller. */
 export class ViewCommittedFacts implements CommittedFacts {
   constructor(private readonly context: ControllerContext) {}
 
@@ -19,7 +19,7 @@
     return [...this.context.view.shards.keys()].map((name) => this.shard(nodeName(name))!);
   }
 
-  /** A shard by its name; null where it has no record. */
+  /** The shard with this name; null where it has no record. */
   shard(name: NodeName): ShardFact | null {
     const { view } = this.context;
     const record = view.shards.get(name);
@@ -42,12 +42,12 @@
     }));
   }
 
-  /** A machine's record; null where it has none. */
+  /** The machine's record; null where it has none. */
   machine(name: MachineName): MachineRecord | null {
     return this.context.view.machines.get(name) ?? null;
   }
 
-  /** The machines of a shard. */
+  /** All machines that belong to the shard. */
   machinesOf(shard: NodeName): MachineRecord[] {
     return [...this.context.view.machines.values()].filter((m) => m.owner === shard);
   }
@@ -57,12 +57,12 @@
     return this.context.view.jobs.has(job);
   }
 
-  /** Whether this process holds the shard and its view has all that was committed before. */
+  /** Whether this process holds the shard and its view has all that was committed before it acquired the shard. */
   isHeldCompletely(shard: NodeName): boolean {
     return this.context.view.isHeldBy(shard, this.context.incarnation);
   }
 
-  /** Whether nothing suggests that the state service is out of reach. */
+  /** Whether the state service answered the last request, or one sent less than `withinMs` milliseconds ago. */
   isStateReachable(withinMs: number): boolean {
     return this.context.state.isReachable(withinMs);
   }
--- a/src/controller/controller-context.ts
+++ b/src/controller/controller-context.ts
@@ -22,20 +22,20 @@
 import { TransactionGuards } from './transaction-guards.js';
 import { ViewChangeFeed } from './view-change-feed.js';
 
-/** What a context is made of. */
+/** What a `ControllerContext` is created from. */
 export interface ControllerContextOptions {
   readonly settings: PlatformSettings;
   readonly operator: OperatorSettings;
   readonly log: Logger;
   readonly clock: Clock;
-  /** Differs between any two starts of any controller. */
+  /** Id of this run of the process; unique over all restarts of all controllers. */
   readonly identity: string;
   readonly stateTransport: Transport;
-  /** Apart from the other requests, since a watch holds its connection. */
+  /** Separate from `stateTransport`, since a pending watch request occupies its connection. */
   readonly watchTransport: Transport;
 }
 
-/** The limits that the platform states, and what they may fall to without notice. */
+/** Limits of the state service: those in force, and the lower ones (`next`) to which they may drop without notice. */
 function stateLimitsOf({ stateLimits, nodes }: PlatformSettings): StateServiceLimits {
   const { rps, write_rps, txn_ops, value_kb, next } = stateLimits;
   return {
@@ -43,14 +43,14 @@
     writeRps: write_rps,
     lowRps: Math.min(rps, next?.rps ?? rps),
     lowWriteRps: Math.min(write_rps, next?.write_rps ?? write_rps),
-    // Sizes are kept to the lower limits from the start: nothing larger is ever written.
+    // Sizes always obey the lower limits, so that no stored value exceeds the limit once it drops.
     operationsPerTransaction: Math.min(txn_ops, next?.txn_ops ?? txn_ops),
     valueBytes: Math.min(value_kb, next?.value_kb ?? value_kb) * 1024,
     nodes,
   };
 }
 
-/** The parts of a controller that its loops share. */
+/** The settings, view, clients and helpers that the loops of a controller share. */
 export class ControllerContext {
   readonly settings: PlatformSettings;
   readonly operator: OperatorSettings;
@@ -60,7 +60,7 @@
   readonly teams: ReadonlyMap<TeamName, Team>;
   readonly view = new ClusterView();
   readonly viewChanges = new ViewChangeFeed();
-  /** What this controller does and observes, for packages. */
+  /** Events of what this controller does and observes, for plugins. */
   readonly events = new EventBus();
   readonly state: StateClient;
   readonly watcher: StateWatcher;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -25,23 +25,23 @@
 /** Interval at which the usage of the state service is logged. */
 const USAGE_LOG_INTERVAL_MS = 30_000;
 
-/** What a controller needs from its environment; tests pass stand-ins. */
+/** What a controller needs from its environment: clock, randomness and connections; tests pass fakes. */
 export interface ControllerDependencies {
   readonly clock: Clock;
-  /** Differs between any two starts of any controller. */
+  /** Id of this run of the process; unique over all restarts of all controllers. */
   readonly identity: string;
-  /** Uniform in [0, 1), to spread what would otherwise happen at once. */
+  /** Uniform in [0, 1), for the jitter of retries that would otherwise coincide. */
   readonly random: () => number;
   readonly state: Transport;
   readonly watch: Transport;
   readonly cloud: Transport;
   readonly agents: AgentGateway;
   readonly peers: ReadonlyMap<string, Peer>;
-  /** Connections for packages, apart from the others, so that a slow package delays nothing else. */
+  /** Connections for plugins, separate from `peers` so that a slow plugin does not delay other requests. */
   readonly packageLinks?: ReadonlyMap<string, Peer>;
 }
 
-/** What a controller is configured with. */
+/** The settings, dependencies and plugins of a controller. */
 export interface ControllerOptions {
   readonly settings: PlatformSettings;
   readonly operator: OperatorSettings;
@@ -50,7 +50,7 @@
   readonly packages?: readonly LoadedPlugin[];
 }
 
-/** The modules of one controller. */
+/** Creates the modules of one controller and runs their loops. */
 export class Controller {
   readonly context: ControllerContext;
   readonly membership: Membership;
@@ -59,9 +59,9 @@
   readonly leader: Leader;
   readonly jobs: JobService;
   readonly heartbeats: HeartbeatRouter;
-  /** Questions and answers between the packages of controllers. */
+  /** Requests between the plugins of different controllers. */
   readonly channel: TopicChannel;
-  /** Null where no package is enabled. */
+  /** Null where no plugin is enabled. */
   readonly packages: PluginHost | null;
   private readonly health: HealthTracker;
 
@@ -92,10 +92,10 @@
       availability: this.availability,
     });
     this.channel = new TopicChannel(dependencies.packageLinks ?? new Map());
-    this.packages = packages.length === 0 ? null : this.createPackageHost(packages, dependencies.random);
+    this.packages = packages.length === 0 ? null : this.createPluginHost(packages, dependencies.random);
   }
 
-  /** Runs all loops; returns only when one of them fails. */
+  /** Runs all loops. Never resolves; rejects when one of them fails. */
   async run(): Promise<void> {
     await Promise.all([
       this.context.watcher.run(),
@@ -109,18 +109,18 @@
     ]);
   }
 
-  private createPackageHost(packages: readonly LoadedPlugin[], random: () => number): PluginHost {
+  private createPluginHost(plugins: readonly LoadedPlugin[], random: () => number): PluginHost {
     const { context, health } = this;
     const { settings, clock, incarnation, log } = context;
     const tracer = new ForwardingTracer();
-    const serviceFor = (packageLog: Logger): PluginServices => ({
+    const servicesFor = (pluginLog: Logger): PluginServices => ({
       node: settings.node,
       incarnation,
       settings,
       peers: settings.peers,
       clock,
       random,
-      log: packageLog,
+      log: pluginLog,
       facts: new ViewCommittedFacts(context),
       shardControl: new ShardTransfer(context, this.membership),
       channel: this.channel,
@@ -135,7 +135,7 @@
         tracer.provide(target);
       },
     });
-    return new PluginHost(packages, serviceFor, log);
+    return new PluginHost(plugins, servicesFor, log);
   }
 
   private async logUsage(): Promise<never> {
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -1,4 +1,4 @@
-/** Resolves the dependencies of waiting jobs: reads the final states that decide them and caches what follows. */
+/** Resolves dependencies between jobs: reads the final states that decide them and caches the resulting graph. */
 import { UnavailableError } from '../core/errors.js';
 import {
   resolveDependencies,
@@ -18,11 +18,11 @@
 import type { FinalStateCache } from './final-state-cache.js';
 import type { ViewChangeFeed } from './view-change-feed.js';
 
-/** Final states read at once: after a failover hundreds of jobs may wait for theirs. */
+/** Limit on concurrent reads of final states: after a failover hundreds of jobs may need theirs at once. */
 const MAX_CONCURRENT_READS = 8;
-const RETRY_MS = 250;
+const READ_RETRY_MS = 250;
 
-/** What the tracker reads from. */
+/** What a `DependencyTracker` computes the graph from. */
 export interface DependencyTrackerOptions {
   readonly view: ClusterView;
   readonly viewChanges: ViewChangeFeed;
@@ -32,18 +32,18 @@
   readonly heartbeatIntervalS: number;
 }
 
-/** Knows which jobs may start, are blocked, or are cancelled with a job that they depend on. */
+/** Tracks which unfinished jobs may start, are blocked, or are withdrawn because a dependency was cancelled. */
 export class DependencyTracker {
   private graph: DependencyGraph | null = null;
-  /** The view's count of job changes that the graph was made from. */
+  /** The `jobChangeCount` of the view from which `graph` was computed. */
   private graphJobChangeCount = -1;
-  /** Some waiting job depends on a job whose final state has not been read. */
+  /** Whether an unfinished job depends on a job whose final state has not been read. */
   private hasUnreadFinalStates = false;
   private isReading = false;
 
   constructor(private readonly options: DependencyTrackerOptions) {
     const { view, viewChanges } = options;
-    // Resolved at once when a job ends, and not when the graph is next asked for: the reads take time.
+    // Starts the reads as soon as a job ends instead of at the next use of the graph, since they take time.
     viewChanges.subscribe(({ jobs }) => {
       if ([...jobs].some((id) => !view.jobs.has(id))) this.current();
     });
@@ -67,7 +67,10 @@
     return (spec.estimateS + fetchS + heartbeatIntervalS) * 1000;
   }
 
-  /** The dependencies of all unfinished jobs, as far as the view and the final states read so far tell. */
+  /**
+   * The dependencies of all unfinished jobs, according to the view and the final states read so far. Starts to read
+   * missing final states in the background.
+   */
   current(): DependencyGraph {
     const { jobChangeCount } = this.options.view;
     if (this.graph === null || this.graphJobChangeCount !== jobChangeCount) {
@@ -82,8 +85,8 @@
   }
 
   /**
-   * The dependencies of one job, with all final states read that decide it; undefined where it has none. Throws
-   * `UnavailableError` where they cannot be read now.
+   * Status of one job's dependencies, after reading all final states that decide it; undefined where the job has no
+   * dependencies. Throws `UnavailableError` where a final state cannot be read now.
    */
   async resolve(job: JobRecord): Promise<DependencyStatus | undefined> {
     if (dependenciesOf(job).length === 0) return undefined;
@@ -91,16 +94,16 @@
     for (;;) {
       const status = resolveDependency(job, this.input);
       const isUndecided = status?.kind === 'blocked' || status?.kind === 'unknown';
-      const unread = isUndecided ? this.unreadBehind(job) : [];
+      const unread = isUndecided ? this.unreadDependenciesOf(job) : [];
       if (unread.length === 0) return status;
       for (const id of unread.slice(0, MAX_CONCURRENT_READS))
         if ((await finalStates.read(id, view.revision)) === undefined)
-          throw new UnavailableError(`${id} is neither unfinished nor finished`);
+          throw new UnavailableError(`dependency ${id} has neither a job record nor a final state`);
       this.graph = null;
     }
   }
 
-  private unreadBehind(job: JobRecord): JobId[] {
+  private unreadDependenciesOf(job: JobRecord): JobId[] {
     const { view, finalStates } = this.options;
     const unread = new Set<JobId>();
     for (const dependent of transitiveDependencies(job, view.jobs))
@@ -117,7 +120,7 @@
     });
   }
 
-  /** Level-triggered: reads a bounded number at a time until nothing is unread. */
+  /** Reads missing final states in batches until none is missing; each batch starts from the current graph. */
   private async readAll(): Promise<void> {
     const { view, viewChanges, finalStates, clock } = this.options;
     for (;;) {
@@ -130,14 +133,15 @@
       const resolved = batch.filter((_, i) => results[i] !== undefined);
       if (resolved.length > 0) {
         this.graph = null;
-        // Published as if the dependents' records had changed, so that their controllers and the leader look again.
+        // Published as if the dependents' records had changed, so that the shard controller and the leader evaluate the
+        // dependents again.
         viewChanges.publish(viewChangesOfJobs(new Set(resolved.map(([, dependent]) => dependent))));
       }
-      if (resolved.length < batch.length) await clock.sleep(RETRY_MS);
+      if (resolved.length < batch.length) await clock.sleep(READ_RETRY_MS);
     }
   }
 
-  /** Each unread final state, with one of the jobs that wait for it. */
+  /** The dependencies whose final states are unread, each with one of the jobs that depend on it. */
   private dependentByUnread(): Map<JobId, JobId> {
     const dependents = new Map<JobId, JobId>();
     for (const [dependent, status] of this.current().byJob)
--- a/src/controller/final-state-cache.ts
+++ b/src/controller/final-state-cache.ts
@@ -1,4 +1,4 @@
-/** Final states of jobs: stored by the state service for ever, cached here within bounds. */
+/** Final states of jobs: stored permanently in the state service, and cached here up to a bounded number. */
 import { evictOldest } from '../core/bounded-map.js';
 import { UnavailableError } from '../core/errors.js';
 import type { JobId, Revision } from '../core/model/ids.js';
@@ -8,67 +8,70 @@
 import type { StateClient } from '../io/state/state-client.js';
 import type { WriteOperation } from '../io/state/state-messages.js';
 
-/** Bounds the cache to a few MB; what was evicted is read again on demand. */
+/** Bounds the cache to a few MB; evicted final states are read again on demand. */
 const MAX_CACHED = 15_000;
 
-/** A request sent after the call finds what was known by then, so that more than two are not needed. */
-const MAX_READS = 3;
+/**
+ * Limit on the requests of one read. The first may have been sent before the read began, so that its answer may be too
+ * old; the answer to a later one is not, so that more than two are not needed.
+ */
+const MAX_REQUESTS_PER_READ = 3;
 
-/** What a read has found, and the revision at which it held. */
+/** An answer to a read and its revision; `final` is undefined where the job had no final state at that revision. */
 interface FinalRead {
   readonly final: FinalRecord | undefined;
   readonly revision: Revision;
 }
 
-/** A bounded cache of final states over reads of the state service. */
+/** A bounded cache of final states that were read from the state service or committed by this process. */
 export class FinalStateCache {
-  private readonly known = new Map<JobId, FinalRecord>();
-  private readonly reading = new Map<JobId, Promise<FinalRead>>();
+  private readonly finalStates = new Map<JobId, FinalRecord>();
+  private readonly pendingReads = new Map<JobId, Promise<FinalRead>>();
   /** Number of reads sent to the state service. */
   reads = 0;
 
   constructor(private readonly state: StateClient) {}
 
-  /** The final state if it is cached. */
+  /** The job's final state if it is cached; undefined does not mean that there is none. */
   cached(id: JobId): FinalRecord | undefined {
-    return this.known.get(id);
+    return this.finalStates.get(id);
   }
 
   /** Caches final states that this process has just committed. */
   recordCommitted(operations: readonly WriteOperation[]): void {
     for (const { key: changedKey, value } of operations) {
       const parsed = parseKey(changedKey);
-      if (parsed.kind === 'final' && value !== undefined) this.remember(parsed.job, value as FinalRecord);
+      if (parsed.kind === 'final' && value !== undefined) this.add(parsed.job, value as FinalRecord);
     }
   }
 
-  private remember(id: JobId, final: FinalRecord): void {
-    this.known.set(id, final);
-    evictOldest(this.known, MAX_CACHED);
+  private add(id: JobId, final: FinalRecord): void {
+    this.finalStates.set(id, final);
+    evictOldest(this.finalStates, MAX_CACHED);
   }
 
   /**
-   * Reads the job's final state; undefined where it has none at the given revision. Concurrent reads of one job share a
-   * request; where that was answered before the revision and found nothing, another one is sent. Throws
-   * `UnavailableError` where the state service does not answer.
+   * The job's final state; undefined where it has none at a revision of at least `atLeast`. Concurrent reads of one job
+   * share a request; where its answer is older than `atLeast` and has no final state, another one is sent. Throws
+   * `UnavailableError` where the state service does not answer, or all answers are too old.
    */
   async read(id: JobId, atLeast: Revision): Promise<FinalRecord | undefined> {
-    for (let attempts = 0; attempts < MAX_READS; attempts++) {
-      const known = this.known.get(id);
-      if (known !== undefined) return known;
+    for (let attempts = 0; attempts < MAX_REQUESTS_PER_READ; attempts++) {
+      const cached = this.finalStates.get(id);
+      if (cached !== undefined) return cached;
       const { final, revision } = await this.readShared(id);
       if (final !== undefined || revision >= atLeast) return final;
     }
-    throw new UnavailableError(`${id}: answers older than what is known`);
+    throw new UnavailableError(`final state of ${id}: all answers are older than revision ${atLeast}`);
   }
 
   private readShared(id: JobId): Promise<FinalRead> {
-    let reading = this.reading.get(id);
-    if (reading === undefined) {
-      reading = this.request(id).finally(() => this.reading.delete(id));
-      this.reading.set(id, reading);
+    let pendingRead = this.pendingReads.get(id);
+    if (pendingRead === undefined) {
+      pendingRead = this.request(id).finally(() => this.pendingReads.delete(id));
+      this.pendingReads.set(id, pendingRead);
     }
-    return reading;
+    return pendingRead;
   }
 
   private async request(id: JobId): Promise<FinalRead> {
@@ -76,7 +79,7 @@
     const { value, revision } = await this.state.get(key.final(id), REQUEST_PRIORITY.users);
     if (value === undefined) return { final: undefined, revision };
     const final = value as FinalRecord;
-    this.remember(id, final);
+    this.add(id, final);
     return { final, revision };
   }
 }
--- a/src/controller/notification.ts
+++ b/src/controller/notification.ts
@@ -1,20 +1,20 @@
-/** A notification that wakes a loop early; several while the loop works count as one. */
+/** Wakes a loop before its interval has passed; notifications that come while the loop is busy are merged into one. */
 import type { Clock } from '../core/model/clock.js';
 
-/** Wakes one loop. */
+/** Wake-up signal of one loop. Supports a single waiter. */
 export class Notification {
   private pending = false;
   private resume: (() => void) | null = null;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Wakes the loop that waits, or lets its next wait return at once. */
+  /** Ends the current wait, or makes the next one return at once. */
   notify(): void {
     this.pending = true;
     this.resume?.();
   }
 
-  /** Resolves with the next notification, or after the time given. */
+  /** Resolves at the next notification, or after `ms` milliseconds; at once if there was one since the last wait. */
   async wait(ms: number): Promise<void> {
     if (!this.pending) {
       let stopTimer: () => void = () => undefined;
--- a/src/controller/record-budget.ts
+++ b/src/controller/record-budget.ts
@@ -1,18 +1,18 @@
-/** Keeps records within the largest value that the state service takes. */
+/** Keeps records within the largest value that the state service accepts. */
 import type { JobRecord } from '../core/model/jobs.js';
 import type { MachineRecord } from '../core/model/machines.js';
 import { jsonBytes, toStoredJob, type StoredJob } from '../core/records/stored-records.js';
 
-/** Upper bound of what a machine's record spends on the names of cached images. */
+/** Upper bound, in bytes, for the names of cached images in a machine's record. */
 const MAX_IMAGES_BYTES = 300;
-/** And the part of the largest value that they may take. */
+/** Upper bound for the names of cached images, as a fraction of the largest value. */
 const IMAGES_FRACTION = 1 / 8;
-/** Marking an allocation as stopping adds so much. */
-const STOP_MARK_BYTES = 13;
-/** Address, drain mark, token heard and phase, which later changes may add. */
-const LATER_FIELDS_BYTES = 130;
+/** Bytes reserved in each allocation for `stop`, which is added when its tasks are to be stopped. */
+const STOP_FIELD_BYTES = 13;
+/** Bytes reserved for what later commits add to a machine's record: `address`, `drain`, `heard`, a longer `phase`. */
+const RESERVED_FIELDS_BYTES = 130;
 
-/** Computes how much of a record's size limit is left. */
+/** Computes how many bytes of the limit a machine's record has left, and keeps jobs' records within the limit. */
 export class RecordBudget {
   private readonly sizes = new WeakMap<MachineRecord, number>();
 
@@ -23,18 +23,18 @@
     return Math.min(MAX_IMAGES_BYTES, Math.floor(this.valueBytes * IMAGES_FRACTION));
   }
 
-  /** Bytes left for further allocations, everything counted that may still be added to the record. */
+  /** Bytes left for further allocations, after the reserves for images and for fields that may still be added. */
   bytesLeft(machine: MachineRecord): number {
-    // Records are never changed in place, so the size of one can be remembered.
+    // Records are never changed in place, so a size stays valid for as long as its record exists.
     let size = this.sizes.get(machine);
     if (size === undefined) {
-      size = jsonBytes({ ...machine, images: undefined }) + STOP_MARK_BYTES * machine.placed.length;
+      size = jsonBytes({ ...machine, images: undefined }) + STOP_FIELD_BYTES * machine.placed.length;
       this.sizes.set(machine, size);
     }
-    return Math.max(0, this.valueBytes - size - this.imagesBytes - LATER_FIELDS_BYTES);
+    return Math.max(0, this.valueBytes - size - this.imagesBytes - RESERVED_FIELDS_BYTES);
   }
 
-  /** The job's record as it is written: within the limit where that is possible, else without its failures. */
+  /** The job's record as it is stored: without its failures if it is above the limit with them but not without them. */
   storedJob(job: JobRecord): StoredJob {
     return (
       toStoredJob(job, this.valueBytes) ?? toStoredJob({ ...job, failing: undefined }, this.valueBytes) ?? job
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -17,28 +17,34 @@
 import { status } from './api/status.js';
 import { Controller, type ControllerDependencies } from './controller.js';
 
-/** Connections to each outside system. */
+/** Limit on connections to the state service for all requests but watches. */
 const STATE_CONNECTIONS = 8;
+/** Limit on connections to the state service for watches, of which one is pending at a time. */
 const WATCH_CONNECTIONS = 1;
+/** Limit on connections to the cloud. */
 const CLOUD_CONNECTIONS = 4;
-/** The parts of the connection limit for direct commands to agents and for incoming HTTP. */
+/** `max_connections` divided by this is the limit on connections for direct commands to agents. */
 const AGENT_CONNECTIONS_DIVISOR = 20;
 const MIN_AGENT_CONNECTIONS = 8;
+/** Fraction of `max_connections` for incoming HTTP connections. */
 const HTTP_CONNECTIONS_FRACTION = 0.85;
-/** Connections from other controllers. */
+/** Limit on incoming connections from other controllers, per controller of the cluster. */
 const PEER_CONNECTIONS_PER_NODE = 4;
 const MIN_PEER_CONNECTIONS = 8;
-/** A controller counts as in contact with the state service within this time of an answer. */
+/** For this long after an answer of the state service, at least, peers are told that this controller reaches it. */
 const STATE_CONTACT_MS = 1500;
 
-/** Packages connect from the address by which the other controllers know this one, where it has one. */
-function packageLinks(settings: PlatformSettings): ReadonlyMap<string, Peer> {
+/**
+ * Connections for plugins. They use this controller's peer address as their source unless that is the wildcard address,
+ * so that the other controllers can identify it.
+ */
+function createPluginLinks(settings: PlatformSettings): ReadonlyMap<string, Peer> {
   const [host] = splitAddress(settings.peerBind);
   const localAddress = host === '0.0.0.0' ? undefined : host;
   return new Map(settings.peers.map((peer) => [peer.node, new PeerLink(peer.address, localAddress)]));
 }
 
-function connect(settings: PlatformSettings, hasPackages: boolean): ControllerDependencies {
+function createDependencies(settings: PlatformSettings, hasPlugins: boolean): ControllerDependencies {
   const maxConnections = settings.limits.max_connections;
   const agentConnections = Math.floor(maxConnections / AGENT_CONNECTIONS_DIVISOR);
   return {
@@ -50,7 +56,7 @@
     cloud: new HttpClient(settings.cloud, CLOUD_CONNECTIONS),
     agents: new AgentClient(Math.max(MIN_AGENT_CONNECTIONS, agentConnections)),
     peers: new Map(settings.peers.map((peer) => [peer.node, new PeerLink(peer.address)])),
-    ...(hasPackages ? { packageLinks: packageLinks(settings) } : {}),
+    ...(hasPlugins ? { packageLinks: createPluginLinks(settings) } : {}),
   };
 }
 
@@ -89,14 +95,14 @@
   await server.listen({ host, port });
 }
 
-/** Starts a controller; returns only when it fails. */
+/** Starts a controller and runs it. Never resolves; rejects when it cannot listen or one of its loops fails. */
 export async function serve(
   settings: PlatformSettings,
   operator: OperatorSettings,
   log: Logger,
   packages: readonly LoadedPlugin[] = [],
 ): Promise<void> {
-  const dependencies = connect(settings, packages.length > 0);
+  const dependencies = createDependencies(settings, packages.length > 0);
   const controller = new Controller({ settings, operator, log, dependencies, packages });
   await listenForPeers(controller, settings);
   await listenForHttp(controller, settings, operator, log);
--- a/src/controller/shard-ownership.ts
+++ b/src/controller/shard-ownership.ts
@@ -1,4 +1,4 @@
-/** Which controller holds which shard, as this process's view tells. */
+/** Which controller holds which shard, according to this process's view. */
 import type { Incarnation, NodeName, TeamName } from '../core/model/ids.js';
 import type { MachineRecord } from '../core/model/machines.js';
 import type { ClusterView } from '../core/state/cluster-view.js';
@@ -8,7 +8,7 @@
   readonly owner: NodeName;
 }
 
-/** Answers who may act for machines and teams. */
+/** Determines which controller may act for a machine or a team. */
 export class ShardOwnership {
   constructor(
     private readonly view: ClusterView,
@@ -20,7 +20,7 @@
     return this.view.isHeldBy(member.owner, this.incarnation);
   }
 
-  /** Whether this process has acquired the shard, but its view may lack commits of the previous holder. */
+  /** Whether this process has acquired the member's shard, but its view may lack commits of the previous holder. */
   isAcquiring(member: ShardMember): boolean {
     return this.view.shards.get(member.owner)?.incarnation === this.incarnation && !this.owns(member);
   }
@@ -36,7 +36,7 @@
     return [...this.view.machines.values()].filter((machine) => this.owns(machine));
   }
 
-  /** The controller that holds the member's shard; null where it has no session. */
+  /** The controller that holds the member's shard; null where there is none or its session has ended. */
   holderOf(member: ShardMember | undefined): NodeName | null {
     const shard = member === undefined ? undefined : this.view.shards.get(member.owner);
     if (shard === undefined) return null;
--- a/src/controller/view-change-feed.ts
+++ b/src/controller/view-change-feed.ts
@@ -1,19 +1,19 @@
-/** Tells the loops of a controller which records of the view have changed. */
+/** Notifies the modules of a controller of changed records in its view. */
 import type { ViewChanges } from '../core/state/view-changes.js';
 
-/** Called after the view has taken the changes in; must neither throw nor wait. */
+/** Called synchronously after the changes were applied to the view; must neither throw nor block. */
 export type ViewChangeListener = (changes: ViewChanges) => void;
 
-/** Listeners in the order of their subscription. */
+/** Delivers changes of the view to listeners, synchronously and in the order of their subscription. */
 export class ViewChangeFeed {
   private readonly listeners: ViewChangeListener[] = [];
 
-  /** Calls the listener with all later changes. */
+  /** Adds a listener to all later changes, for the life of the process. */
   subscribe(listener: ViewChangeListener): void {
     this.listeners.push(listener);
   }
 
-  /** Tells all listeners of changes that the view has taken in. */
+  /** Notifies all listeners of changes that were applied to the view. */
   publish(changes: ViewChanges): void {
     for (const listener of this.listeners) listener(changes);
   }
