--- a/src/core/placement/candidate-machines.ts
+++ b/src/core/placement/candidate-machines.ts
@@ -1,7 +1,8 @@
 /**
- * The machines of a placement pass as candidates for tasks, and the choice of the best one.
+ * Candidate machines of a placement pass, and the choice of the best one for a task.
  *
- * The choice runs for every task over every candidate: it creates no objects for a machine but the vector of what is free.
+ * The choice compares every task with every candidate, so the only object it allocates per candidate is the
+ * vector of free resources.
  */
 import { allowsMachine, allowsMachineType, maxTasksPerZone } from '../jobs/feasibility.js';
 import { fitness } from '../model/dominant-share.js';
@@ -14,58 +15,67 @@
 import { FETCH_RANK_BUSY, type PlacementInput } from './placement-types.js';
 
 /**
- * Tiers of candidates, compared before their fitness; the lowest wins. Fitness looks at the shape of what is free and
- * not at its size, and would put a small task on every machine that a gang needs whole.
+ * Tiers of candidates, compared before fitness; the lowest wins. Fitness compares the shape of the free
+ * resources, not their amount: on its own it would place small tasks on empty machines that gangs need.
  */
 const MACHINE_TIER = {
   partlyUsed: 0,
   empty: 1,
-  /** In use and fetching other images: worse than an empty machine while no job needs whole machines. */
+  /** Partly used and fetching other images: worse than an empty machine while no job needs whole machines. */
   fetchingOtherImages: 2,
   /** Empty while some jobs need whole machines. */
   emptyWantedByGangs: 4,
 } as const;
 
-/** Added to the tier of an on-demand machine for a job that may use spot machines: other jobs have no such choice. */
+/**
+ * Added to the tier of an on-demand machine for a job that may use spot machines; other jobs can run only on
+ * on-demand machines.
+ */
 const ON_DEMAND_TIER_OFFSET = 8;
 
-/** What another record to write adds to the tie-break of a machine: less than one fetch rank. */
+/** Tie-break penalty of a machine whose record is not written yet; less than one step of the fetch rank. */
 const NEW_RECORD_PENALTY = 0.5;
 
-/** A machine that may get tasks in this pass, with what the pass has decided about it so far. */
+/** A machine that may get tasks in a placement pass, with the decisions of the pass about it so far. */
 export interface CandidateMachine {
   readonly machine: MachineRecord;
-  /** Bytes that its record has left for further tasks. */
+  /** Bytes that the machine's record has left for further tasks. */
   recordBytesLeft: number;
-  /** Jobs with an allocation of this pass on it. */
+  /** Jobs of which this pass has placed tasks on the machine. */
   readonly placedJobs: Set<JobId>;
-  /** Allocations in its record and tasks placed by this pass; 0 for an empty machine. */
+  /** Number of allocations in the machine's record plus tasks placed by this pass; 0 for an empty machine. */
   allocationCount: number;
-  /** Images that this pass makes it fetch. */
+  /** Images that the machine has to fetch for tasks of this pass. */
   readonly fetchedImages: Set<string>;
-  /** The gang that it is reserved for. */
+  /** The gang that the machine is reserved for; null if it is not reserved. */
   reservedFor: JobSpec | null;
 }
 
-/** What is asked of the machine for one more task of a job. */
+/** Requirements on a machine for one more task of a job. */
 export interface MachineRequest {
   readonly spec: JobSpec;
-  /** The zone to which the job's other tasks bind this one; null for any that the job allows. */
+  /**
+   * The zone that the task has to share with the job's other tasks; null for any zone that the job allows.
+   */
   readonly zone: Zone | null;
-  /** Tasks of the job that are chosen for a machine and not recorded yet. */
+  /** Number of the job's tasks by machine that are chosen but not yet added to the totals. */
   readonly chosenTasks: ReadonlyMap<MachineName, number>;
+  /** Number of the job's tasks by zone, compared with the limit of a job that spreads over zones. */
   readonly tasksPerZone: ReadonlyMap<Zone, number>;
-  /** Whether empty on-demand machines are left to gangs. */
+  /** Whether the job leaves empty on-demand machines to gangs. */
   readonly leavesWholeMachinesToGangs: boolean;
 }
 
-/** The machine chosen for a task. */
+/** The machine chosen for a task, with the fitness of the task's demand on it; lower is better. */
 export interface MachineChoice {
   readonly candidate: CandidateMachine;
   readonly fitness: number;
 }
 
-/** Skips machines that cannot fit the smallest pending demand; most machines are full, so this bounds the cost of a pass. */
+/**
+ * The machines of a pass that can fit the smallest pending demand (null: no pending jobs, hence no
+ * candidates). Most machines are full, so skipping them bounds the cost of the pass.
+ */
 export function candidateMachines(
   { machines, totals, recordBytesLeft }: PlacementInput,
   smallestDemand: ResourceVector | null,
@@ -83,7 +93,7 @@
     }));
 }
 
-/** The best machine for one more task of a job; null where none fits. */
+/** The best machine for one more task of a job; null if none fits. */
 export function bestMachineFor(
   candidates: readonly CandidateMachine[],
   input: PlacementInput,
@@ -95,8 +105,8 @@
 }
 
 /**
- * How many tasks of the job the machine can take in a zone (null: the one that the job asks for, if any), by an estimate
- * that ignores avoidance and spreading over zones.
+ * Estimates how many tasks of the job the machine can take if they are restricted to a zone (null: the job's
+ * own zone, if any). The estimate ignores avoided machines and the job's limit of tasks per zone.
  */
 export function estimateTaskCapacity(
   candidate: CandidateMachine,
@@ -112,7 +122,9 @@
   return Math.min(tasksWithinRecord(candidate, spec), tasksThatFit(spec.demand, free));
 }
 
-/** How long the machine needs for the image, with what this pass makes it fetch; see `FETCH_RANK_BUSY`. */
+/**
+ * Fetch rank of the image on the machine, including the images to fetch for this pass; see `FETCH_RANK_BUSY`.
+ */
 export function fetchRankOf(
   { machine, fetchedImages }: CandidateMachine,
   image: string,
@@ -123,12 +135,15 @@
   return fetchedImages.has(image) ? Math.min(rank, 1) : FETCH_RANK_BUSY;
 }
 
-/** The bytes that one more task adds to the machine's record: the tasks of one job and pass share an allocation. */
+/**
+ * Bytes that one more task adds to the machine's record. Tasks of one job placed in the same pass share an
+ * allocation.
+ */
 export function bytesOfNextTask({ placedJobs }: CandidateMachine, spec: JobSpec): number {
   return TASK_INDEX_BYTES + (placedJobs.has(spec.id) ? 0 : allocationBytes(spec));
 }
 
-/** One pass over the candidates for one task, with the best so far in its fields. */
+/** Finds the best of the candidates for one task; its fields hold the best one so far. */
 class MachineSearch {
   private best: CandidateMachine | null = null;
   private bestTier = 0;
@@ -143,12 +158,12 @@
     this.zoneLimit = maxTasksPerZone(request.spec);
   }
 
-  /** The best candidate so far; null where none fits. */
+  /** The best candidate so far; null if none fits. */
   result(): MachineChoice | null {
     return this.best === null ? null : { candidate: this.best, fitness: this.bestFitness };
   }
 
-  /** Makes the candidate the best one if it fits and is better. */
+  /** Makes the candidate the best one if it fits and is better than the best so far. */
   consider(candidate: CandidateMachine): void {
     const { machine } = candidate;
     const { spec, chosenTasks } = this.request;
@@ -192,9 +207,10 @@
   }
 
   /**
-   * Among machines that fit equally well, one that has the image wins, and of those one whose record this pass writes
-   * anyway: fitness changes with each task, and alone would send the tasks of an array to one machine each, a change
-   * to write for every task. Replicas of a service are better kept apart.
+   * Tie-break among machines that fit equally well; lower is better. Prefers machines that have the image,
+   * and of those the ones whose record this pass writes anyway. Fitness changes with each placed task, so
+   * that by fitness alone every task of an array could go to another machine, each with a record to write.
+   * Replicas of a service get no such preference: they are better kept on different machines.
    */
   private tieBreakOf({ placedJobs }: CandidateMachine, chosen: number, fetchRank: number): number {
     const isRecordWritten = placedJobs.size > 0 || chosen > 0;
@@ -202,7 +218,10 @@
     return hasPenalty ? fetchRank + NEW_RECORD_PENALTY : fetchRank;
   }
 
-  /** Compares with the best so far: by tier, then by fitness beyond the tolerance, by tie-break, by exact fitness. */
+  /**
+   * Whether a candidate is better than the best so far: by tier, then by fitness beyond the tolerance, then
+   * by tie-break, then by exact fitness.
+   */
   private isBetter(tier: number, fit: number, tieBreak: number): boolean {
     const { fitnessTolerance } = this.input;
     if (this.best === null) return true;
@@ -220,7 +239,7 @@
   return PRIORITY_RANK[reservedFor.priority] <= PRIORITY_RANK[spec.priority];
 }
 
-/** For how many more tasks of the job the machine's record has room. */
+/** Number of further tasks of the job that fit into the machine's record. */
 function tasksWithinRecord({ recordBytesLeft, placedJobs }: CandidateMachine, spec: JobSpec): number {
   const newAllocationBytes = placedJobs.has(spec.id) ? 0 : allocationBytes(spec);
   return Math.floor((recordBytesLeft - newAllocationBytes) / TASK_INDEX_BYTES);
--- a/src/core/placement/gang-placement.ts
+++ b/src/core/placement/gang-placement.ts
@@ -1,4 +1,4 @@
-/** Placement of gangs: a gang starts as a whole or not at all. */
+/** Placement of gangs: all tasks of a gang start together or none does. */
 import { addToCount } from '../collections.js';
 import { zoneChoices } from '../jobs/feasibility.js';
 import type { MachineName, Zone } from '../model/ids.js';
@@ -12,7 +12,7 @@
 import type { PlacementState } from './placement-state.js';
 import type { PlacementOutcome } from './placement-types.js';
 
-/** Places all tasks of a gang, where there is room, under one attempt. */
+/** Places all tasks of a gang under one attempt, or none of them if there is no room for all. */
 export function placeGang(state: PlacementState, { spec }: JobRecord, share: number): PlacementOutcome {
   const { totals, newAttempt } = state.input;
   if (totals.jobs.has(spec.id)) return 'old_attempt';
@@ -27,9 +27,10 @@
 }
 
 /**
- * Reserves machines for a gang that has waited long: in the zone where most of them fit, up to one for each task.
- * Without a reservation, smaller jobs take each machine that comes free, and a gang of many whole machines waits for
- * ever. Only one gang has a reservation, so that no two each hold half of what both need.
+ * Reserves machines for a gang that has waited long: those of the zone with the most machines that fit a
+ * task, at most one machine per task. Without a reservation, smaller jobs take each machine as it becomes
+ * free and a gang that needs many whole machines starves. Only one gang has a reservation at a time: two
+ * could each hold half of the machines that both need, and neither would start.
  */
 export function reserveForGang(state: PlacementState, spec: JobSpec): void {
   state.hasReservation = true;
@@ -43,7 +44,9 @@
   for (const candidate of best) candidate.reservedFor = spec;
 }
 
-/** The machines for the tasks of a gang, in the zone with the lowest total fitness; null where there is no room. */
+/**
+ * The machine for each task of a gang, in the zone with the lowest total fitness; null if it fits in none.
+ */
 function chooseMachines(state: PlacementState, spec: JobSpec): MachineChoice[] | null {
   let best: MachineChoice[] | null = null;
   let bestFitness = 0;
@@ -60,7 +63,10 @@
   return best;
 }
 
-/** Estimates whether all tasks can fit at all, before machines are chosen one by one. */
+/**
+ * Whether all tasks of the gang may fit in a zone (null: in all zones together), by an estimate that never
+ * rules out a zone with enough room. Cheaper than the choice of a machine for each task.
+ */
 function mayFit({ candidates, input }: PlacementState, spec: JobSpec, zone: Zone | null): boolean {
   let tasks = 0;
   for (const candidate of candidates) {
@@ -70,6 +76,9 @@
   return false;
 }
 
+/**
+ * The machine for each task of a gang in a zone (null: in all zones together); null if they do not all fit.
+ */
 function chooseMachinesIn(
   { candidates, input }: PlacementState,
   spec: JobSpec,
@@ -90,6 +99,7 @@
   return choices;
 }
 
+/** The zones to try for the gang; null stands for all zones together. */
 const zonesOf = ({ candidates }: PlacementState, spec: JobSpec): (Zone | null)[] =>
   zoneChoices(
     spec,
--- a/src/core/placement/gang-preemption.ts
+++ b/src/core/placement/gang-preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the machines on which a whole gang fits once tasks of the lowest priority are stopped. Only those give way:
- * a gang takes whole machines, and many at once.
+ * Chooses the machines on which a whole gang fits once tasks of arrays of the lowest priority are stopped. No
+ * other tasks are preempted for a gang, since it takes many whole machines at once.
  */
 import { allowsMachine, zoneChoices } from '../jobs/feasibility.js';
 import type { Zone } from '../model/ids.js';
@@ -10,13 +10,18 @@
 import { preemptionCost } from './preemption-cost.js';
 import type { PreemptionChoice, PreemptionInput } from './preemption.js';
 
-/** Tasks of a gang that one machine can take, now or once the victims are gone, and what stopping them loses. */
+/** A machine with the victims to stop there so that it can take tasks of a gang. */
 interface GangMachine extends PreemptionChoice {
+  /** Number of the gang's tasks that fit once the victims have exited. */
   readonly capacityTasks: number;
+  /** Cost of stopping the victims, approximately in seconds of one task's run time. */
   readonly cost: number;
 }
 
-/** The machines of a shard on which the gang fits at the lowest cost; null if there are not enough. */
+/**
+ * The machines on which the gang fits at the lowest preemption cost, some of them possibly without victims.
+ * Null if there are not enough, or if the gang's priority is not above normal.
+ */
 export function selectGangVictims(input: PreemptionInput): PreemptionChoice[] | null {
   const { job } = input;
   if (PRIORITY_RANK[job.priority] >= PRIORITY_RANK.normal) return null;
@@ -44,7 +49,7 @@
   return best;
 }
 
-/** What the machine offers to the gang; no victims where stopping them would fit no further task. */
+/** The machine as an option for the gang; no victims if stopping them makes room for no further task. */
 function gangMachine(machine: MachineRecord, { job, jobs, totals }: PreemptionInput): GangMachine {
   const free = totals.freeByMachine.get(machine.name)!;
   const victims = machine.placed.filter(
@@ -58,7 +63,7 @@
   return { machine, victims, capacityTasks: tasksAfter, cost };
 }
 
-/** The first machines of the zone (null: of all zones) that together take all tasks; null if there are not enough. */
+/** The first machines of the zone (null: of all zones) that together fit all tasks; null if too few. */
 function cheapestMachinesIn(
   zone: Zone | null,
   byCost: readonly GangMachine[],
--- a/src/core/placement/guarantees.ts
+++ b/src/core/placement/guarantees.ts
@@ -1,13 +1,19 @@
-/** Whether teams stay within what they are guaranteed, which decides whom preemption may stop. */
+/**
+ * Comparison of teams' usage with their guarantees, which decides who may preempt and whose tasks may be
+ * preempted.
+ */
 import type { Team } from '../model/cluster.js';
 import type { JobSpec } from '../model/jobs.js';
 import { CPU, GPU, addResources } from '../model/resources.js';
 import type { AllocationTotals } from '../state/allocation-totals.js';
 
-/** Memory is never guaranteed. */
+/** Resources that teams can have a guarantee for; memory is never guaranteed. */
 const GUARANTEED_RESOURCES = [CPU, GPU] as const;
 
-/** Whether the team has a guarantee for what the job asks for, and stays within it with so many more tasks. */
+/**
+ * Whether the team has a guarantee for resources that the job needs, and stays within it with `tasks` more
+ * tasks of the job.
+ */
 export function isWithinGuarantee(
   team: Team | undefined,
   totals: AllocationTotals,
@@ -23,7 +29,7 @@
   return relevant.length > 0 && relevant.every((resource) => used[resource] <= guarantee[resource]);
 }
 
-/** Whether the team uses more than its guarantee; all that a team without any guarantee uses is beyond it. */
+/** Whether the team uses more than its guarantee; any use of a team without a guarantee is beyond it. */
 export function isBeyondGuarantee(team: Team | undefined, totals: AllocationTotals): boolean {
   if (team === undefined) return true;
   const { guarantee } = team;
--- a/src/core/placement/placement-queues.ts
+++ b/src/core/placement/placement-queues.ts
@@ -5,7 +5,7 @@
 import type { ResourceVector } from '../model/resources.js';
 import type { AllocationTotals } from '../state/allocation-totals.js';
 
-/** The active jobs of each team, in the order in which they are served. */
+/** The active jobs by team, each queue sorted by `compareJobs`. */
 export function queuesByTeam(
   jobs: Iterable<JobRecord>,
   compareJobs: (a: JobRecord, b: JobRecord) => number,
@@ -16,7 +16,7 @@
   return queues;
 }
 
-/** The smallest pending demand for each resource; null without jobs. */
+/** The smallest amount of each resource that a task of any queued job needs; null if no job is queued. */
 export function smallestDemand(queues: Iterable<readonly JobRecord[]>): ResourceVector | null {
   let smallest: ResourceVector | null = null;
   for (const queue of queues)
@@ -30,7 +30,7 @@
   Math.min(a[2], b[2]),
 ];
 
-/** The waiting team with the lowest weighted dominant share, of equal ones the first by name; null where none waits. */
+/** The team with the lowest weighted dominant share, the first by name on a tie; null without teams. */
 export function nextTeam(teams: Iterable<TeamName>, totals: AllocationTotals): TeamName | null {
   let next: TeamName | null = null;
   let lowestShare = Number.POSITIVE_INFINITY;
--- a/src/core/placement/placement-state.ts
+++ b/src/core/placement/placement-state.ts
@@ -14,7 +14,7 @@
 import { queuesByTeam, smallestDemand } from './placement-queues.js';
 import type { Placement, PlacementInput, PlacementResult, WaitReason } from './placement-types.js';
 
-/** A decided start of a task. */
+/** The decision to start a task on a candidate machine. */
 export interface PlacementDecision extends MachineChoice {
   readonly spec: JobSpec;
   readonly index: TaskIndex;
@@ -23,12 +23,12 @@
   readonly share: number;
 }
 
-/** Candidates, queues and decisions of one pass; decisions are added to the totals until `finish`. */
+/** Candidates, queues and placements of one pass. Placements count in the totals until `finish`. */
 export class PlacementState {
-  /** Jobs still to be served, by team, each in the order of service. */
+  /** Jobs still to be served by team, in the order in which they are served. */
   readonly queues: Map<TeamName, JobRecord[]>;
   readonly candidates: readonly CandidateMachine[];
-  /** Whether machines are reserved for a gang: only one at a time has a reservation. */
+  /** Whether machines are reserved for a gang; at most one gang has a reservation. */
   hasReservation = false;
   private readonly placements: Placement[] = [];
   private readonly waitReasons = new Map<JobId, WaitReason>();
@@ -43,13 +43,15 @@
     this.candidates = candidateMachines(input, smallestDemand(this.queues.values()));
   }
 
-  /** Whether all jobs are served or a limit of the pass is reached. */
+  /** Whether no jobs are left in the queues or a limit of the pass is reached. */
   isComplete(): boolean {
     if (this.queues.size === 0 || this.placements.length >= this.input.maxPlacements) return true;
     return this.changedMachines.size >= this.input.maxMachines;
   }
 
-  /** The next task of the job that is neither done nor allocated, each only once a pass; null where none is left. */
+  /**
+   * The next task of the job that is neither done nor allocated, each once per pass; null if none is left.
+   */
   nextTaskOf(job: JobRecord): TaskIndex | null {
     const { id } = job.spec;
     const allocated = this.input.totals.jobs.get(id)?.tasks;
@@ -63,7 +65,9 @@
     return null;
   }
 
-  /** The attempt of all tasks of the job that this pass starts one by one: they share allocations. */
+  /**
+   * The attempt of all tasks of an array or service that this pass starts; it lets them share allocations.
+   */
   attemptOf(job: JobId): Attempt {
     let attempt = this.attempts.get(job);
     if (attempt === undefined) {
@@ -73,7 +77,7 @@
     return attempt;
   }
 
-  /** Records a start, and adds it to the totals. */
+  /** Records the placement of a task and adds it to the totals. */
   recordPlacement({ spec, index, attempt, candidate, share, fitness }: PlacementDecision): void {
     const { machine } = candidate;
     const fetchRank = fetchRankOf(candidate, spec.image, this.input);
@@ -86,12 +90,12 @@
     this.input.totals.addAllocation(machine, allocationFor(spec, attempt, [index]));
   }
 
-  /** Records why a job waits. */
+  /** Records why the job has to wait; replaces an earlier reason. */
   recordWait(job: JobId, reason: WaitReason): void {
     this.waitReasons.set(job, reason);
   }
 
-  /** Ends the pass: removes its placements from the totals, which others share; they count once committed. */
+  /** Ends the pass and removes its placements from the shared totals: they count only once committed. */
   finish(): PlacementResult {
     const { placements, waitReasons } = this;
     for (const { job, index, machine, attempt } of placements)
--- a/src/core/placement/placement.ts
+++ b/src/core/placement/placement.ts
@@ -1,6 +1,7 @@
 /**
- * Best-Fit DRFH over the machines of one shard: the waiting team with the lowest weighted dominant share is served
- * next, its task goes to the fitting machine with the least H, and a gang starts as a whole or not at all.
+ * Best-Fit DRFH over the machines of one controller: the waiting team with the lowest weighted dominant share
+ * is served next, its task goes to the fitting machine with the lowest H, and a gang starts as a whole or not
+ * at all.
  */
 import type { JobRecord } from '../model/jobs.js';
 import { placeGang, reserveForGang } from './gang-placement.js';
@@ -9,7 +10,7 @@
 import type { PlacementInput, PlacementOutcome, PlacementResult } from './placement-types.js';
 import { placeNextTask } from './task-placement.js';
 
-/** Places waiting tasks; the totals are left as they were. */
+/** Runs one placement pass. The totals are changed during the pass and restored before it returns. */
 export function placeTasks(input: PlacementInput): PlacementResult {
   const state = new PlacementState(input);
   while (!state.isComplete()) {
@@ -22,7 +23,10 @@
   return state.finish();
 }
 
-/** Places one task or gang of a team; jobs that have to wait or have no tasks left leave the queue. */
+/**
+ * Places one task or gang of a team whose weighted dominant share is given. Removes jobs that have to wait or
+ * have no tasks left from the queue; it is empty where nothing can be placed.
+ */
 function serveTeam(state: PlacementState, queue: JobRecord[], share: number): void {
   for (let job = queue[0]; job !== undefined; job = queue[0]) {
     const isGang = job.spec.kind === 'gang';
@@ -34,7 +38,7 @@
   }
 }
 
-/** Keeps smaller work from taking for ever what a gang next in its team's order waits for. */
+/** Keeps smaller jobs from starving a gang that is next in its team's order and could not be placed. */
 function protectWaitingGang(
   state: PlacementState,
   gang: JobRecord,
@@ -48,7 +52,7 @@
     holdBackJobsBehindGang(state, queue);
 }
 
-/** Removes the jobs behind a gang that waits for its team's quota from the queue, except for starving ones. */
+/** Removes all jobs but the starving ones from the queue behind a gang that waits for its team's quota. */
 function holdBackJobsBehindGang(state: PlacementState, queue: JobRecord[]): void {
   for (const job of queue.splice(0)) {
     if (state.input.isStarving(job)) queue.push(job);
--- a/src/core/placement/preemption-cost.ts
+++ b/src/core/placement/preemption-cost.ts
@@ -1,15 +1,17 @@
-/** What preempting tasks loses. */
+/** Cost of preempting tasks. */
 import type { JobRecord } from '../model/jobs.js';
 import type { Allocation } from '../model/machines.js';
 
-/** Stopping a task and starting it again, beside saving its checkpoint. */
+/** Time to stop a task and start it again, without the time to save its checkpoint. */
 const RESTART_S = 5;
-/** The least that a task without checkpoints loses. */
+/** Lower bound of the run time that a task without checkpoints loses. */
 const MIN_LOST_RUN_S = 30;
-/** Factor for gangs, whose tasks on all other machines stop and restart, too. */
+/** Additional weight of gangs, whose tasks on all other machines stop and restart, too. */
 const GANG_COST_FACTOR = 4;
 
-/** What stopping an allocation loses, roughly in seconds of one task's run. */
+/**
+ * Cost of stopping an allocation, approximately in seconds of one task's run time; 0 if its job is unknown.
+ */
 export function preemptionCost({ tasks }: Allocation, job: JobRecord | undefined): number {
   if (job === undefined) return 0;
   const { spec } = job;
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the tasks to stop for a job that finds no room: tasks of lower priority, and, for a job within its team's
- * guarantee, tasks that another team runs beyond its own. The tasks that lose least go first.
+ * Chooses the tasks to stop (the victims) for a job that finds no room: tasks of lower priority and, for a
+ * job within its team's guarantee, tasks of teams that are beyond theirs. Tasks with the lowest preemption
+ * cost are stopped first.
  */
 import { allowsMachine, maxTasksPerZone } from '../jobs/feasibility.js';
 import type { Team } from '../model/cluster.js';
@@ -14,29 +15,31 @@
 
 const NO_TASKS_PER_ZONE: ReadonlyMap<Zone, number> = new Map();
 
-/** What the choice of tasks to stop needs to know. */
+/** Input of the choice of victims. */
 export interface PreemptionInput {
+  /** The job to make room for. */
   readonly job: JobSpec;
+  /** All unfinished jobs; a victim whose job is not among them costs nothing to stop. */
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
   readonly machines: readonly MachineRecord[];
   readonly totals: AllocationTotals;
   readonly teams: ReadonlyMap<TeamName, Team>;
-  /** Whether room on the machine is being made for another job already. */
+  /** Whether room on the machine is already claimed for a job that tasks were stopped for. */
   readonly isClaimed: (machine: MachineRecord) => boolean;
 }
 
-/** A machine on which the job fits once the victims are gone. */
+/** A machine on which the job fits once the victims have exited. */
 export interface PreemptionChoice {
   readonly machine: MachineRecord;
   readonly victims: readonly Allocation[];
 }
 
-/** A choice and what it loses, roughly in seconds of one task's run. */
+/** A choice with the cost of stopping its victims, approximately in seconds of one task's run time. */
 interface CostedChoice extends PreemptionChoice {
   readonly cost: number;
 }
 
-/** The machine on which one task of the job fits at the lowest cost; null if there is none. */
+/** The machine on which one task of the job fits at the lowest preemption cost; null if there is none. */
 export function selectVictims(input: PreemptionInput): PreemptionChoice | null {
   const { job, totals, teams } = input;
   const isEntitled = isWithinGuarantee(teams.get(job.team), totals, job, 1);
@@ -51,13 +54,16 @@
   return best;
 }
 
-/** Whether one more task of the job may run in the zone, given the zones of its others. */
+/** Whether one more task of the job may run in the zone, given the number of its tasks per zone. */
 function allowsZone(job: JobSpec, zone: Zone, tasksPerZone: ReadonlyMap<Zone, number>): boolean {
   if ((tasksPerZone.get(zone) ?? 0) >= maxTasksPerZone(job)) return false;
   return !job.oneZone || tasksPerZone.size === 0 || tasksPerZone.has(zone);
 }
 
-/** The cheapest allocations whose end makes room for one task; null if none are needed or they are not enough. */
+/**
+ * The machine's cheapest victims that together make room for one task of the job. Null if there is room
+ * without any, or not enough with all of them.
+ */
 function cheapestVictimsOn(
   machine: MachineRecord,
   input: PreemptionInput,
@@ -82,6 +88,7 @@
   return { machine, victims, cost: totalCost };
 }
 
+/** Whether an allocation may be stopped for the job; `isEntitled`: the job is within its team's guarantee. */
 function isPreemptible(allocation: Allocation, input: PreemptionInput, isEntitled: boolean): boolean {
   const { job, teams, totals } = input;
   if (allocation.stop === true || allocation.kind === 'service' || allocation.job === job.id) return false;
@@ -90,7 +97,7 @@
   return isBeyondGuarantee(teams.get(allocation.team), totals);
 }
 
-/** Tasks of an array can be stopped one by one; those of a gang only together. */
+/** Splits an allocation into parts that can be stopped separately: tasks of an array, but not of a gang. */
 function separableParts(allocation: Allocation): Allocation[] {
   if (allocation.kind !== 'array') return [allocation];
   return allocation.tasks.map((index) => ({ ...allocation, tasks: [index] }));
--- a/src/core/placement/task-placement.ts
+++ b/src/core/placement/task-placement.ts
@@ -9,7 +9,9 @@
 const NO_CHOSEN_TASKS: ReadonlyMap<MachineName, number> = new Map();
 const NO_TASKS_PER_ZONE: ReadonlyMap<Zone, number> = new Map();
 
-/** Places the next unfinished task of a job. */
+/**
+ * Places the next unfinished task of an array or service; `share` is the weighted dominant share of its team.
+ */
 export function placeNextTask(state: PlacementState, job: JobRecord, share: number): PlacementOutcome {
   const { spec } = job;
   const { input, candidates } = state;
