--- a/src/core/state/allocation-totals.ts
+++ b/src/core/state/allocation-totals.ts
@@ -1,7 +1,8 @@
 /**
- * Totals over the machine records: what every team uses, where each job's tasks are, and what is free. They include
- * each allocated task until its exit is confirmed. The totals follow the records one by one, so that the cost of an
- * update depends on what changed and not on the size of the fleet.
+ * Totals over the machine records: the resources that each team uses, the machines of each job's tasks, and
+ * the free resources of each machine. An allocated task counts until its exit is confirmed. Records are
+ * applied one by one, so that the cost of an update depends on the number of changes and not on the size of
+ * the fleet. Only the dominant shares are summed again over all records after capacity was added or removed.
  */
 import type { Team } from '../model/cluster.js';
 import { dominantShare, teamWeight } from '../model/dominant-share.js';
@@ -9,21 +10,24 @@
 import type { Allocation, MachineRecord, MachineType } from '../model/machines.js';
 import { CPU, GPU, NO_RESOURCES, addResources, type ResourceVector } from '../model/resources.js';
 
-/** Where a job's tasks are allocated. */
+/** The allocated tasks of a job. */
 export interface JobAllocations {
-  /** Where each allocated task is; one of its places where it has several. */
+  /** Machine and attempt of each allocated task; one of them for a task that is in several records. */
   readonly tasks: Map<TaskIndex, { machine: MachineName; attempt: Attempt }>;
   readonly tasksPerZone: Map<Zone, number>;
   readonly tasksPerAttempt: Map<Attempt, number>;
-  /** Number of allocations whose tasks are being stopped. */
+  /** Number of the job's allocations whose tasks are being stopped. */
   stoppingAllocations: number;
-  /** A task was in two records at once: removing one of them requires a search for the other. */
+  /**
+   * Whether a task has been in two records at once; then each removal requires a search for the remaining
+   * records.
+   */
   hasDuplicates: boolean;
 }
 
-/** What of a task whose exit is confirmed is released ahead of its machine's record. */
+/** What `releaseProvisionally` releases of a task that has exited but is still in its machine's record. */
 export interface ProvisionalRelease {
-  /** Whether the task's part of its team's quota is included; its part of the machine always is. */
+  /** Whether the task's share of its team's quota is released; its resources on the machine always are. */
   readonly includesQuota: boolean;
 }
 
@@ -32,24 +36,24 @@
 
 interface TeamTotals {
   used: ResourceVector;
-  /** The part of `used` that does not end by itself. */
+  /** The part of `used` that belongs to services, whose tasks do not end by themselves. */
   usedByServices: ResourceVector;
-  /** Sum of the dominant shares of the team's tasks, not yet divided by its weight. */
+  /** Sum of the dominant shares of the team's tasks, not divided by its weight. */
   dominantShare: number;
   tasks: number;
 }
 
-/** Totals over the machine records, kept up to date record by record. */
+/** Totals over the machine records, updated record by record. */
 export class AllocationTotals {
-  /** Only jobs with allocated tasks. */
+  /** Allocated tasks by job; only jobs with allocated tasks. */
   readonly jobs = new Map<JobId, JobAllocations>();
-  /** Capacity less what is allocated; a machine of unknown type has no capacity. */
+  /** Capacity of each machine minus its allocated resources; that of an unknown type counts as zero. */
   readonly freeByMachine = new Map<MachineName, ResourceVector>();
   private readonly machines = new Map<MachineName, MachineRecord>();
   private readonly teamTotals = new Map<TeamName, TeamTotals>();
   private summedCapacity: ResourceVector = NO_RESOURCES;
   private effectiveCapacity: ResourceVector = NO_RESOURCES;
-  /** The dominant shares were summed for another fleet capacity. */
+  /** Whether the fleet capacity may have changed since the dominant shares were summed. */
   private areSharesStale = false;
 
   constructor(
@@ -61,17 +65,20 @@
     for (const machine of machines) this.setMachine(machine.name, machine);
   }
 
-  /** Capacity of all machines that are not being released; never zero, so that shares can be taken of it. */
+  /**
+   * Capacity of all machines that are not being released. That of an empty fleet is replaced by the capacity
+   * of one machine of the type with the most CPUs, so that dominant shares of it are defined.
+   */
   get fleetCapacity(): ResourceVector {
     return this.effectiveCapacity;
   }
 
-  /** What the team's tasks use. */
+  /** Resources that the team's allocated tasks use. */
   usedBy(team: TeamName): ResourceVector {
     return this.teamTotals.get(team)?.used ?? NO_RESOURCES;
   }
 
-  /** Takes over the present record of a machine; undefined where it has none. */
+  /** Replaces the record of a machine in the totals; undefined removes the machine. */
   setMachine(name: MachineName, machine: MachineRecord | undefined): void {
     const before = this.machines.get(name);
     if (before !== undefined) {
@@ -87,7 +94,7 @@
     for (const allocation of machine.placed) this.addAllocation(machine, allocation);
   }
 
-  /** Adds the tasks of an allocation on a machine. */
+  /** Adds an allocation on a machine to the totals. */
   addAllocation(machine: MachineLocation, allocation: Allocation): void {
     const { tasks, attempt } = allocation;
     this.addToMachine(machine, allocation, tasks.length);
@@ -121,8 +128,9 @@
   }
 
   /**
-   * Releases what tasks use whose exit is confirmed, while they still stand in their machine's record. Their part of
-   * the quota may be included only where their results are durable: until then a new owner may start them again.
+   * Releases the resources of tasks whose exit is confirmed while their machine's record still contains them.
+   * Quota may be released only once the results of the tasks are durable: before that, a controller that
+   * takes over the shard may start them again.
    */
   releaseProvisionally(machine: MachineId, allocation: Allocation, release: ProvisionalRelease): void {
     this.addToMachine(machine, allocation, -allocation.tasks.length);
@@ -141,23 +149,31 @@
     return known === undefined ? 1 : teamWeight(known);
   }
 
-  /** The team's dominant share of the whole fleet, divided by its weight. */
+  /** The team's weighted dominant share: its dominant share of the fleet capacity, divided by its weight. */
   dominantShareOf(team: TeamName): number {
     if (this.areSharesStale) this.recomputeShares();
     return (this.teamTotals.get(team)?.dominantShare ?? 0) / this.weightOf(team);
   }
 
-  /** Whether so many more tasks of the demand stay within the team's quota. */
+  /**
+   * Whether the team stays within its quota with `tasks` more tasks of the demand; false for an unknown team.
+   */
   isWithinQuota(team: TeamName, demand: ResourceVector, tasks: number): boolean {
     return this.fitsQuota(team, this.usedBy(team), demand, tasks);
   }
 
-  /** Whether so many tasks will fit into the team's quota once its work that ends by itself has ended. */
+  /**
+   * Whether `tasks` more tasks of the demand will fit into the team's quota once its tasks other than those
+   * of services have ended; false for an unknown team.
+   */
   willFitQuota(team: TeamName, demand: ResourceVector, tasks: number): boolean {
     return this.fitsQuota(team, this.teamTotals.get(team)?.usedByServices ?? NO_RESOURCES, demand, tasks);
   }
 
-  /** How many more tasks the team's quota allows beside what it uses and `extra`; may be infinite. */
+  /**
+   * Number of further tasks that the team's quota allows beside its use and `extra`; infinite without a
+   * quota, 0 for an unknown team.
+   */
   tasksWithinQuota(team: TeamName, demand: ResourceVector, extra: ResourceVector): number {
     const known = this.teams.get(team);
     if (known === undefined) return 0;
@@ -183,7 +199,7 @@
     this.updateEffectiveCapacity();
   }
 
-  /** An empty fleet counts as one machine of the type with the most CPUs. */
+  /** Applies the summed capacity; an empty fleet counts as one machine of the type with the most CPUs. */
   private updateEffectiveCapacity(): void {
     this.effectiveCapacity = this.summedCapacity;
     this.areSharesStale = true;
@@ -202,7 +218,7 @@
     totals.used = addResources(totals.used, demand, tasks);
     if (kind === 'service') totals.usedByServices = addResources(totals.usedByServices, demand, tasks);
     totals.tasks += tasks;
-    // Exactly zero without tasks, whatever rounding has left.
+    // Sets the share of a team without tasks to exactly zero: the sum may keep rounding errors.
     if (totals.tasks === 0) totals.dominantShare = 0;
     else totals.dominantShare += dominantShare(demand, this.fleetCapacity) * tasks;
   }
@@ -231,7 +247,7 @@
     return job;
   }
 
-  /** Finds the remaining records of a job of which a task was in two at once. */
+  /** Restores the task locations of a job with duplicates from the remaining records. */
   private findTasksAgain(id: JobId, job: JobAllocations): void {
     for (const machine of this.machines.values())
       for (const { job: owner, tasks, attempt } of machine.placed) {
@@ -249,14 +265,14 @@
   }
 }
 
-/** Adds to a count; a count of zero is removed. */
+/** Adds to a count and deletes it when it becomes zero. */
 function addCount<Key>(counts: Map<Key, number>, key: Key, added: number): void {
   const count = (counts.get(key) ?? 0) + added;
   if (count === 0) counts.delete(key);
   else counts.set(key, count);
 }
 
-/** How many tasks of the demand the limit allows beside what is used. */
+/** Number of further tasks that the limit of one resource allows; infinite without a limit or demand. */
 function tasksWithinLimit(limit: number | null, used: number, demand: number): number {
   if (limit === null || demand <= 0) return Number.POSITIVE_INFINITY;
   return Math.max(0, Math.floor((limit - used) / demand));
--- a/src/core/state/allocations.ts
+++ b/src/core/state/allocations.ts
@@ -1,11 +1,13 @@
-/** Allocations in machine records: tasks of one job that share one attempt. */
+/**
+ * Changes to the allocations in machine records. An allocation has tasks of one job that share an attempt.
+ */
 import type { TaskExit } from '../agents/confirmed-exits.js';
 import { taskKey } from '../agents/task-key.js';
 import type { Attempt, TaskIndex } from '../model/ids.js';
 import type { JobSpec } from '../model/jobs.js';
 import type { Allocation } from '../model/machines.js';
 
-/** The allocation of a machine's record for tasks of a job. */
+/** Creates the allocation of a machine's record for tasks of a job. */
 export function allocationFor(spec: JobSpec, attempt: Attempt, tasks: readonly TaskIndex[]): Allocation {
   return {
     job: spec.id,
@@ -18,7 +20,9 @@
   };
 }
 
-/** The allocations of a machine with one added; tasks of the same job and attempt share an allocation. */
+/**
+ * The allocations of a machine with one added; it is merged into an existing one of the same job and attempt.
+ */
 export function addAllocation(allocations: readonly Allocation[], added: Allocation): Allocation[] {
   const result = [...allocations];
   const position = result.findIndex((allocation) => isSameEntry(allocation, added));
@@ -31,7 +35,7 @@
   return result;
 }
 
-/** The allocations without the tasks that have exited. */
+/** The allocations of a machine without the tasks that have exited. */
 export function removeExits(allocations: readonly Allocation[], exits: readonly TaskExit[]): Allocation[] {
   const exited = new Set(
     exits.map((exit) => taskKey(exit.allocation.job, exit.index, exit.allocation.attempt)),
@@ -49,7 +53,9 @@
 const isSameEntry = (a: Allocation, b: Allocation): boolean =>
   a.job === b.job && a.attempt === b.attempt && a.stop === b.stop;
 
-/** The allocations of a machine with the victims' tasks marked as stopping; an allocation that stops in part is split. */
+/**
+ * The allocations of a machine with the victims' tasks marked as stopping; one that stops in part is split.
+ */
 export function markStopping(
   allocations: readonly Allocation[],
   victims: readonly Allocation[],
--- a/src/core/state/cluster-view.ts
+++ b/src/core/state/cluster-view.ts
@@ -1,7 +1,7 @@
 /**
- * One process's view of the shared state, built from a listing and the watch that follows it. All records that
- * schedulers read stand under one prefix and arrive in one order: a view at revision R holds exactly what was
- * committed up to R, plus newer writes of this process itself.
+ * A process's view of the shared state, built from a listing and the watch that follows it. All records that
+ * controllers schedule by have keys with one prefix, whose changes the watch delivers in one order: a view at
+ * revision R holds exactly what was committed up to R, plus newer writes of the process itself.
  */
 import type {
   LeaderRecord,
@@ -38,12 +38,15 @@
 /** A change to one key. */
 export interface KeyChange {
   readonly key: string;
-  /** Undefined for a removal. */
+  /** The new value; undefined for a removal. */
   readonly value: unknown;
   readonly version: Version;
 }
 
-/** A controller and the machines for which it answers as a proxy, since they do not reach their owner. */
+/**
+ * A controller and machines whose heartbeats it answers as a proxy, since they do not reach the holder of
+ * their shard.
+ */
 export interface ProxiedMachines {
   readonly node: NodeName;
   readonly machines: ReadonlySet<MachineName>;
@@ -51,65 +54,75 @@
 
 /** The shared state as this process knows it, with indexes by kind of record. */
 export class ClusterView {
-  /** The watch has delivered every change up to this revision. */
+  /** The revision up to which the watch has delivered every change. */
   revision: Revision = revision(0);
+  /** Value and version of every known key. */
   readonly entries = new Map<string, VersionedValue>();
   readonly jobs = new Map<JobId, JobRecord>();
   readonly machines = new Map<MachineName, MachineRecord>();
   readonly teams = new Map<TeamName, TeamRecord>();
-  /** By name of the controller. */
+  /** Sessions by name of their controller. */
   readonly sessions = new Map<string, SessionRecord>();
-  /** By name of the shard. */
+  /** Shards by name. */
   readonly shards = new Map<string, ShardRecord>();
-  /** By name of the rental. */
+  /** Rentals by name. */
   readonly rentals = new Map<string, RentalRecord>();
-  /** Jobs whose cancellation was requested. */
+  /** Jobs whose cancellation is requested and not complete. */
   readonly cancellations = new Set<JobId>();
-  /** By key: the machines of one controller may take several records. */
+  /** Proxied machines by key of their record; those of one controller may take several records. */
   readonly proxiedMachines = new Map<string, ProxiedMachines>();
+  /** The present leader; null while there is none. */
   leader: LeaderRecord | null = null;
-  /** Null until the leader has written the list. */
+  /** Machine types; null until a leader has written the list. */
   types: readonly MachineType[] | null = null;
-  /** The same types by name; replaced by another map whenever they change. */
+  /** Machine types by name; replaced by a new map whenever the list changes. */
   typesByName: ReadonlyMap<TypeName, MachineType> = new Map();
-  /** Machines whose records changed since the allocation totals last followed them; the reader clears the set. */
+  /**
+   * Machines whose records have changed since they were last applied to the allocation totals;
+   * `AllocationTracker` clears it.
+   */
   readonly dirtyMachines = new Set<MachineName>();
-  /** Number of additions, changes and removals of job records. */
+  /** Number of job records added, changed and removed so far; readers compare it to detect changes. */
   jobChangeCount = 0;
-  /** Parts of the list of types by key: what does not fit into one value goes on in others. */
+  /** Parts of the list of machine types by key; a list too large for one value continues in further ones. */
   private readonly typeParts = new Map<string, readonly MachineType[]>();
   private readonly shardVersions = new Map<string, Version>();
-  /** Removals known ahead of the watch: an older event must not bring such a key back. */
+  /**
+   * Versions of removals newer than `revision`, by key: older events of the watch must not restore the keys.
+   */
   private readonly removedVersions = new Map<string, Version>();
 
-  /** The version of a key; `NO_VERSION` where the key does not exist. */
+  /** The version of a key; `NO_VERSION` if the key does not exist. */
   versionOf(key: string): Version {
     return this.entries.get(key)?.version ?? NO_VERSION;
   }
 
   /**
-   * The fencing token of a machine: the revision at which its shard got its holder, or the machine's own floor,
-   * which is raised above its token whenever the machine changes shard. Revisions only grow, so each change of who
-   * may command a machine gives it a higher token, and a whole shard changes hands with a single write.
+   * The fencing token of a machine: the larger of the revision at which its shard got its present holder and
+   * the floor in the machine's record, which is raised above its token whenever the machine moves to another
+   * shard. Revisions only grow, so that the token grows each time another controller may command the machine,
+   * and a change of a shard's holder takes a single write for all its machines.
    */
   fencingTokenOf(machine: MachineRecord): FencingToken {
     return fencingToken(Math.max(this.shardVersions.get(machine.owner) ?? NO_VERSION, machine.floor));
   }
 
   /**
-   * Whether the process holds the shard and this view has all that former holders committed. A process that acquires
-   * a shard knows so from the answer to its write, which may precede the last starts of the former holder on the
-   * watch: acting at once, it would start those tasks again.
+   * Whether the process holds the shard and this view contains all commits of its former holders. The
+   * response to the write that acquires a shard may arrive before the watch has delivered the last starts of
+   * the former holder: if the process acted at once, it would start those tasks again.
    */
   isHeldBy(shard: string, incarnation: Incarnation): boolean {
     if (this.shards.get(shard)?.incarnation !== incarnation) return false;
     return (this.shardVersions.get(shard) ?? NO_VERSION) <= this.revision;
   }
 
-  /** Applies one change unless a newer one to the same key is known. True if it changed anything. */
+  /**
+   * Applies a change unless the same or a newer one of its key is known; returns whether the view changed.
+   */
   apply({ key, value, version }: KeyChange): boolean {
-    // The watch has delivered all changes up to the revision. The answer to a write of this process may arrive later:
-    // the key may have been removed since, and applying the write would bring it back for good.
+    // The watch has delivered all changes up to the revision, but the response to a write of this process may
+    // arrive later. If the key has been removed since, applying the write would restore it permanently.
     if (version <= this.revision) return false;
     const known = this.entries.get(key);
     if (known !== undefined && known.version >= version) return false;
@@ -125,7 +138,7 @@
     return true;
   }
 
-  /** Records that the watch has delivered every change up to this revision. */
+  /** Records that the watch has delivered every change up to the revision. */
   advanceTo(delivered: Revision): void {
     if (delivered <= this.revision) return;
     this.revision = delivered;
@@ -133,7 +146,10 @@
       if (version <= delivered) this.removedVersions.delete(key);
   }
 
-  /** Replaces the content by a listing begun at revision `from`; keys that it lacks and that were not written since go. */
+  /**
+   * Replaces the content by a listing begun at revision `from`; removes keys not listed, unless they were
+   * written later.
+   */
   resetTo(rows: readonly KeyChange[], from: Revision): void {
     const listed = new Set(rows.map((row) => row.key));
     for (const [key, entry] of [...this.entries]) {
@@ -215,7 +231,7 @@
   }
 }
 
-/** Stores the value of a record under its name; undefined removes it. */
+/** Sets the record with the name in an index; an undefined value deletes it. */
 function setOrDelete<Name, RecordType>(index: Map<Name, RecordType>, name: Name, value: unknown): void {
   if (value === undefined) index.delete(name);
   else index.set(name, value as RecordType);
--- a/src/core/state/shard-assignment.ts
+++ b/src/core/state/shard-assignment.ts
@@ -1,41 +1,43 @@
 /**
- * Assigns teams to shards, and shards to the controllers that hold them. There is one shard for each controller, and
- * usually each controller holds its own. On failover another controller holds the shard until its own is back; only the
- * shard's record changes, and teams and machines stay in their shards.
+ * Assignment of teams to shards, and of shards to the controllers that hold them. There is one shard for each
+ * controller, which is its default holder. On failover another controller holds the shard until the default
+ * holder is back; only the shard's record changes, while teams and machines stay in their shard.
  */
 import type { ShardRecord, Team, TeamRecord } from '../model/cluster.js';
 import type { Incarnation, NodeName, TeamName } from '../model/ids.js';
 import { CPU, GPU } from '../model/resources.js';
 
-/** A controller that has a session. */
+/** A controller that has a session with the state service. */
 export interface LiveController {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
-  /** How long the leader has seen this session. */
+  /** Seconds for which the leader has seen this session. */
   readonly sessionAgeS: number;
-  /** The controller reaches its agents, as far as the leader knows, and may be given shards. */
+  /** Whether the controller can reach its agents, as far as the leader knows, and may be assigned shards. */
   readonly canReachAgents: boolean;
 }
 
-/** What the assignment of teams is made from. */
+/** Input of the assignment of teams to shards. */
 export interface TeamAssignmentInput {
   readonly shards: readonly NodeName[];
   readonly teams: readonly Team[];
-  /** The present assignments; those to shards that no longer exist are made anew. */
+  /** The present assignments by team; a team whose shard no longer exists is reassigned. */
   readonly assigned: ReadonlyMap<TeamName, TeamRecord>;
 }
 
-/** What the assignment of shards is made from. */
+/** Input of the assignment of shards to controllers. */
 export interface ShardAssignmentInput {
   readonly shards: readonly NodeName[];
   readonly live: readonly LiveController[];
-  /** The present holders by shard. */
+  /** The present shard records by shard. */
   readonly held: ReadonlyMap<string, ShardRecord>;
-  /** A shard goes back to its own controller only once that has had its session for so long, so that it does not flap. */
+  /**
+   * Session age in seconds from which a shard returns to its default holder; keeps the shard from flapping.
+   */
   readonly settledS: number;
 }
 
-/** Shards for the teams that have none yet, so that the guarantees are spread evenly. */
+/** The shards for teams without an existing shard, chosen to spread guarantees evenly. */
 export function assignTeamsToShards({
   shards,
   teams,
@@ -58,7 +60,7 @@
   return assignments;
 }
 
-/** The shards that must change their holder, with the new holder; empty while no controller is live. */
+/** The new holders of the shards whose holder has to change; empty while no controller is live. */
 export function assignShardHolders(input: ShardAssignmentInput): Map<NodeName, LiveController> {
   const { shards, live, settledS } = input;
   const assignments = new Map<NodeName, LiveController>();
@@ -80,18 +82,20 @@
   return assignments;
 }
 
-/** What a team adds to its shard's load: its guarantee, but at least 1. */
+/**
+ * Load that a team adds to its shard: the larger of its CPU and GPU guarantees in micro-units, at least 1.
+ */
 function loadOf({ guarantee }: Team): number {
   return Math.max(1, guarantee[CPU], guarantee[GPU]);
 }
 
-/** Controllers that reach their agents; where none does, all of them. */
+/** The live controllers that can reach their agents; all live controllers if none can. */
 function holderCandidates(live: readonly LiveController[]): readonly LiveController[] {
   const reaching = live.filter((controller) => controller.canReachAgents);
   return reaching.length > 0 ? reaching : live;
 }
 
-/** How many shards each candidate holds. */
+/** Number of shards that each candidate holds. */
 function shardsByCandidate(
   candidates: readonly LiveController[],
   input: ShardAssignmentInput,
@@ -105,7 +109,7 @@
   return shardCount;
 }
 
-/** The controller that holds the shard; undefined where it has ended or was started anew. */
+/** The live controller that holds the shard; undefined if the holder has ended or restarted. */
 function liveHolder(
   shard: NodeName,
   { live, held }: Pick<ShardAssignmentInput, 'live' | 'held'>,
@@ -115,7 +119,7 @@
   return live.find(({ node, incarnation }) => node === record.holder && incarnation === record.incarnation);
 }
 
-/** The key with the smallest load; of several, the first by name. */
+/** The key with the smallest load; of several, the first by name. The map must not be empty. */
 function leastLoaded<Key>(load: ReadonlyMap<Key, number>, nameOf: (item: Key) => NodeName): Key {
   const byLoad = [...load].sort(
     ([a, loadA], [b, loadB]) => loadA - loadB || (nameOf(a) < nameOf(b) ? -1 : 1),
--- a/src/core/state/view-changes.ts
+++ b/src/core/state/view-changes.ts
@@ -1,15 +1,17 @@
-/** Which records of the shared state have changed, by kind: what loops and caches are notified of. */
+/** The records of the shared state that have changed, by kind; loops and caches are notified of them. */
 import type { JobId, MachineName, NodeName, TeamName } from '../model/ids.js';
 import { parseKey } from '../records/keys.js';
 
-/** The records that one batch of changes concerned; the view holds their present state already. */
+/**
+ * The records that a batch of changes has added, changed or removed; the view already contains the changes.
+ */
 export interface ViewChanges {
   readonly jobs: ReadonlySet<JobId>;
   readonly machines: ReadonlySet<MachineName>;
   readonly teams: ReadonlySet<TeamName>;
   readonly shards: ReadonlySet<NodeName>;
   readonly sessions: ReadonlySet<NodeName>;
-  /** Jobs whose cancellation was requested or is complete. */
+  /** Jobs whose cancellation was requested or has been completed. */
   readonly cancellations: ReadonlySet<JobId>;
   /** Whether the leader's record changed. */
   readonly leader: boolean;
@@ -17,10 +19,13 @@
   readonly types: boolean;
 }
 
-/** Changes to jobs alone. */
+/** Changes that concern only job records. */
 export const viewChangesOfJobs = (jobs: ReadonlySet<JobId>): ViewChanges => ({ ...viewChangesOf([]), jobs });
 
-/** Sorts changed keys by the kind of their records; rentals, proxied machines and final states notify nobody. */
+/**
+ * Groups changed keys by the kind of their records; leaves out rentals, proxied machines, final states and
+ * unknown keys.
+ */
 export function viewChangesOf(keys: Iterable<string>): ViewChanges {
   const changes = {
     jobs: new Set<JobId>(),
