--- a/src/core/placement/candidate-machines.ts
+++ b/src/core/placement/candidate-machines.ts
@@ -24,7 +24,7 @@
   /** Partly used and fetching other images: worse than an empty machine while no job needs whole machines. */
   fetchingOtherImages: 2,
   /** Empty while some jobs need whole machines. */
-  emptyWantedByGangs: 4,
+  emptyKeptForGangs: 4,
 } as const;
 
 /**
@@ -46,7 +46,7 @@
   /** Number of allocations in the machine's record plus tasks placed by this pass; 0 for an empty machine. */
   allocationCount: number;
   /** Images that the machine has to fetch for tasks of this pass. */
-  readonly fetchedImages: Set<string>;
+  readonly imagesToFetch: Set<string>;
   /** The gang that the machine is reserved for; null if it is not reserved. */
   reservedFor: JobSpec | null;
 }
@@ -88,7 +88,7 @@
       recordBytesLeft: recordBytesLeft(machine.name),
       placedJobs: new Set(),
       allocationCount: machine.placed.length,
-      fetchedImages: new Set(),
+      imagesToFetch: new Set(),
       reservedFor: null,
     }));
 }
@@ -126,13 +126,13 @@
  * Fetch rank of the image on the machine, including the images to fetch for this pass; see `FETCH_RANK_BUSY`.
  */
 export function fetchRankOf(
-  { machine, fetchedImages }: CandidateMachine,
+  { machine, imagesToFetch }: CandidateMachine,
   image: string,
   input: PlacementInput,
 ): number {
   const rank = input.fetchRank(machine, image);
-  if (rank === 0 || fetchedImages.size === 0) return rank;
-  return fetchedImages.has(image) ? Math.min(rank, 1) : FETCH_RANK_BUSY;
+  if (rank === 0 || imagesToFetch.size === 0) return rank;
+  return imagesToFetch.has(image) ? Math.min(rank, 1) : FETCH_RANK_BUSY;
 }
 
 /**
@@ -199,7 +199,7 @@
     const offset = this.request.spec.spot && !machine.spot ? ON_DEMAND_TIER_OFFSET : 0;
     if (isEmpty) {
       const { preferPartlyUsedMachines } = this.input;
-      return offset + (preferPartlyUsedMachines ? MACHINE_TIER.emptyWantedByGangs : MACHINE_TIER.empty);
+      return offset + (preferPartlyUsedMachines ? MACHINE_TIER.emptyKeptForGangs : MACHINE_TIER.empty);
     }
     return (
       offset + (fetchRank === FETCH_RANK_BUSY ? MACHINE_TIER.fetchingOtherImages : MACHINE_TIER.partlyUsed)
--- a/src/core/placement/gang-placement.ts
+++ b/src/core/placement/gang-placement.ts
@@ -35,7 +35,7 @@
 export function reserveForGang(state: PlacementState, spec: JobSpec): void {
   state.hasReservation = true;
   let best: CandidateMachine[] = [];
-  for (const zone of zonesOf(state, spec)) {
+  for (const zone of candidateZones(state, spec)) {
     const fitting = state.candidates
       .filter((candidate) => estimateTaskCapacity(candidate, spec, zone, state.input.totals) > 0)
       .slice(0, spec.tasks);
@@ -50,7 +50,7 @@
 function chooseMachines(state: PlacementState, spec: JobSpec): MachineChoice[] | null {
   let best: MachineChoice[] | null = null;
   let bestFitness = 0;
-  for (const zone of zonesOf(state, spec)) {
+  for (const zone of candidateZones(state, spec)) {
     if (!mayFit(state, spec, zone)) continue;
     const choices = chooseMachinesIn(state, spec, zone);
     if (choices === null) continue;
@@ -100,7 +100,7 @@
 }
 
 /** The zones to try for the gang; null stands for all zones together. */
-const zonesOf = ({ candidates }: PlacementState, spec: JobSpec): (Zone | null)[] =>
+const candidateZones = ({ candidates }: PlacementState, spec: JobSpec): (Zone | null)[] =>
   zoneChoices(
     spec,
     candidates.map(({ machine }) => machine.zone),
--- a/src/core/placement/gang-preemption.ts
+++ b/src/core/placement/gang-preemption.ts
@@ -13,7 +13,7 @@
 /** A machine with the victims to stop there so that it can take tasks of a gang. */
 interface GangMachine extends PreemptionChoice {
   /** Number of the gang's tasks that fit once the victims have exited. */
-  readonly capacityTasks: number;
+  readonly taskCapacity: number;
   /** Cost of stopping the victims, approximately in seconds of one task's run time. */
   readonly cost: number;
 }
@@ -30,8 +30,8 @@
   );
   const byCost = allowed
     .map((machine) => gangMachine(machine, input))
-    .filter(({ capacityTasks }) => capacityTasks > 0)
-    .sort((a, b) => a.cost / a.capacityTasks - b.cost / b.capacityTasks);
+    .filter(({ taskCapacity }) => taskCapacity > 0)
+    .sort((a, b) => a.cost / a.taskCapacity - b.cost / b.taskCapacity);
   const zones = zoneChoices(
     job,
     allowed.map(({ zone }) => zone),
@@ -58,9 +58,9 @@
   const freeAfter = victims.reduce((sum, { demand, tasks }) => addResources(sum, demand, tasks.length), free);
   const tasksNow = tasksThatFit(job.demand, free);
   const tasksAfter = tasksThatFit(job.demand, freeAfter);
-  if (tasksAfter <= tasksNow) return { machine, victims: [], capacityTasks: tasksNow, cost: 0 };
+  if (tasksAfter <= tasksNow) return { machine, victims: [], taskCapacity: tasksNow, cost: 0 };
   const cost = victims.reduce((sum, victim) => sum + preemptionCost(victim, jobs.get(victim.job)), 0);
-  return { machine, victims, capacityTasks: tasksAfter, cost };
+  return { machine, victims, taskCapacity: tasksAfter, cost };
 }
 
 /** The first machines of the zone (null: of all zones) that together fit all tasks; null if too few. */
@@ -75,7 +75,7 @@
     if (tasksLeft <= 0) break;
     if (zone !== null && candidate.machine.zone !== zone) continue;
     chosen.push(candidate);
-    tasksLeft -= candidate.capacityTasks;
+    tasksLeft -= candidate.taskCapacity;
   }
   return tasksLeft <= 0 ? chosen : null;
 }
--- a/src/core/placement/placement-state.ts
+++ b/src/core/placement/placement-state.ts
@@ -81,7 +81,7 @@
   recordPlacement({ spec, index, attempt, candidate, share, fitness }: PlacementDecision): void {
     const { machine } = candidate;
     const fetchRank = fetchRankOf(candidate, spec.image, this.input);
-    if (fetchRank > 0) candidate.fetchedImages.add(spec.image);
+    if (fetchRank > 0) candidate.imagesToFetch.add(spec.image);
     candidate.recordBytesLeft -= bytesOfNextTask(candidate, spec);
     candidate.placedJobs.add(spec.id);
     candidate.allocationCount++;
