--- a/src/core/state/allocation-totals.ts
+++ b/src/core/state/allocation-totals.ts
@@ -104,8 +104,8 @@
       if (job.tasks.has(index)) job.hasDuplicates = true;
       job.tasks.set(index, { machine: machine.name, attempt });
     }
-    addCount(job.tasksPerZone, machine.zone, tasks.length);
-    addCount(job.tasksPerAttempt, attempt, tasks.length);
+    adjustCount(job.tasksPerZone, machine.zone, tasks.length);
+    adjustCount(job.tasksPerAttempt, attempt, tasks.length);
     if (allocation.stop === true) job.stoppingAllocations++;
   }
 
@@ -117,13 +117,13 @@
     const job = this.jobs.get(allocation.job);
     if (job === undefined) return;
     for (const index of tasks) {
-      const known = job.tasks.get(index);
-      if (known?.machine === machine.name && known.attempt === attempt) job.tasks.delete(index);
+      const location = job.tasks.get(index);
+      if (location?.machine === machine.name && location.attempt === attempt) job.tasks.delete(index);
     }
-    addCount(job.tasksPerZone, machine.zone, -tasks.length);
-    addCount(job.tasksPerAttempt, attempt, -tasks.length);
+    adjustCount(job.tasksPerZone, machine.zone, -tasks.length);
+    adjustCount(job.tasksPerAttempt, attempt, -tasks.length);
     if (allocation.stop === true) job.stoppingAllocations--;
-    if (job.hasDuplicates) this.findTasksAgain(allocation.job, job);
+    if (job.hasDuplicates) this.reindexTasks(allocation.job, job);
     if (job.tasks.size === 0) this.jobs.delete(allocation.job);
   }
 
@@ -145,8 +145,8 @@
 
   /** The team's weight in fair sharing; 1 for an unknown team. */
   weightOf(team: TeamName): number {
-    const known = this.teams.get(team);
-    return known === undefined ? 1 : teamWeight(known);
+    const knownTeam = this.teams.get(team);
+    return knownTeam === undefined ? 1 : teamWeight(knownTeam);
   }
 
   /** The team's weighted dominant share: its dominant share of the fleet capacity, divided by its weight. */
@@ -175,27 +175,27 @@
    * quota, 0 for an unknown team.
    */
   tasksWithinQuota(team: TeamName, demand: ResourceVector, extra: ResourceVector): number {
-    const known = this.teams.get(team);
-    if (known === undefined) return 0;
+    const knownTeam = this.teams.get(team);
+    if (knownTeam === undefined) return 0;
     const used = addResources(this.usedBy(team), extra);
     return Math.min(
-      tasksWithinLimit(known.limitCpu, used[CPU], demand[CPU]),
-      tasksWithinLimit(known.limitGpu, used[GPU], demand[GPU]),
+      tasksWithinLimit(knownTeam.limitCpu, used[CPU], demand[CPU]),
+      tasksWithinLimit(knownTeam.limitGpu, used[GPU], demand[GPU]),
     );
   }
 
   private fitsQuota(team: TeamName, used: ResourceVector, demand: ResourceVector, tasks: number): boolean {
-    const known = this.teams.get(team);
-    if (known === undefined) return false;
+    const knownTeam = this.teams.get(team);
+    if (knownTeam === undefined) return false;
     const after = addResources(used, demand, tasks);
-    if (known.limitCpu !== null && demand[CPU] > 0 && after[CPU] > known.limitCpu) return false;
-    return !(known.limitGpu !== null && demand[GPU] > 0 && after[GPU] > known.limitGpu);
+    if (knownTeam.limitCpu !== null && demand[CPU] > 0 && after[CPU] > knownTeam.limitCpu) return false;
+    return !(knownTeam.limitGpu !== null && demand[GPU] > 0 && after[GPU] > knownTeam.limitGpu);
   }
 
-  private addCapacity(machine: MachineRecord, times: number): void {
+  private addCapacity(machine: MachineRecord, sign: number): void {
     const type = this.types.get(machine.type);
     if (type === undefined || machine.phase === 'releasing') return;
-    this.summedCapacity = addResources(this.summedCapacity, type.capacity, times);
+    this.summedCapacity = addResources(this.summedCapacity, type.capacity, sign);
     this.updateEffectiveCapacity();
   }
 
@@ -248,7 +248,7 @@
   }
 
   /** Restores the task locations of a job with duplicates from the remaining records. */
-  private findTasksAgain(id: JobId, job: JobAllocations): void {
+  private reindexTasks(id: JobId, job: JobAllocations): void {
     for (const machine of this.machines.values())
       for (const { job: owner, tasks, attempt } of machine.placed) {
         if (owner !== id) continue;
@@ -266,7 +266,7 @@
 }
 
 /** Adds to a count and deletes it when it becomes zero. */
-function addCount<Key>(counts: Map<Key, number>, key: Key, added: number): void {
+function adjustCount<Key>(counts: Map<Key, number>, key: Key, added: number): void {
   const count = (counts.get(key) ?? 0) + added;
   if (count === 0) counts.delete(key);
   else counts.set(key, count);
--- a/src/core/state/allocations.ts
+++ b/src/core/state/allocations.ts
@@ -25,7 +25,7 @@
  */
 export function addAllocation(allocations: readonly Allocation[], added: Allocation): Allocation[] {
   const result = [...allocations];
-  const position = result.findIndex((allocation) => isSameEntry(allocation, added));
+  const position = result.findIndex((allocation) => canMerge(allocation, added));
   if (position < 0) {
     result.push(added);
     return result;
@@ -50,7 +50,7 @@
   return remaining;
 }
 
-const isSameEntry = (a: Allocation, b: Allocation): boolean =>
+const canMerge = (a: Allocation, b: Allocation): boolean =>
   a.job === b.job && a.attempt === b.attempt && a.stop === b.stop;
 
 /**
@@ -61,19 +61,19 @@
   victims: readonly Allocation[],
 ): Allocation[] {
   return allocations.flatMap((allocation) => {
-    const stopping = tasksStopping(allocation, victims);
+    const stopping = victimTasks(allocation, victims);
     const remaining = allocation.tasks.filter((index) => !stopping.has(index));
     if (allocation.stop === true || remaining.length === allocation.tasks.length) return [allocation];
-    const stopped = {
+    const stoppingPart = {
       ...allocation,
       tasks: allocation.tasks.filter((index) => stopping.has(index)),
       stop: true,
     };
-    return remaining.length === 0 ? [stopped] : [{ ...allocation, tasks: remaining }, stopped];
+    return remaining.length === 0 ? [stoppingPart] : [{ ...allocation, tasks: remaining }, stoppingPart];
   });
 }
 
-function tasksStopping(allocation: Allocation, victims: readonly Allocation[]): ReadonlySet<TaskIndex> {
+function victimTasks(allocation: Allocation, victims: readonly Allocation[]): ReadonlySet<TaskIndex> {
   const { job, attempt } = allocation;
   const matching = victims.filter((victim) => victim.job === job && victim.attempt === attempt);
   return new Set(matching.flatMap(({ tasks }) => tasks));
--- a/src/core/state/shard-assignment.ts
+++ b/src/core/state/shard-assignment.ts
@@ -66,17 +66,18 @@
   const assignments = new Map<NodeName, LiveController>();
   const candidates = holderCandidates(live);
   if (candidates.length === 0) return assignments;
-  const shardCount = shardsByCandidate(candidates, input);
+  const shardCounts = shardsByCandidate(candidates, input);
   for (const shard of shards) {
     const holder = liveHolder(shard, input);
-    const home = candidates.find(({ node }) => node === shard);
-    if (holder !== undefined && shardCount.has(holder)) {
-      const shouldReturn = home !== undefined && home !== holder && home.sessionAgeS >= settledS;
-      if (shouldReturn) assignments.set(shard, home);
+    const defaultHolder = candidates.find(({ node }) => node === shard);
+    if (holder !== undefined && shardCounts.has(holder)) {
+      const shouldReturn =
+        defaultHolder !== undefined && defaultHolder !== holder && defaultHolder.sessionAgeS >= settledS;
+      if (shouldReturn) assignments.set(shard, defaultHolder);
       continue;
     }
-    const newHolder = home ?? leastLoaded(shardCount, ({ node }) => node);
-    shardCount.set(newHolder, shardCount.get(newHolder)! + 1);
+    const newHolder = defaultHolder ?? leastLoaded(shardCounts, ({ node }) => node);
+    shardCounts.set(newHolder, shardCounts.get(newHolder)! + 1);
     assignments.set(shard, newHolder);
   }
   return assignments;
@@ -91,8 +92,8 @@
 
 /** The live controllers that can reach their agents; all live controllers if none can. */
 function holderCandidates(live: readonly LiveController[]): readonly LiveController[] {
-  const reaching = live.filter((controller) => controller.canReachAgents);
-  return reaching.length > 0 ? reaching : live;
+  const connected = live.filter((controller) => controller.canReachAgents);
+  return connected.length > 0 ? connected : live;
 }
 
 /** Number of shards that each candidate holds. */
@@ -100,13 +101,13 @@
   candidates: readonly LiveController[],
   input: ShardAssignmentInput,
 ): Map<LiveController, number> {
-  const shardCount = new Map<LiveController, number>(candidates.map((controller) => [controller, 0]));
+  const shardCounts = new Map<LiveController, number>(candidates.map((controller) => [controller, 0]));
   for (const shard of input.shards) {
     const holder = liveHolder(shard, input);
-    const count = holder === undefined ? undefined : shardCount.get(holder);
-    if (count !== undefined) shardCount.set(holder!, count + 1);
+    const count = holder === undefined ? undefined : shardCounts.get(holder);
+    if (count !== undefined) shardCounts.set(holder!, count + 1);
   }
-  return shardCount;
+  return shardCounts;
 }
 
 /** The live controller that holds the shard; undefined if the holder has ended or restarted. */
