--- a/src/controller/heartbeats/heartbeat-router.ts
+++ b/src/controller/heartbeats/heartbeat-router.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which controller answers an agent's heartbeat: the owner of its machine, this controller as a proxy, or another
- * controller to which the agent is redirected. Machines answered as a proxy are listed in the state service, so that
- * their owners do not take them for failed.
+ * Decides who answers an agent's heartbeat: this controller as the owner of the machine or as a proxy for the owner, or
+ * another controller to which the agent is redirected. Proxied machines are listed in the state service, so that their
+ * owners do not treat them as failed.
  */
 import type { AgentCommand, Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
 import type { MachineName } from '../../core/model/ids.js';
@@ -18,12 +18,12 @@
 import { ProxiedMachineList } from './proxied-machine-list.js';
 import { TokenTracker } from './token-tracker.js';
 
-/** Interval at which one record of the list of proxied machines is written. */
-const LIST_INTERVAL_MS = 500;
-/** A controller is a proxy only if the state service has answered it within this time. */
+/** Interval at which the list of proxied machines is written, for each record that it takes. */
+const LIST_WRITE_INTERVAL_MS = 500;
+/** A controller answers as a proxy only if the state service has answered it within this time. */
 const STATE_FRESH_MS = 2500;
 
-/** The parts of the controller that answer heartbeats or tell who does. */
+/** Components of the controller on which the router's decisions depend. */
 export interface HeartbeatRouterOptions {
   readonly context: ControllerContext;
   readonly shardController: ShardController;
@@ -37,10 +37,10 @@
 export class HeartbeatRouter {
   private readonly context: ControllerContext;
   private readonly tokens: TokenTracker;
-  /** When agents were redirected to other controllers. */
-  private readonly redirects: AgentTimestamps;
-  /** When agents were found to reach no controller but this one, which is isolated. */
-  private readonly returns: AgentTimestamps;
+  /** Latest redirects of agents to other controllers. */
+  private readonly redirectTimes: AgentTimestamps;
+  /** Times at which agents were found to reach no other controller while this one was isolated. */
+  private readonly soleContactTimes: AgentTimestamps;
   private readonly proxiedAgents: ProxiedAgents;
   private readonly proxiedMachineList: ProxiedMachineList;
   private readonly isolatedAnswers: IsolatedAnswers;
@@ -49,14 +49,21 @@
     const { context, availability } = options;
     this.context = context;
     this.tokens = new TokenTracker(context);
-    this.redirects = new AgentTimestamps(context.clock);
-    this.returns = new AgentTimestamps(context.clock);
-    this.proxiedAgents = new ProxiedAgents(context, this.tokens, this.redirects);
+    this.redirectTimes = new AgentTimestamps(context.clock);
+    this.soleContactTimes = new AgentTimestamps(context.clock);
+    this.proxiedAgents = new ProxiedAgents(context, this.tokens, this.redirectTimes);
     this.proxiedMachineList = new ProxiedMachineList(context);
-    const { tokens, redirects, returns } = this;
-    this.isolatedAnswers = new IsolatedAnswers({ context, availability, tokens, redirects, returns });
+    const { tokens, redirectTimes, soleContactTimes } = this;
+    this.isolatedAnswers = new IsolatedAnswers({
+      context,
+      availability,
+      tokens,
+      redirectTimes,
+      soleContactTimes,
+    });
     context.viewChanges.subscribe(({ machines, shards }) => {
-      // A change of a shard's holder changes the tokens of all its machines. Removed machines are in `machines` only.
+      // A new holder of a shard changes the fencing tokens of all machines of the shard. Removed machines are no longer
+      // in the view and are listed only in `machines`.
       if (shards.size > 0) for (const name of context.view.machines.keys()) this.onMachineChanged(name);
       for (const name of machines) this.onMachineChanged(name);
     });
@@ -71,7 +78,7 @@
     if (machine === undefined) return this.answerUnregistered(heartbeat);
     if (context.ownership.owns(machine)) return this.answerOwned(machine, heartbeat);
     const token = context.view.fencingTokenOf(machine);
-    // Until the view holds all commits of the previous owner, the agent is kept alive without commands.
+    // Until the view holds all commits of the previous owner, the reply renews the agent's lease without commands.
     if (context.ownership.isAcquiring(machine)) return { kind: 'ok', token, commands: [] };
     if (!this.isStateFresh()) return this.isolatedAnswers.answer(machine, heartbeat);
     const owner = context.ownership.holderOf(machine);
@@ -80,28 +87,28 @@
     return { kind: 'ok', token, commands: this.proxyCommandsFor(heartbeat) };
   }
 
-  /** Runs the loop that keeps the list of proxied machines in the state service current. */
+  /** Keeps the list of proxied machines in the state service current; never resolves. */
   async run(): Promise<never> {
     const { context, options } = this;
     for (;;) {
-      // A list of several records takes several writes each time.
-      await context.clock.sleep(LIST_INTERVAL_MS * Math.max(1, this.proxiedMachineList.records));
+      // Each record of the list may take a write, so a longer list is written less often.
+      await context.clock.sleep(LIST_WRITE_INTERVAL_MS * Math.max(1, this.proxiedMachineList.recordCount));
       if (!context.watcher.isReady) continue;
       this.proxiedAgents.expire();
       const lease = options.membership.currentLease;
       if (lease === null) continue;
-      await this.proxiedMachineList.publish(this.proxiedAgents.names(), lease);
+      await this.proxiedMachineList.publish(this.proxiedAgents.machineNames(), lease);
     }
   }
 
   private onMachineChanged(name: MachineName): void {
     this.tokens.update(name);
     if (this.context.view.machines.has(name)) return;
-    this.redirects.delete(name);
-    this.returns.delete(name);
+    this.redirectTimes.delete(name);
+    this.soleContactTimes.delete(name);
   }
 
-  /** The leader registers machines without a record. */
+  /** Answers the agent of a machine without a record. Only the leader, which registers such machines, records it. */
   private answerUnregistered(heartbeat: Heartbeat): HeartbeatReply {
     const leader = leaderOf(this.context);
     if (leader !== this.context.settings.node) return { kind: 'redirect', node: leader };
@@ -112,8 +119,8 @@
   private answerOwned(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
     const { availability, shardController } = this.options;
     if (!availability.mayAnswerAgents) return this.isolatedAnswers.answer(machine, heartbeat);
-    this.redirects.delete(machine.name);
-    this.returns.delete(machine.name);
+    this.redirectTimes.delete(machine.name);
+    this.soleContactTimes.delete(machine.name);
     return shardController.answerHeartbeat(machine, heartbeat);
   }
 
@@ -123,7 +130,7 @@
     return isFresh && this.options.membership.hasValidLease;
   }
 
-  /** A proxy stops only tasks of jobs that the state service shows to be over or cancelled. */
+  /** The commands of a proxy: stops of tasks whose jobs have ended or are being cancelled, as the view shows. */
   private proxyCommandsFor({ tasks }: Heartbeat): AgentCommand[] {
     const commands: AgentCommand[] = [];
     for (const { job, index, attempt, state } of tasks) {
--- a/src/controller/heartbeats/isolated-answers.ts
+++ b/src/controller/heartbeats/isolated-answers.ts
@@ -1,9 +1,11 @@
 /**
  * Answers agents while the state service does not answer this controller.
  *
- * Such a controller cannot know which owner an agent has by now. It redirects its agents, while their leases last, to a
- * controller that can act. Where no other controller answers it either, its zone may be cut off, and an agent that reaches
- * nobody else would lose its tasks: it is answered without commands, which its token keeps safe as it does for proxies.
+ * Without the state service, this controller cannot know whether an agent's machine has a new owner. It redirects its
+ * agents, before their leases expire, to a controller that can act for them. If no other controller answers this one
+ * either, its zone may be partitioned from the others, and an agent that reaches no other controller would lose its
+ * tasks with its lease. Such an agent is answered without commands. The fencing token keeps this safe, as it does for
+ * proxies: an agent that has seen a higher token drops the answer.
  */
 import { AGENT_FAILOVER_PAUSE_MS, HEARTBEAT_SLACK_MS } from '../../core/agents/agent-timing.js';
 import type { Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
@@ -15,52 +17,58 @@
 import { MAX_RETURN_MS } from './redirect-timing.js';
 import type { TokenTracker } from './token-tracker.js';
 
-/** What the answers depend on. */
+/** Components and times on which the answers depend. */
 export interface IsolatedAnswersOptions {
   readonly context: ControllerContext;
   readonly availability: Availability;
   readonly tokens: TokenTracker;
-  /** When agents were redirected to other controllers. */
-  readonly redirects: AgentTimestamps;
-  /** When agents were found to reach no other controller. */
-  readonly returns: AgentTimestamps;
+  /** Latest redirects of agents to other controllers. */
+  readonly redirectTimes: AgentTimestamps;
+  /** Times at which agents were found to reach no other controller. */
+  readonly soleContactTimes: AgentTimestamps;
 }
 
-/** Decides which agents a controller without the state service answers. */
+/** Decides which agents this controller answers while it has no contact with the state service. */
 export class IsolatedAnswers {
   constructor(private readonly options: IsolatedAnswersOptions) {}
 
-  /** The reply to a heartbeat; never with commands. */
+  /** Returns the reply to a heartbeat, which never carries commands. */
   answer(machine: MachineRecord, heartbeat: Heartbeat): HeartbeatReply {
-    const { context, availability, redirects, returns } = this.options;
+    const { context, availability, redirectTimes, soleContactTimes } = this.options;
     const { ownership, settings, view } = context;
     if (!availability.isIsolated)
       return { kind: 'redirect', node: ownership.owns(machine) ? null : ownership.holderOf(machine) };
     const token = view.fencingTokenOf(machine);
-    const reachesNobodyElse = this.reachesNobodyElse(machine, heartbeat, token);
-    // After the length of a lease the agent is redirected again: another controller that waits for it would otherwise
-    // release its machine.
-    const isKept = returns.elapsedMs(machine.name, token) < settings.workers.lease_s * 1000;
-    if (heartbeat.token > token || !(reachesNobodyElse || isKept)) {
-      returns.delete(machine.name);
-      redirects.record(machine.name, token);
+    const reachesNoOtherController = this.reachesNoOtherController(machine, heartbeat, token);
+    // The agent is answered for the length of one lease and then redirected again. Otherwise another controller that
+    // waits for its heartbeats would release its machine.
+    const wasSoleContactRecently =
+      soleContactTimes.elapsedMs(machine.name, token) < settings.workers.lease_s * 1000;
+    if (heartbeat.token > token || !(reachesNoOtherController || wasSoleContactRecently)) {
+      soleContactTimes.delete(machine.name);
+      redirectTimes.record(machine.name, token);
       return { kind: 'redirect', node: null };
     }
-    if (!isKept) returns.record(machine.name, token);
-    redirects.delete(machine.name);
+    if (!wasSoleContactRecently) soleContactTimes.record(machine.name, token);
+    redirectTimes.delete(machine.name);
     return { kind: 'ok', token, commands: [] };
   }
 
   /**
-   * Whether the agent is back after it had time to try all controllers, or has turned here because its owner did not
-   * answer. One that another controller has redirected at once is back sooner than after all tries.
+   * Whether the agent seems to reach no other controller: it is back from a redirect after enough time to try all
+   * controllers, or it has left its owner, which did not answer. An agent that another controller redirects at once is
+   * back sooner than that.
    */
-  private reachesNobodyElse(machine: MachineRecord, heartbeat: Heartbeat, token: FencingToken): boolean {
-    const { context, redirects, tokens } = this.options;
-    const awayMs = redirects.elapsedMs(machine.name, token);
-    if (awayMs < MAX_RETURN_MS) {
+  private reachesNoOtherController(
+    machine: MachineRecord,
+    heartbeat: Heartbeat,
+    token: FencingToken,
+  ): boolean {
+    const { context, redirectTimes, tokens } = this.options;
+    const sinceRedirectMs = redirectTimes.elapsedMs(machine.name, token);
+    if (sinceRedirectMs < MAX_RETURN_MS) {
       const minFullCycleMs = context.settings.nodes * AGENT_FAILOVER_PAUSE_MS - HEARTBEAT_SLACK_MS;
-      return awayMs > minFullCycleMs;
+      return sinceRedirectMs > minFullCycleMs;
     }
     return !context.ownership.owns(machine) && tokens.hasLeftOwner(heartbeat, token);
   }
--- a/src/controller/heartbeats/proxied-agents.ts
+++ b/src/controller/heartbeats/proxied-agents.ts
@@ -1,9 +1,10 @@
 /**
  * Decides which agents of other controllers' machines this controller answers as a proxy.
  *
- * An agent that a partition separates from its owner would lose its tasks with its lease. A controller with recent contact
- * to the state service answers in the owner's place, with the token of the machine's record and without starts. The token
- * keeps this safe: once another owner has shown the agent a higher one, the agent drops such an answer.
+ * An agent that a network partition separates from its owner would lose its tasks with its lease. A controller with
+ * recent contact with the state service answers in the owner's place, under the machine's present fencing token and
+ * without start commands. The token keeps this safe: once a new owner has shown the agent a higher one, the agent drops
+ * such answers.
  */
 import { maxHeartbeatGapMs } from '../../core/agents/agent-timing.js';
 import type { Heartbeat } from '../../core/model/heartbeats.js';
@@ -15,35 +16,35 @@
 import { MAX_RETURN_MS, MIN_RETURN_MS } from './redirect-timing.js';
 import type { TokenTracker } from './token-tracker.js';
 
-/** Time until a proxied agent is first redirected to its owner again, in heartbeat intervals. */
+/** Heartbeat intervals for which an agent is proxied before it is first redirected to its owner again. */
 const FIRST_PROXY_INTERVALS = 2;
-/** The longest such time; it doubles each time the agent comes back. */
+/** Most heartbeat intervals for which an agent is proxied before a redirect; the number doubles with each redirect. */
 const MAX_PROXY_INTERVALS = 16;
-/** An agent that receives answers is expected back within so many heartbeat intervals, and the slack below. */
+/** Heartbeat intervals of silence, plus `EXPIRY_SLACK_MS`, after which an agent that receives answers is removed. */
 const EXPIRY_INTERVALS = 2;
-/** Allowance for an agent that tries its owner before it comes back. */
+/** Allowance in the expiry of a silent agent for trying its unreachable owner before it comes back. */
 const EXPIRY_SLACK_MS = 6000;
 
 /** An agent that this controller answers in its owner's place. */
 interface ProxiedAgent {
-  /** The owner's token; under another one proxying begins anew. */
+  /** The machine's fencing token when proxying began; under another token the entry is void. */
   readonly token: FencingToken;
-  /** Since when this controller answers the agent, or has redirected it to its owner and expects it back. */
-  since: MonotonicMs;
+  /** Start of the present proxy period: the first heartbeat, or the expected return from the latest redirect. */
+  proxyPeriodStart: MonotonicMs;
   lastHeartbeatAt: MonotonicMs;
-  /** It has come back soon after an answer: it receives this controller's answers. */
+  /** Whether one heartbeat has followed another without a gap: the agent receives this controller's answers. */
   receivesAnswers: boolean;
-  /** How long it is answered before it is redirected to its owner again. */
-  keepMs: number;
+  /** How long the agent is answered before it is redirected to its owner again. */
+  proxyPeriodMs: number;
 }
 
 /** What the view shows about the holder of a machine's shard. */
 export interface OwnerState {
-  /** A controller with a session holds the shard. */
+  /** Whether a controller with a session holds the shard. */
   readonly hasLiveOwner: boolean;
 }
 
-/** Owns the set of agents that are answered as a proxy. */
+/** Manages the set of agents that this controller answers as a proxy. */
 export class ProxiedAgents {
   private readonly agents = new Map<MachineName, ProxiedAgent>();
   private readonly heartbeatIntervalMs: number;
@@ -51,39 +52,39 @@
   constructor(
     private readonly context: ControllerContext,
     private readonly tokens: TokenTracker,
-    /** When agents were redirected to their owners. */
-    private readonly redirects: AgentTimestamps,
+    /** Latest redirects of agents to their owners. */
+    private readonly redirectTimes: AgentTimestamps,
   ) {
     this.heartbeatIntervalMs = context.settings.workers.report_s * 1000;
   }
 
-  /** Machines whose agents are answered here. */
-  names(): Iterable<MachineName> {
+  /** Names of the machines whose agents this controller answers as a proxy. */
+  machineNames(): Iterable<MachineName> {
     return this.agents.keys();
   }
 
-  /** Whether the heartbeat is answered here; false: the agent is redirected to its owner. */
+  /** Whether this controller answers the heartbeat as a proxy; if not, the agent is to be redirected to its owner. */
   shouldProxy(machine: MachineRecord, heartbeat: Heartbeat, { hasLiveOwner }: OwnerState): boolean {
     const { clock, view } = this.context;
     const now = clock.now();
     const token = view.fencingTokenOf(machine);
     if (heartbeat.token > token) return false;
-    const agent = this.agentUnder(machine.name, token);
+    const agent = this.agentForToken(machine.name, token);
     if (agent === undefined) {
       if (hasLiveOwner && !this.isSeparatedFromOwner(heartbeat, token)) return false;
-      this.begin(machine.name, token, now);
+      this.startProxying(machine.name, token, now);
       return true;
     }
     agent.receivesAnswers ||= now - agent.lastHeartbeatAt < maxHeartbeatGapMs(this.heartbeatIntervalMs);
     agent.lastHeartbeatAt = now;
-    if (!hasLiveOwner || now - agent.since < agent.keepMs) return true;
-    // If the agent does not reach its owner now, it is kept for longer when it comes back.
-    agent.since = monotonicMs(now + this.heartbeatIntervalMs);
-    agent.keepMs = Math.min(agent.keepMs * 2, this.heartbeatIntervalMs * MAX_PROXY_INTERVALS);
+    if (!hasLiveOwner || now - agent.proxyPeriodStart < agent.proxyPeriodMs) return true;
+    // An agent that comes back because it does not reach its owner is then proxied for longer.
+    agent.proxyPeriodStart = monotonicMs(now + this.heartbeatIntervalMs);
+    agent.proxyPeriodMs = Math.min(agent.proxyPeriodMs * 2, this.heartbeatIntervalMs * MAX_PROXY_INTERVALS);
     return false;
   }
 
-  /** Forgets agents that have stopped sending heartbeats here, and those of machines that are gone or owned by now. */
+  /** Removes agents that no longer send heartbeats here, and agents of machines that were removed or are now owned. */
   expire(): void {
     const { clock, ownership, view } = this.context;
     const expiryMs = this.heartbeatIntervalMs * EXPIRY_INTERVALS + EXPIRY_SLACK_MS;
@@ -96,37 +97,38 @@
     }
   }
 
-  /** The machine's entry; one under an older token is dropped, so that the agent is sent to its new owner first. */
-  private agentUnder(machine: MachineName, token: FencingToken): ProxiedAgent | undefined {
+  /** The machine's entry under this token. Any other entry is removed, so that the agent tries its new owner first. */
+  private agentForToken(machine: MachineName, token: FencingToken): ProxiedAgent | undefined {
     const agent = this.agents.get(machine);
     if (agent?.token === token) return agent;
     this.agents.delete(machine);
     return undefined;
   }
 
-  private begin(machine: MachineName, token: FencingToken, now: MonotonicMs): void {
+  private startProxying(machine: MachineName, token: FencingToken, now: MonotonicMs): void {
     this.agents.set(machine, {
       token,
-      since: now,
+      proxyPeriodStart: now,
       lastHeartbeatAt: now,
       receivesAnswers: false,
-      keepMs: this.heartbeatIntervalMs * FIRST_PROXY_INTERVALS,
+      proxyPeriodMs: this.heartbeatIntervalMs * FIRST_PROXY_INTERVALS,
     });
   }
 
   /**
-   * Whether the agent has left its owner, or is back from a redirect to it. The latter may not have the present token:
-   * its machine can have got a new owner during a partition. Any other agent is redirected first.
+   * Whether the agent cannot reach its owner: it is back from a redirect to the owner, or has left the owner by itself.
+   * An agent that is back may not have the present token, since its machine can get a new owner during a partition. Any
+   * other agent is redirected to its owner first.
    */
   private isSeparatedFromOwner(heartbeat: Heartbeat, token: FencingToken): boolean {
     const { machine } = heartbeat;
-    const awayMs = this.redirects.elapsedMs(machine, token);
-    const hasReturned = awayMs >= MIN_RETURN_MS && awayMs <= MAX_RETURN_MS;
+    const sinceRedirectMs = this.redirectTimes.elapsedMs(machine, token);
+    const hasReturned = sinceRedirectMs >= MIN_RETURN_MS && sinceRedirectMs <= MAX_RETURN_MS;
     if (hasReturned || this.tokens.hasLeftOwner(heartbeat, token)) {
-      this.redirects.delete(machine);
+      this.redirectTimes.delete(machine);
       return true;
     }
-    if (awayMs > MAX_RETURN_MS) this.redirects.record(machine, token);
+    if (sinceRedirectMs > MAX_RETURN_MS) this.redirectTimes.record(machine, token);
     return false;
   }
 }
--- a/src/controller/heartbeats/redirect-timing.ts
+++ b/src/controller/heartbeats/redirect-timing.ts
@@ -1,6 +1,6 @@
-/** How soon an agent that does not reach the controller it was redirected to is back. */
+/** Time after which an agent comes back from a redirect to a controller that it does not reach. */
 
-/** At the earliest: an agent pauses before it turns to the next controller. */
+/** Shortest time to come back: an agent pauses for about a second before it tries the next controller. */
 export const MIN_RETURN_MS = 900;
-/** At the latest: a later heartbeat says nothing about the redirect. */
+/** Longest time to come back: a later heartbeat says nothing about the redirect. */
 export const MAX_RETURN_MS = 25_000;
--- a/src/controller/heartbeats/token-tracker.ts
+++ b/src/controller/heartbeats/token-tracker.ts
@@ -1,10 +1,12 @@
-/** Since when each machine has its present fencing token, as this controller's view shows. */
+/** Tracks since when each machine has had its present fencing token, according to this controller's view. */
 import type { Heartbeat } from '../../core/model/heartbeats.js';
 import type { FencingToken, MachineName } from '../../core/model/ids.js';
 import type { MonotonicMs } from '../../core/model/time.js';
 import type { ControllerContext } from '../controller-context.js';
 
-/** An agent that has had a token for this many heartbeat intervals has exchanged heartbeats with the token's owner. */
+/**
+ * Heartbeat intervals after which an agent with a new fencing token has exchanged heartbeats with the token's owner.
+ */
 const ESTABLISHED_HEARTBEAT_INTERVALS = 1.5;
 
 interface TrackedToken {
@@ -12,13 +14,13 @@
   readonly since: MonotonicMs;
 }
 
-/** Follows the fencing tokens of all machines. */
+/** Tracks the fencing tokens of all machines. */
 export class TokenTracker {
   private readonly tokens = new Map<MachineName, TrackedToken>();
 
   constructor(private readonly context: ControllerContext) {}
 
-  /** Takes over the token that the view shows, or that the machine has no record. */
+  /** Updates the machine's token from the view; a machine without a record is removed. */
   update(name: MachineName): void {
     const { view, clock } = this.context;
     const machine = view.machines.get(name);
@@ -31,8 +33,8 @@
   }
 
   /**
-   * Whether a heartbeat to a controller other than the owner shows that the agent has left its owner: the agent has the
-   * present token, and had time to reach the owner under it.
+   * Whether a heartbeat to a controller other than the owner shows that the agent has left its owner: the agent has
+   * seen the present token, and has had time to reach the owner since the token changed.
    */
   hasLeftOwner(heartbeat: Heartbeat, token: FencingToken): boolean {
     const { clock, settings } = this.context;
