--- a/src/core/agents/agent-commands.ts
+++ b/src/core/agents/agent-commands.ts
@@ -1,8 +1,8 @@
 /**
- * Which commands answer an agent's newest heartbeat.
+ * Decides the commands that answer an agent's newest heartbeat.
  *
- * Stops may also be sent directly: they name one attempt, and attempts are never reused, so that a late stop does no harm.
- * Starts go out only in answers to heartbeats; see confirmed-exits.ts.
+ * A stop may also be sent directly: it names one attempt, and attempt numbers are never reused, so a late stop is
+ * harmless. Starts are sent only in answers to heartbeats; see confirmed-exits.ts.
  */
 import type { AgentCommand, ReportedTask } from '../model/heartbeats.js';
 import type { TaskIndex } from '../model/ids.js';
@@ -14,27 +14,27 @@
 import { stopReasonFor, type DesiredState, type StopReason } from './desired-state.js';
 import { reportedTasksByKey, taskKey } from './task-key.js';
 
-/** Grace beside twice the declared time of a save, for reacting to the stop. */
+/** Seconds that a grace period adds to twice the declared save time, for the task to react to the stop. */
 const GRACE_SLACK_S = 2;
 
-/** What the commands to one agent are decided from. */
+/** Input for deciding the commands to one agent. */
 export interface AgentCommandInput {
   readonly machine: MachineRecord;
-  /** Updated with the starts and stops that the commands carry. */
+  /** The agent's session; updated with the starts and stops among the commands. */
   readonly session: AgentSession;
   readonly desired: DesiredState;
   readonly now: MonotonicMs;
-  /** False: only stop and forget commands. */
+  /** Whether start commands are allowed; otherwise there are only stop and forget commands. */
   readonly mayStart: boolean;
 }
 
-/** A task of a machine's record. */
+/** A task allocated in a machine's record. */
 interface RecordedTask {
   readonly allocation: Allocation;
   readonly index: TaskIndex;
 }
 
-/** The commands that answer the session's newest heartbeat; none before the first. */
+/** The commands that answer the session's newest heartbeat; none before the first heartbeat. */
 export function agentCommands(input: AgentCommandInput): AgentCommand[] {
   const { heartbeat } = input.session;
   if (heartbeat === null) return [];
@@ -69,12 +69,12 @@
   recorded: RecordedTask | undefined,
 ): AgentCommand[] {
   const forget: AgentCommand = { op: 'forget', job, index, attempt };
-  // The allocation is removed in the transaction that writes the result: its absence shows that the result is durable.
+  // The transaction that writes a task's result also removes its allocation, so the result is durable once that is gone.
   if (recorded === undefined) return [forget];
   if (!mayStart || exitReason !== 'incomplete') return [];
   if (stopReasonFor(recorded.allocation, recorded.index, desired) !== null) return [];
-  // Once forgotten, the attempt can be started again. A new attempt would discard every fetch that takes longer than
-  // a task may wait for its gang.
+  // After a forget command the agent can start the same attempt again. A new attempt would discard each image fetch
+  // that takes longer than a task may wait for its gang.
   session.startSentIn.set(key, heartbeatIdOf(session.heartbeat!));
   session.observedTasks.delete(key);
   return [forget, { op: 'start', job, index, attempt }];
@@ -93,20 +93,20 @@
   const requestedAt = session.stopRequestedAt.get(key) ?? now;
   session.stopRequestedAt.set(key, requestedAt);
   const isSaving = state === 'saving';
-  // A second stop with a grace period would extend the save; after the period the task is ended.
+  // A second stop with a grace period would extend the save. Once the period is over, a stop without one ends the task.
   if (isSaving && graceS > 0 && now - requestedAt < graceS * 1000) return null;
   return { op: 'stop', job, index, attempt, gracePeriodS: isSaving ? 0 : graceS };
 }
 
-/** Time for a checkpoint: none for work that nobody needs any more. */
+/** Seconds to save a checkpoint; 0 for a task without checkpoints and for one whose work is not needed any more. */
 function gracePeriodFor(job: JobRecord | undefined, reason: StopReason): number {
   if (reason !== 'stopping' || job === undefined || job.spec.checkpointS <= 0) return 0;
   return job.spec.saveS * 2 + GRACE_SLACK_S;
 }
 
 /**
- * Starts recorded tasks that the agent does not list. A record may still hold allocations of finished tasks whose room is
- * used again, so that starts are limited to what fits beside the tasks known to run.
+ * Starts for recorded tasks that the agent does not report. A record may still hold allocations of finished tasks whose
+ * resources are already allocated to others, so only tasks that fit beside those known to run are started.
  */
 function startCommands(
   { machine, session, desired }: AgentCommandInput,
@@ -120,7 +120,7 @@
   for (const [key, { allocation, index }] of recorded) {
     if (reported.has(key) || session.exitedTasks.has(key)) continue;
     if (stopReasonFor(allocation, index, desired) !== null) continue;
-    // A task of a gang that was there before has been lost, and the gang with it.
+    // A gang's task that an earlier heartbeat listed has been lost, which breaks its gang: it is not started again.
     if (allocation.kind === 'gang' && session.observedTasks.has(key)) continue;
     if (!fitsWithin(allocation.demand, free)) continue;
     free = addResources(free, allocation.demand, -1);
--- a/src/core/agents/agent-session.ts
+++ b/src/core/agents/agent-session.ts
@@ -1,40 +1,45 @@
-/** What a machine's owner remembers of its agent under one fencing token, and how a heartbeat updates it. */
+/** The state that a machine's owner keeps about its agent under one fencing token, and its update by heartbeats. */
 import type { ExitReason, Heartbeat, HeartbeatId } from '../model/heartbeats.js';
 import type { FencingToken } from '../model/ids.js';
 import type { MonotonicMs } from '../model/time.js';
 import { maxUnansweredHeartbeatGapMs } from './agent-timing.js';
 import { taskKey } from './task-key.js';
 
-/** Why and since when a task is known to have left its machine. */
+/** A task that is known to have left its machine. */
 export interface ExitedTask {
+  /** When the owner learned of the exit. */
   readonly exitedAt: MonotonicMs;
-  /** Null: the machine does not know the task. */
+  /** Why the task exited; null if the agent does not know the task. */
   readonly reason: ExitReason | null;
 }
 
-/** State of the present owner about one machine under one token. Losing it costs time, never correctness. */
+/**
+ * State that the present owner keeps in memory about one machine's agent under one fencing token. Losing it delays
+ * decisions, but causes no wrong ones.
+ */
 export interface AgentSession {
   readonly token: FencingToken;
-  /** The newest heartbeat, whether the agent pushed it or answered a direct command with it. */
+  /** The newest heartbeat, pushed by the agent or sent as the answer to a direct command; null before the first. */
   heartbeat: Heartbeat | null;
   /**
-   * The newest heartbeat that the agent pushed. An answer to a direct command may be newer and still precede the answer
-   * to a heartbeat in flight, so that only a pushed one shows what became of a start.
+   * The newest heartbeat that the agent pushed; null before the first. Only a pushed heartbeat shows whether a start
+   * was carried out: an answer to a direct command may be newer, yet the agent may not have received the answer to its
+   * heartbeat in flight, which carries the start.
    */
-  lastPushed: HeartbeatId | null;
-  /** When the newest pushed heartbeat arrived. */
+  lastPushedId: HeartbeatId | null;
+  /** When the newest pushed heartbeat arrived; null before the first. */
   lastPushedAt: MonotonicMs | null;
-  /** Since when pushed heartbeats have arrived without a gap. */
+  /** Time since which pushed heartbeats have arrived without a gap; null before the first. */
   uninterruptedSince: MonotonicMs | null;
-  /** When the machine last showed that it runs and receives its owner's answers, or when this owner took over. */
+  /** When the agent last showed that it receives its owner's answers; at first, when the session began. */
   lastContactAt: MonotonicMs;
-  /** When this owner got the first heartbeat. */
+  /** When the session's first heartbeat arrived; null before it. */
   firstHeartbeatAt: MonotonicMs | null;
-  /** The heartbeat whose answer carried the start command, by task key. */
+  /** The heartbeat whose answer carried the latest start command for a task, by task key. */
   readonly startSentIn: Map<string, HeartbeatId>;
-  /** Keys of tasks that heartbeats have listed. */
+  /** Keys of the tasks that the session's heartbeats have listed. */
   readonly observedTasks: Set<string>;
-  /** When a task was first commanded to stop, by task key. */
+  /** When the first stop command for a task was sent, by task key. */
   readonly stopRequestedAt: Map<string, MonotonicMs>;
   /** Tasks known to have left the machine, by task key. */
   readonly exitedTasks: Map<string, ExitedTask>;
@@ -43,17 +48,17 @@
 /** How a heartbeat arrived. */
 export interface HeartbeatArrival {
   readonly now: MonotonicMs;
-  /** The agent pushed it; false: it answers a direct command. */
+  /** Whether the agent pushed the heartbeat; otherwise it answers a direct command. */
   readonly isPushed: boolean;
-  /** Configured interval of heartbeats. */
+  /** Configured heartbeat interval. */
   readonly heartbeatIntervalMs: number;
 }
 
-/** A session in which no heartbeat has arrived yet. */
+/** A session that begins at `now`, without a heartbeat yet. */
 export const newAgentSession = (token: FencingToken, now: MonotonicMs): AgentSession => ({
   token,
   heartbeat: null,
-  lastPushed: null,
+  lastPushedId: null,
   lastPushedAt: null,
   uninterruptedSince: null,
   lastContactAt: now,
@@ -69,20 +74,20 @@
   heartbeat.agentEpoch > other.agentEpoch ||
   (heartbeat.agentEpoch === other.agentEpoch && heartbeat.sequence > other.sequence);
 
-/** The position of a heartbeat in its agent's order, without its status. */
+/** The id of a heartbeat, without its status. */
 export const heartbeatIdOf = ({ agentEpoch, sequence }: HeartbeatId): HeartbeatId => ({
   agentEpoch,
   sequence,
 });
 
-/** Updates the session with a heartbeat. Returns false if an equally new or newer one is known. */
+/** Updates the session with a heartbeat. Returns false if the session has an equally new or newer one already. */
 export function recordHeartbeat(
   session: AgentSession,
   heartbeat: Heartbeat,
   arrival: HeartbeatArrival,
 ): boolean {
   const { now, isPushed } = arrival;
-  const isAfterGap = isPushed && recordPush(session, heartbeat, arrival);
+  const isAfterGap = isPushed && recordPushedHeartbeat(session, heartbeat, arrival);
   if (session.heartbeat !== null && !isNewer(heartbeat, session.heartbeat)) return false;
   if (showsContact(session, heartbeat, { isPushed, isAfterGap })) session.lastContactAt = now;
   session.heartbeat = heartbeat;
@@ -91,24 +96,25 @@
   return true;
 }
 
-/** Returns whether a gap precedes the pushed heartbeat. */
-function recordPush(
+/** Updates the session's times of pushed heartbeats. Returns whether a gap precedes this one. */
+function recordPushedHeartbeat(
   session: AgentSession,
   heartbeat: Heartbeat,
   { now, heartbeatIntervalMs }: HeartbeatArrival,
 ): boolean {
-  if (session.lastPushed !== null && !isNewer(heartbeat, session.lastPushed)) return false;
+  if (session.lastPushedId !== null && !isNewer(heartbeat, session.lastPushedId)) return false;
   const maxGapMs = maxUnansweredHeartbeatGapMs(heartbeatIntervalMs);
   const isAfterGap = session.lastPushedAt !== null && now - session.lastPushedAt > maxGapMs;
   if (isAfterGap || session.uninterruptedSince === null) session.uninterruptedSince = now;
-  session.lastPushed = heartbeatIdOf(heartbeat);
+  session.lastPushedId = heartbeatIdOf(heartbeat);
   session.lastPushedAt = now;
   return isAfterGap;
 }
 
 /**
- * Whether the heartbeat shows that the agent receives its owner's answers. A pushed one under an older token is a late
- * copy, or its agent has not got this owner's answers; after a gap only the next one tells whether it does.
+ * Whether the heartbeat shows that the agent receives its owner's answers. A pushed heartbeat under an older token does
+ * not: it is a late copy, or its agent has not received an answer of this owner yet. The first pushed heartbeat after a
+ * gap does not either; only the next one shows it.
  */
 function showsContact(
   session: AgentSession,
--- a/src/core/agents/confirmed-exits.ts
+++ b/src/core/agents/confirmed-exits.ts
@@ -1,9 +1,9 @@
 /**
- * Which tasks a heartbeat proves to have left their machine.
+ * Determines which tasks have left their machine, as proved by a heartbeat.
  *
- * An allocation is removed from a machine's record only on such a proof. Start commands travel in answers to heartbeats:
- * an agent has one heartbeat in flight and drops late answers, so that a heartbeat newer than the one whose answer carried
- * a start shows for certain whether that start was carried out.
+ * An allocation is removed from a machine's record only on such proof. Start commands are sent in answers to
+ * heartbeats. An agent has one heartbeat in flight and drops late answers, so a heartbeat newer than the one whose
+ * answer carried a start shows for certain whether that start was carried out.
  */
 import type { ExitReason, ReportedTask } from '../model/heartbeats.js';
 import type { TaskIndex } from '../model/ids.js';
@@ -16,11 +16,11 @@
 export interface TaskExit {
   readonly allocation: Allocation;
   readonly index: TaskIndex;
-  /** Null: the machine does not know the task and will never start it. */
+  /** Why the task exited; null if the agent does not know the task and will never start it. */
   readonly reason: ExitReason | null;
 }
 
-/** The exits that the newest heartbeat proves. Nothing is proved before the agent has shown the session's token. */
+/** The exits proved by the session's newest heartbeat; none before the agent has shown the session's fencing token. */
 export function confirmedExits(
   machine: MachineRecord,
   session: AgentSession,
@@ -46,13 +46,13 @@
 }
 
 /**
- * Whether a start command may still be under way. This holds for tasks reported as exited, too: a task whose gang was
- * incomplete is started again under its attempt, in the answer to the heartbeat that reports its exit.
+ * Whether a start command for the task may still be in flight. A task reported as exited is no exception: if its gang
+ * was incomplete, it is started again under the same attempt, in the answer to the heartbeat that reports its exit.
  */
 function isStartPending(session: AgentSession, key: string): boolean {
   const startSentIn = session.startSentIn.get(key);
   if (startSentIn === undefined) return false;
-  return session.lastPushed === null || !isNewer(session.lastPushed, startSentIn);
+  return session.lastPushedId === null || !isNewer(session.lastPushedId, startSentIn);
 }
 
 function exitOfReportedTask(
@@ -61,7 +61,7 @@
   task: ReportedTask,
   desired: DesiredState,
 ): TaskExit | null {
-  // Its gang has not started because others still fetch their image: the task waits again under the same attempt.
+  // The gang did not start because other tasks still fetch their image: this one is started again under its attempt.
   if (task.exitReason === 'incomplete' && stopReasonFor(allocation, index, desired) === null) return null;
   return task.state === 'exited' ? { allocation, index, reason: task.exitReason ?? 'error' } : null;
 }
@@ -73,10 +73,11 @@
   desired: DesiredState,
 ): TaskExit | null {
   const key = taskKey(allocation.job, index, allocation.attempt);
-  // An agent that has lost its lease since has forgotten the exit; the exit was confirmed before.
+  // An agent that has lost its lease since then does not report the exit any more; an earlier heartbeat proved it.
   const exited = session.exitedTasks.get(key);
   if (exited !== undefined) return { allocation, index, reason: exited.reason };
-  // A wanted task that is absent is started again, but for one of a gang that was there before: the gang is broken.
+  // An absent task that should run is started again, unless it belongs to a gang and an earlier heartbeat listed it:
+  // its loss breaks the gang.
   const isLostFromGang = allocation.kind === 'gang' && session.observedTasks.has(key);
   if (!isLostFromGang && stopReasonFor(allocation, index, desired) === null) return null;
   return { allocation, index, reason: null };
--- a/src/core/health/failure-tracker.ts
+++ b/src/core/health/failure-tracker.ts
@@ -1,43 +1,48 @@
 /**
  * Distinguishes jobs that fail on every machine from machines that fail every job. A job submitted with a mistake fails
- * until its user cancels it: it must neither quarantine machines nor keep taking their room, so that it is retried with
- * exponential backoff. A faulty machine fails jobs that run on other machines.
+ * until its user cancels it. It must neither get machines quarantined nor occupy them again and again, so it is retried
+ * with exponential backoff. A faulty machine fails jobs that run well on other machines.
  */
 import { addToCount } from '../collections.js';
 import type { ExitReason } from '../model/heartbeats.js';
 import type { JobId, MachineName } from '../model/ids.js';
 import { monotonicMs, type MonotonicMs } from '../model/time.js';
 
-/** How long a task has to run to count as running well, even if it fails later. */
+/** Run time from which a task counts as running well, even if it fails later. */
 export const LONG_RUN_MS = 20_000;
 
-/** Failures on this many machines are the job's fault, unless one of its tasks has run well. */
-const MACHINES_TO_BLAME_JOB = 2;
-/** The same for a job with a task that has run long, but none that is done: one of the machines may be faulty. */
-const MACHINES_TO_BLAME_RUNNING_JOB = 3;
-/** Backoff after the first failed round; it doubles with each further one. */
+/**
+ * Machines on which a job must fail to be at fault itself, if none of its tasks is done or has run for `LONG_RUN_MS`.
+ */
+const JOB_FAULT_MIN_MACHINES = 2;
+/**
+ * Machines on which a job must fail to be at fault itself, if one of its tasks has run for `LONG_RUN_MS` but none is
+ * done: one of the machines may be faulty.
+ */
+const JOB_FAULT_MIN_MACHINES_AFTER_LONG_RUN = 3;
+/** Backoff after a job's first failed round; it doubles with each further round. */
 const FIRST_BACKOFF_MS = 5000;
-/** The longest backoff. */
+/** Longest backoff of a job, before jitter. */
 const MAX_BACKOFF_MS = 60_000;
-/** Part by which a backoff is shortened or lengthened at random, so that jobs are not all retried at the same time. */
+/** Largest random change of a backoff, as a fraction of it: jobs should not all be retried at the same time. */
 const BACKOFF_JITTER = 0.25;
-/** Failures of one job on a machine that are the machine's fault, if the job runs well elsewhere. */
-const FAILURES_TO_BLAME_MACHINE = 2;
-/** Jobs failing on a machine that are the machine's fault, while it is unknown how they run elsewhere. */
-const JOBS_TO_BLAME_MACHINE = 2;
+/** Failures of one job on a machine that show the machine to be faulty, if the job runs well elsewhere. */
+const MACHINE_FAULT_MIN_FAILURES = 2;
+/** Jobs failing on a machine that show the machine to be faulty, while it is unknown how they run elsewhere. */
+const MACHINE_FAULT_MIN_JOBS = 2;
 
 /** Exit reasons that count as a failure of the job or of its machine. */
 export type FailureCause = Extract<ExitReason, 'error' | 'unknown'>;
 
 /** Failures of a job that fails on every machine. */
 export interface JobFailures {
-  /** Rounds in which the job was tried and failed; 0: it is not taken to fail on every machine. */
+  /** Number of rounds in which the job was tried and failed; 0 if it does not count as failing on every machine. */
   readonly rounds: number;
-  /** Machines on which it failed, the latest last. */
+  /** Machines on which the job has failed, the latest last. */
   readonly machines: ReadonlySet<MachineName>;
-  /** Cause of the latest failure, under the name that it has in stored records. */
+  /** Cause of the latest failure; the field is named as in stored records. */
   readonly why: FailureCause;
-  /** End of the backoff: the job is not tried before. */
+  /** End of the backoff, before which the job is not tried again. */
   readonly until: MonotonicMs;
 }
 
@@ -47,7 +52,7 @@
   readonly machine: MachineName;
   readonly why: FailureCause;
   readonly now: MonotonicMs;
-  /** Rounds that an earlier owner of the job's team has recorded. */
+  /** Number of failed rounds in the job's record, written by any owner of the job's team. */
   readonly knownRounds?: number | undefined;
 }
 
@@ -56,26 +61,26 @@
   readonly machines: Set<MachineName>;
   why: FailureCause;
   until: MonotonicMs;
-  /** A task of it was done. */
+  /** Whether a task of the job has been done. */
   hasFinishedTask: boolean;
-  /** A task of it has run for `LONG_RUN_MS`. */
+  /** Whether a task of the job has run for `LONG_RUN_MS`. */
   hasRunLong: boolean;
 }
 
-/** Failures of each job on a machine since the machine last finished a task. */
+/** Number of failures (exit reason `error`) of each job on a machine since the machine last finished a task. */
 type FailuresByJob = Map<JobId, number>;
 
-/** Remembers failures of jobs and machines; losing them costs time, never correctness. */
+/** Keeps failures of jobs and machines in memory. Losing them delays decisions, but causes no wrong ones. */
 export class FailureTracker {
   private readonly jobs = new Map<JobId, JobHistory>();
   private readonly machines = new Map<MachineName, FailuresByJob>();
 
   constructor(
-    /** Uniform in [0, 1). */
+    /** Returns random numbers, uniform in [0, 1). */
     private readonly random: () => number,
   ) {}
 
-  /** Records that a task has failed. A failure after the job's backoff begins the next round. */
+  /** Records that a task has failed. A failure after the end of the job's backoff counts as the next failed round. */
   recordFailure({ job, machine, why, now, knownRounds = 0 }: TaskFailure): void {
     const history = this.historyOf(job);
     history.machines.delete(machine);
@@ -83,13 +88,13 @@
     history.why = why;
     history.rounds = Math.max(history.rounds, knownRounds);
     if (why === 'error') this.countFailure(machine, job);
-    // Tasks that fail during the backoff belong to the last round.
+    // A failure during the backoff belongs to the round that began the backoff.
     if (!failsEverywhere(history) || now < history.until) return;
     history.rounds++;
     history.until = monotonicMs(now + this.backoffMs(history.rounds));
   }
 
-  /** Takes over failures that another controller has observed, unless more rounds are known here. */
+  /** Merges failures that another controller has observed, unless as many rounds are known here already. */
   mergeFailures(job: JobId, observed: JobFailures): void {
     const history = this.historyOf(job);
     if (history.rounds >= observed.rounds) return;
@@ -99,7 +104,7 @@
     for (const machine of observed.machines) history.machines.add(machine);
   }
 
-  /** Records that a task is done, which clears both its job and its machine. */
+  /** Records that a task is done, which clears the failures of its job and of its machine. */
   recordSuccess(job: JobId, machine: MachineName): void {
     const history = this.historyOf(job);
     history.machines.clear();
@@ -125,26 +130,26 @@
     for (const entry of this.jobs) if (entry[1].rounds > 0) yield entry;
   }
 
-  /** Whether the machine fails what it starts; jobs that fail on every machine do not count. */
+  /** Whether the machine is faulty, judged by its failures of jobs that do not fail on every machine. */
   isFaulty(machine: MachineName): boolean {
-    let unresolvedJobs = 0;
+    let unattributedJobs = 0;
     for (const [job, failures] of this.machines.get(machine) ?? []) {
       const history = this.jobs.get(job);
       if (history === undefined || history.rounds > 0) continue;
       const runsElsewhere = history.hasFinishedTask || history.hasRunLong;
-      if (runsElsewhere && failures >= FAILURES_TO_BLAME_MACHINE) return true;
-      unresolvedJobs++;
+      if (runsElsewhere && failures >= MACHINE_FAULT_MIN_FAILURES) return true;
+      unattributedJobs++;
     }
-    return unresolvedJobs >= JOBS_TO_BLAME_MACHINE;
+    return unattributedJobs >= MACHINE_FAULT_MIN_JOBS;
   }
 
-  /** Forgets a job that is over. */
+  /** Forgets a job that has ended. */
   forgetJob(job: JobId): void {
     this.jobs.delete(job);
     for (const failures of this.machines.values()) failures.delete(job);
   }
 
-  /** Forgets a machine that is gone, or that has finished a task. */
+  /** Forgets the failures on a machine that was removed or has finished a task. */
   forgetMachine(machine: MachineName): void {
     this.machines.delete(machine);
   }
@@ -182,5 +187,5 @@
 function failsEverywhere({ rounds, machines, hasFinishedTask, hasRunLong }: JobHistory): boolean {
   if (rounds > 0) return true;
   if (hasFinishedTask) return false;
-  return machines.size >= (hasRunLong ? MACHINES_TO_BLAME_RUNNING_JOB : MACHINES_TO_BLAME_JOB);
+  return machines.size >= (hasRunLong ? JOB_FAULT_MIN_MACHINES_AFTER_LONG_RUN : JOB_FAULT_MIN_MACHINES);
 }
--- a/src/core/health/slow-machine-detector.ts
+++ b/src/core/health/slow-machine-detector.ts
@@ -1,27 +1,27 @@
 /**
- * Detects machines that run their tasks much slower than others. Estimates of run times are biased, so that a run is
- * compared with the other runs of its job; where those are too few, its ratio to the estimate is compared with the median
- * ratio of its class.
+ * Detects machines that run tasks much slower than others do. Users' estimates of run times are biased, so a run is
+ * compared with the other runs of its job. If too few of those are known, its ratio of run time to estimate is compared
+ * with the median ratio of its job class.
  */
 import { evictOldest } from '../bounded-map.js';
 import type { JobId, MachineName } from '../model/ids.js';
 
-/** Runs that are remembered of each job and each class. */
+/** Most runs that are kept of each job and of each class. */
 const MAX_RUNS_KEPT = 60;
-/** Jobs whose runs are remembered. */
+/** Most jobs whose runs are kept. */
 const MAX_JOBS_KEPT = 500;
 
-/** When a machine counts as slow. */
+/** Criteria by which a machine counts as slow. */
 export interface SlowMachineOptions {
-  /** A run is slow if it takes this many times the median. */
+  /** Multiple of the median from which a run counts as slow. */
   readonly factor: number;
-  /** A machine is slow if its latest runs, as many as this, are all slow. */
+  /** Number of latest runs that must all be slow for a machine to count as slow. */
   readonly runs: number;
-  /** Runs of a job or a class that must be known before others are compared with them. */
+  /** Number of runs of a job or class that must be known before a run is compared with them. */
   readonly samples: number;
 }
 
-/** A finished run of a task. */
+/** A finished run of a task: run time and estimate in seconds. */
 export interface TaskRun {
   readonly job: JobId;
   readonly jobClass: string;
@@ -31,9 +31,9 @@
 
 /** Compares run times of machines with those of others. */
 export class SlowMachineDetector {
-  /** Ratios of run time to estimate, by class. */
+  /** Ratios of run time to estimate of the latest runs, by class. */
   private readonly ratiosByClass = new Map<string, readonly number[]>();
-  /** Run times in seconds, by job. */
+  /** Run times of the latest runs in seconds, by job. */
   private readonly durationsByJob = new Map<JobId, readonly number[]>();
   /** Latest runs, by machine. */
   private readonly runsByMachine = new Map<MachineName, readonly TaskRun[]>();
@@ -61,22 +61,23 @@
     const jobsComparedWithClass = new Set<JobId>();
     return runs.every((run) => {
       const durations = this.durationsByJob.get(run.job) ?? [];
-      if (durations.length >= this.options.samples) return this.isSlowIn(run.durationS, durations);
-      // An estimate is wrong for all tasks of its job alike, so that one job counts only once against its class.
+      if (durations.length >= this.options.samples) return this.isSlowComparedWith(run.durationS, durations);
+      // An estimate is wrong by the same factor for all tasks of a job, so only one run per job is compared with its
+      // class.
       if (jobsComparedWithClass.has(run.job)) return false;
       jobsComparedWithClass.add(run.job);
       const ratios = this.ratiosByClass.get(run.jobClass) ?? [];
       if (ratios.length < this.options.samples) return false;
-      return this.isSlowIn(run.durationS / run.estimateS, ratios);
+      return this.isSlowComparedWith(run.durationS / run.estimateS, ratios);
     });
   }
 
-  /** Forgets a machine that is gone. */
+  /** Forgets the runs of a machine that was removed. */
   forgetMachine(machine: MachineName): void {
     this.runsByMachine.delete(machine);
   }
 
-  private isSlowIn(value: number, samples: readonly number[]): boolean {
+  private isSlowComparedWith(value: number, samples: readonly number[]): boolean {
     return value >= median(samples) * this.options.factor;
   }
 }
