--- a/src/core/model/address.ts
+++ b/src/core/model/address.ts
@@ -1,6 +1,6 @@
-/** Network addresses as the settings write them: host, colon, port. */
+/** Network addresses in the form of the settings: host, colon, port. */
 
-/** Host and port of an address. */
+/** Splits an address into its host and its port. */
 export function splitAddress(address: string): [host: string, port: number] {
   const colon = address.lastIndexOf(':');
   return [address.slice(0, colon), Number(address.slice(colon + 1))];
--- a/src/core/model/clock.ts
+++ b/src/core/model/clock.ts
@@ -1,14 +1,14 @@
-/** Clocks and timers as the program uses them, so that tests can replace them. */
+/** The interface of clocks and timers, which tests implement with simulated time. */
 import type { MonotonicMs, WallClockMs } from './time.js';
 
-/** The monotonic clock, the wall clock and timers. */
+/** A monotonic clock, a wall clock and timers. */
 export interface Clock {
-  /** The monotonic clock, for durations and timeouts. */
+  /** The time on the monotonic clock, for durations and timeouts. */
   now(): MonotonicMs;
-  /** The wall clock, for times that are stored or shown. */
+  /** The time on the wall clock, for times that are stored or shown. */
   wallClock(): WallClockMs;
-  /** Calls back once after so many milliseconds; the result cancels the timer. */
+  /** Calls `callback` once after `ms` milliseconds. The returned function cancels the timer. */
   after(ms: number, callback: () => void): () => void;
-  /** Resolves after so many milliseconds. */
+  /** Resolves after `ms` milliseconds. */
   sleep(ms: number): Promise<void>;
 }
--- a/src/core/model/cluster.ts
+++ b/src/core/model/cluster.ts
@@ -5,38 +5,38 @@
 /** A team with its guarantee and its quota. */
 export interface Team {
   readonly name: TeamName;
-  /** What the team may get by preempting others; 0 for a resource without guarantee, as memory always is. */
+  /** Resources that the team may obtain by preempting others; 0 for one without a guarantee, as memory always is. */
   readonly guarantee: ResourceVector;
-  /** Quota of CPUs in micro-units; null for none, where the settings give 0. */
+  /** Quota of CPUs in micro-units; null for no quota, which the settings write as 0. */
   readonly limitCpu: number | null;
-  /** Quota of GPUs in micro-units; null for none, where the settings give 0. */
+  /** Quota of GPUs in micro-units; null for no quota, which the settings write as 0. */
   readonly limitGpu: number | null;
 }
 
-/** What the state service keeps of a team. */
+/** The stored record of a team. */
 export interface TeamRecord {
   /** The shard whose holder schedules the team. */
   readonly owner: NodeName;
 }
 
-/** Which controller holds a shard, its machines and its teams. Written only when that changes. */
+/** The stored record of a shard: the controller that holds it with its machines and teams. Written only on a change. */
 export interface ShardRecord {
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
 }
 
-/** A controller's session; the state service deletes it with its lease. */
+/** The stored record of a controller's session; the state service deletes it when its lease ends. */
 export interface SessionRecord {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
   /** Id of the lease in the state service. */
   readonly lease: number;
   readonly zone: Zone;
-  /** The controller has handed over its shards and is shutting down: it is assigned nothing. */
+  /** Whether the controller has handed over its shards and is shutting down; it is then assigned nothing. */
   readonly draining?: boolean;
 }
 
-/** The leadership; the state service deletes it with its lease. */
+/** The stored record of the leadership; the state service deletes it when its lease ends. */
 export interface LeaderRecord {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
@@ -44,7 +44,7 @@
   readonly lease: number;
 }
 
-/** Machines for which a controller answers as a proxy, since they cannot reach their owner. */
+/** A stored record of machines whose agents a controller answers as a proxy, since they cannot reach their owner. */
 export interface ProxiedMachinesRecord {
   readonly machines: readonly MachineName[];
   /** Id of the lease in the state service. */
--- a/src/core/model/dominant-share.ts
+++ b/src/core/model/dominant-share.ts
@@ -7,19 +7,19 @@
 
 type ResourceIndex = typeof CPU | typeof MEMORY | typeof GPU;
 
-/** Each amount as a share of the fleet's total; 0 for a resource that the fleet lacks. */
+/** Each amount as a share of the fleet's total; 0 for a resource that the fleet does not have. */
 export function resourceShares(amounts: ResourceVector, total: ResourceVector): [number, number, number] {
   const shareOf = (resource: ResourceIndex) =>
     total[resource] > 0 ? amounts[resource] / total[resource] : 0;
   return [shareOf(CPU), shareOf(MEMORY), shareOf(GPU)];
 }
 
-/** The largest of the shares. */
+/** The largest of the demand's shares of the fleet's totals. */
 export function dominantShare(demand: ResourceVector, total: ResourceVector): number {
   return Math.max(...resourceShares(demand, total));
 }
 
-/** The team's guarantee, in whole units of the resource that it is given in; 1 for a team without one. */
+/** The team's weight in fair sharing: the larger of its guarantees of GPUs and CPUs, in units; 1 without one. */
 export function teamWeight(team: Team): number {
   const weight = Math.max(team.guarantee[GPU], team.guarantee[CPU]) / MICRO_UNITS;
   return weight > 0 ? weight : 1;
@@ -27,10 +27,11 @@
 
 /**
  * Fitness H(i, l) = |D/D1 - c/c1| summed over the resources, D the demand and c the machine's free resources, both as
- * shares of the fleet's totals: 0 for a machine whose free resources have the shape of the demand, infinite where the
- * reference resource is missing. That is the CPU, or the dominant resource of a task that asks for no CPU.
+ * shares of the fleet's totals. It is 0 for a machine whose free resources have the proportions of the demand, and
+ * infinite if the demand or the machine has nothing of the reference resource: the CPU, or the dominant resource of a
+ * task that asks for no CPU.
  *
- * Called for every task and machine of a shard: creates no objects.
+ * Called for every pair of a task and a machine of a shard, therefore it allocates no objects.
  */
 export function fitness(demand: ResourceVector, free: ResourceVector, total: ResourceVector): number {
   const reference = referenceResource(demand, total);
@@ -39,9 +40,11 @@
   if (!(demandShare > 0 && freeShare > 0)) return Number.POSITIVE_INFINITY;
   let distance = 0;
   for (let resource = 0; resource < 3; resource++) {
-    const whole = total[resource]!;
-    if (whole > 0)
-      distance += Math.abs(demand[resource]! / whole / demandShare - free[resource]! / whole / freeShare);
+    const fleetTotal = total[resource]!;
+    if (fleetTotal > 0)
+      distance += Math.abs(
+        demand[resource]! / fleetTotal / demandShare - free[resource]! / fleetTotal / freeShare,
+      );
   }
   return distance;
 }
--- a/src/core/model/heartbeats.ts
+++ b/src/core/model/heartbeats.ts
@@ -1,4 +1,4 @@
-/** Heartbeats with status from node agents, and commands to them. */
+/** Heartbeats of node agents, which carry the status of their tasks, and commands to agents. */
 import type {
   Attempt,
   FencingToken,
@@ -23,29 +23,29 @@
   readonly index: TaskIndex;
   readonly attempt: Attempt;
   readonly state: TaskState;
-  /** Null unless the task has exited. */
+  /** Why the task has exited; null if it has not. */
   readonly exitReason: ExitReason | null;
   readonly hasCheckpoint: boolean;
 }
 
-/** Orders the heartbeats of one machine: by agent epoch, then by sequence number. */
+/** Identifies and orders the heartbeats of one machine: by agent epoch, then by sequence number. */
 export interface HeartbeatId {
-  /** Raised by the agent whenever it restarts or loses its lease. */
+  /** Number that the agent increments whenever it restarts or loses its lease. */
   readonly agentEpoch: number;
   readonly sequence: number;
 }
 
-/** A heartbeat with status, as an agent sends it. */
+/** A heartbeat of an agent, with the status of its machine and tasks. */
 export interface Heartbeat extends HeartbeatId {
   readonly machine: MachineName;
-  /** Where the agent takes direct commands, as host and port. */
+  /** Address at which the agent receives direct commands, as host and port. */
   readonly address: string;
   readonly type: TypeName;
   readonly zone: Zone;
   readonly spot: boolean;
   /** The highest fencing token that the agent has seen. */
   readonly token: FencingToken;
-  /** Seconds until the cloud reclaims the spot machine; null without a notice. */
+  /** Seconds until the cloud reclaims the spot machine; null if it has given no notice. */
   readonly preemptionNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
@@ -56,19 +56,19 @@
   readonly attempt: Attempt;
 }
 
-/** Starts a task. */
+/** Tells an agent to start an attempt of a task. */
 export interface StartCommand extends CommandTarget {
   readonly op: 'start';
 }
 
-/** Stops a task. */
+/** Tells an agent to stop an attempt of a task. */
 export interface StopCommand extends CommandTarget {
   readonly op: 'stop';
-  /** Seconds that the task has to save a checkpoint. */
+  /** Seconds that the task has to save a checkpoint before it is ended; 0 ends it at once. */
   readonly gracePeriodS: number;
 }
 
-/** Lets the agent drop an exited task from its heartbeats. */
+/** Allows an agent to remove an exited attempt of a task from its heartbeats. */
 export interface ForgetCommand extends CommandTarget {
   readonly op: 'forget';
 }
@@ -79,7 +79,7 @@
 /** The reply to an agent's heartbeat. */
 export type HeartbeatReply =
   | { readonly kind: 'ok'; readonly token: FencingToken; readonly commands: readonly AgentCommand[] }
-  /** The agent is to turn to another controller: the named one, or any other where null. */
+  /** The agent is to send its heartbeats to another controller: to `node`, or to any other if `node` is null. */
   | { readonly kind: 'redirect'; readonly node: NodeName | null }
-  /** This controller cannot answer yet. */
+  /** This controller cannot answer yet, since its view of the state service is not complete. */
   | { readonly kind: 'busy' };
--- a/src/core/model/ids.ts
+++ b/src/core/model/ids.ts
@@ -18,44 +18,44 @@
 export type Zone = Brand<string, 'Zone'>;
 /** Name of a controller, and of its shard. */
 export type NodeName = Brand<string, 'NodeName'>;
-/** Id of one run of a controller process; a restart gets a new one. */
+/** Id of one run of a controller process; each restart gets a new one. */
 export type Incarnation = Brand<string, 'Incarnation'>;
 /** Version of one key in the state service: the revision of its last write; 0 for a key that does not exist. */
 export type Version = Brand<number, 'Version'>;
-/** Revision of the whole state service; grows with each write. */
+/** Revision of the whole state service, which grows with each write. */
 export type Revision = Brand<number, 'Revision'>;
-/** Fencing token of a machine: an agent rejects commands with a lower one than it has seen. */
+/** Fencing token of a machine: its agent rejects commands with a token below the highest one that it has seen. */
 export type FencingToken = Brand<number, 'FencingToken'>;
-/** Tells one start of a task from its others; the tasks of a gang share one attempt. */
+/** Number that distinguishes the starts of a task; the tasks of a gang share one attempt. */
 export type Attempt = Brand<number, 'Attempt'>;
-/** Number of a task in its job, from 0. */
+/** Index of a task in its job, starting at 0. */
 export type TaskIndex = number;
 
-/** Takes text for a job id. */
+/** Brands a string as a job id, without validating it. */
 export const jobId = (text: string): JobId => text as JobId;
-/** Takes text for a team's name. */
+/** Brands a string as a team name, without validating it. */
 export const teamName = (text: string): TeamName => text as TeamName;
-/** Takes text for a machine's name. */
+/** Brands a string as a machine name, without validating it. */
 export const machineName = (text: string): MachineName => text as MachineName;
-/** Takes text for a type's name. */
+/** Brands a string as the name of a machine type, without validating it. */
 export const typeName = (text: string): TypeName => text as TypeName;
-/** Takes text for a zone's name. */
+/** Brands a string as a zone name, without validating it. */
 export const zoneName = (text: string): Zone => text as Zone;
-/** Takes text for a controller's name. */
+/** Brands a string as a controller name, without validating it. */
 export const nodeName = (text: string): NodeName => text as NodeName;
-/** Takes text for the id of a process. */
+/** Brands a string as an incarnation, without validating it. */
 export const incarnation = (text: string): Incarnation => text as Incarnation;
-/** Takes a number for a key's version. */
+/** Brands a number as the version of a key, without validating it. */
 export const version = (value: number): Version => value as Version;
-/** Takes a number for a revision. */
+/** Brands a number as a revision, without validating it. */
 export const revision = (value: number): Revision => value as Revision;
-/** Takes a number for a fencing token. */
+/** Brands a number as a fencing token, without validating it. */
 export const fencingToken = (value: number): FencingToken => value as FencingToken;
-/** Takes a number for an attempt. */
+/** Brands a number as an attempt, without validating it. */
 export const attempt = (value: number): Attempt => value as Attempt;
 
 /** The version of a key that does not exist. */
 export const NO_VERSION = version(0);
 
-/** The name of a task in logs and on the wire. */
+/** The id of a task in logs and on the wire. */
 export const taskId = (job: JobId, index: TaskIndex): string => `${job}/${index}`;
--- a/src/core/model/job-results.ts
+++ b/src/core/model/job-results.ts
@@ -1,21 +1,22 @@
 /** Results of users' requests about jobs. */
 import type { JobState } from './jobs.js';
 
-/** What became of a submission. */
+/** The outcome of a submission. */
 export type SubmissionResult =
-  /** Committed now, or known from an earlier submission under the same id. */
+  /** `accepted`: the job was committed. `known`: a job with the same id was submitted earlier. */
   | { readonly kind: 'accepted' | 'known'; readonly state: JobState }
-  /** It can never run; `why` is part of the answer to its user. */
+  /** The job can never run; `why` is part of the answer to its user. */
   | { readonly kind: 'impossible'; readonly why: string }
-  /** Cannot be decided or committed now; the user should retry. */
+  /** The submission cannot be decided or committed now; the user should retry. */
   | { readonly kind: 'later' };
 
-/** What became of a request to cancel. */
+/** The outcome of a request to cancel a job. */
 export type CancellationResult =
+  /** The job has ended in `state`. */
   | { readonly kind: 'final'; readonly state: JobState }
   | { readonly kind: 'not_found' }
-  /** Not finished in time; the user should retry. */
+  /** The cancellation has not finished in time; the user should retry. */
   | { readonly kind: 'later' };
 
-/** What a controller answers to a cancellation that another one forwards; the words are part of the peer protocol. */
+/** A controller's answer to a cancellation that another one forwards; the values are part of the peer protocol. */
 export type ForwardedCancellationOutcome = 'taken' | 'not_mine';
--- a/src/core/model/jobs.ts
+++ b/src/core/model/jobs.ts
@@ -1,14 +1,14 @@
-/** Jobs: what users submit, what the state service keeps of them, and what users are told. */
+/** Jobs as users submit them, as they are stored, and as their status is shown to users. */
 import type { ExitReason } from './heartbeats.js';
 import type { JobId, MachineName, TeamName, TypeName, Zone } from './ids.js';
 import type { ResourceVector } from './resources.js';
 import type { WallClockMs } from './time.js';
 
-/** Array: independent tasks. Gang: all tasks at the same time or none. Service: replicas that run until cancelled. */
+/** Kinds of jobs. Array: independent tasks. Gang: all tasks run together or none. Service: replicas until cancelled. */
 export type JobKind = 'array' | 'gang' | 'service';
 /** Priorities, from the highest to the lowest. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
-/** A smaller rank is a higher priority. */
+/** Rank of each priority, for sorting: a smaller rank is a higher priority. */
 export const PRIORITY_RANK: Readonly<Record<Priority, number>> = {
   production: 0,
   high: 1,
@@ -19,14 +19,14 @@
 /** A job as its user described it. */
 export interface JobSpec {
   readonly id: JobId;
-  /** The class of jobs that it belongs to; the settings state objectives by class. */
+  /** The class of jobs that the job belongs to; the settings state objectives by class. */
   readonly class: string;
   readonly team: TeamName;
   readonly kind: JobKind;
   readonly priority: Priority;
   /** Number of tasks. */
   readonly tasks: number;
-  /** What one task needs. */
+  /** Resources that one task needs. */
   readonly demand: ResourceVector;
   readonly image: string;
   readonly imageGb: number;
@@ -34,45 +34,45 @@
   readonly types: readonly TypeName[] | null;
   /** The zone that the job must run in; null for any. */
   readonly zone: Zone | null;
-  /** All tasks have to run in the same zone. */
+  /** Whether all tasks have to run in the same zone. */
   readonly oneZone: boolean;
-  /** At most half of the tasks, rounded up, may run in one zone. */
+  /** Whether at most half of the tasks, rounded up, may run in one zone. */
   readonly spread: boolean;
-  /** The job may run on spot machines. */
+  /** Whether the job may run on spot machines. */
   readonly spot: boolean;
-  /** The user's estimate of a task's run time. */
+  /** The user's estimate of a task's run time, in seconds. */
   readonly estimateS: number;
-  /** Progress between two checkpoints; 0 for tasks without checkpoints, whose work is lost when they are stopped. */
+  /** Seconds of progress between checkpoints; 0 for tasks without checkpoints, which lose their work when stopped. */
   readonly checkpointS: number;
-  /** How long a task takes to save a checkpoint when it is stopped. */
+  /** Seconds that a task takes to save a checkpoint when it is stopped. */
   readonly saveS: number;
-  /** Deadline, in seconds after the submission; null for none. */
+  /** Deadline in seconds after the submission; null for none. */
   readonly deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts; only those that were not at its submission. */
+  /** Jobs that have to be done before any task of this one starts, without those done when it was submitted. */
   readonly needs?: readonly JobId[];
 }
 
-/** A job is active until its cancellation begins. */
+/** Phase of an unfinished job: it is active until its cancellation begins. */
 export type JobPhase = 'active' | 'cancelling';
-/** How a job has ended. */
+/** State in which a job has ended. */
 export type FinalState = 'done' | 'cancelled';
 /** A job's state as its user sees it. */
 export type JobState = 'pending' | 'running' | FinalState;
 
-/** A job as its user sees it. */
+/** A job's status as its user sees it. */
 export interface JobStatus {
   readonly state: JobState;
   /** Number of tasks that are done. */
   readonly done: number;
   /** Number of tasks that are running. */
   readonly running: number;
-  /** The jobs that it still waits for. */
+  /** Jobs that the job still waits for. */
   readonly needs?: readonly JobId[];
-  /** What it inherits from jobs that depend on it. */
+  /** Priority, and deadline in seconds from now, that the job inherits from jobs that depend on it. */
   readonly inherited?: { readonly priority: Priority; readonly dueInS: number | null };
-  /** The job whose cancellation withdrew this one. */
+  /** The job whose cancellation also cancelled this one. */
   readonly because?: JobId;
-  /** Its failures on every machine, and when it is tried next. */
+  /** Failures of a job that fails on every machine, and the seconds until it is tried again. */
   readonly failing?: {
     readonly rounds: number;
     readonly why: ExitReason;
@@ -81,28 +81,28 @@
   };
 }
 
-/** What the state service keeps of an unfinished job. */
+/** The stored record of an unfinished job. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly phase: JobPhase;
   readonly done: DoneSet;
   readonly submitted: WallClockMs;
-  /** The job fails on every machine; removed when its next task is done. */
+  /** Present while the job fails on every machine; removed when its next task is done. */
   readonly failing?: JobFailureRecord;
 }
 
-/** A job's failures, stored so that another owner continues its backoff and its user can see them. */
+/** The failures of a job, stored so that a new owner continues the backoff and the user can see them. */
 export interface JobFailureRecord {
-  /** Number of failed tries since the job was found to fail on every machine. */
+  /** Number of failed rounds since the job was found to fail on every machine. */
   readonly rounds: number;
   readonly why: ExitReason;
-  /** The machines of its last failures. */
+  /** The machines of the job's latest failures. */
   readonly machines: readonly MachineName[];
-  /** End of the backoff: it is not tried again before. */
+  /** End of the backoff, before which the job is not tried again. */
   readonly until: WallClockMs;
 }
 
-/** Which tasks of a job are done: all below `base`, and those from it on whose bit is set. */
+/** The tasks of a job that are done: all below `base`, and those from `base` on whose bit is set. */
 export interface DoneSet {
   readonly base: number;
   /** Base64 of a bitmap whose first bit, the lowest of its first byte, stands for task `base`. */
@@ -111,13 +111,13 @@
   readonly count: number;
 }
 
-/** What the state service keeps of a finished job for ever. */
+/** The stored record of a finished job, which is kept forever. */
 export interface FinalRecord {
   readonly state: FinalState;
-  /** Number of tasks that were done. */
+  /** Number of tasks that were done when the job ended. */
   readonly done: number;
-  /** When the job ended; missing in records of versions without dependencies between jobs. */
+  /** When the job ended; missing in records written by versions without dependencies between jobs. */
   readonly at?: WallClockMs;
-  /** The job whose cancellation withdrew this one, where it was not its own. */
+  /** The job whose cancellation also cancelled this one; missing if this one was cancelled itself. */
   readonly because?: JobId;
 }
--- a/src/core/model/machines.ts
+++ b/src/core/model/machines.ts
@@ -1,4 +1,4 @@
-/** Machine types, machines with the tasks allocated to them, and rentals of machines. */
+/** Machine types, machines with their allocated tasks, and rentals of machines. */
 import type { Attempt, JobId, MachineName, NodeName, TaskIndex, TeamName, TypeName, Zone } from './ids.js';
 import type { JobKind, Priority } from './jobs.js';
 import type { ResourceVector } from './resources.js';
@@ -12,65 +12,65 @@
   readonly price: number;
   /** Price of a spot machine per hour. */
   readonly spotPrice: number;
-  /** Usual time from a rental to the first heartbeat of the machine's agent. */
+  /** Usual time in seconds from a rental to the first heartbeat of the machine's agent. */
   readonly bootS: number;
-  /** Size of the image cache. */
+  /** Size of the image cache in gigabytes. */
   readonly cacheGb: number;
-  /** Bandwidth for fetching images, shared by all that are fetched at once. */
+  /** Bandwidth for fetching images in gigabytes per second, shared by all fetches in progress. */
   readonly fetchGbPerS: number;
-  /** The zones in which it can be rented. */
+  /** Zones in which machines of the type can be rented. */
   readonly zones: readonly Zone[];
 }
 
-/** Tasks of one job that share an attempt, on one machine. */
+/** Tasks of one job and one attempt that are allocated to a machine. */
 export interface Allocation {
   readonly job: JobId;
   readonly team: TeamName;
   readonly kind: JobKind;
   readonly priority: Priority;
-  /** What each of the tasks needs. */
+  /** Resources that each of the tasks needs. */
   readonly demand: ResourceVector;
   readonly attempt: Attempt;
   readonly tasks: readonly TaskIndex[];
-  /** The tasks are being stopped; recorded so that a controller that takes over goes on with it. */
+  /** Whether the tasks are being stopped; recorded so that a new owner of the machine continues to stop them. */
   readonly stop?: boolean;
 }
 
-/** A machine boots, is up, and is then returned to the cloud. */
+/** Phase of a machine: it boots, is up, and is then released to the cloud. */
 export type MachinePhase = 'booting' | 'up' | 'releasing';
 
-/** What the state service keeps of a machine. */
+/** The stored record of a machine. */
 export interface MachineRecord {
   readonly name: MachineName;
   readonly type: TypeName;
   readonly zone: Zone;
-  /** Whether it is a spot machine, which the cloud may reclaim, or an on-demand one. */
+  /** Whether the machine is a spot machine, which the cloud may reclaim, or an on-demand one. */
   readonly spot: boolean;
-  /** The shard that it belongs to; shards are named after the controllers that hold them by default. */
+  /** The shard that the machine belongs to; shards are named after the controllers that hold them by default. */
   readonly owner: NodeName;
-  /** Lower bound of its fencing token; see `ClusterView.fencingTokenOf`. */
+  /** Lower bound of the machine's fencing token; see `ClusterView.fencingTokenOf`. */
   readonly floor: number;
   readonly phase: MachinePhase;
-  /** Where its agent takes direct commands, as host and port; known from its first heartbeat on. */
+  /** Address at which the agent receives direct commands, as host and port; known from its first heartbeat on. */
   readonly address?: string;
   /** Tasks allocated to the machine. */
   readonly placed: readonly Allocation[];
-  /** When the record was created; bounds the time that a machine may take to boot. */
+  /** When the record was created; limits how long the machine may take to boot. */
   readonly since: WallClockMs;
-  /** The machine gets no new tasks. */
+  /** Whether the machine is draining: it gets no new tasks. */
   readonly drain?: boolean;
-  /** Images known to be cached, the most recently used last. */
+  /** Images known to be in the machine's cache, the most recently used last. */
   readonly images?: readonly string[];
   /** The highest fencing token under which its owner has confirmed contact with the machine. */
   readonly heard?: number;
 }
 
-/** A rental that was decided and whose outcome is not in the state yet. */
+/** The stored record of a rental that was decided and whose outcome is not recorded yet. */
 export interface RentalRecord {
   readonly name: string;
   readonly type: TypeName;
   readonly zone: Zone;
   readonly spot: boolean;
-  /** The shard of each requested machine. */
+  /** The shard to which each requested machine will belong. */
   readonly owners: readonly NodeName[];
 }
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -1,8 +1,6 @@
-/** Resource vectors: demands, capacities and their arithmetic in exact integers. */
+/** Resource vectors for demands and capacities, with exact integer arithmetic. */
 
-/**
- * Amounts of [CPUs, memory in GB, GPUs] in whole micro-units, so that adding and subtracting is exact.
- */
+/** Amounts of [CPUs, memory in GB, GPUs] in whole micro-units, so that addition and subtraction are exact. */
 export type ResourceVector = readonly [number, number, number];
 
 /** Micro-units in one unit of a resource. */
@@ -15,13 +13,13 @@
 /** Index of the GPUs in a resource vector. */
 export const GPU = 2;
 
-/** No amount of any resource. */
+/** The empty resource vector. */
 export const NO_RESOURCES: ResourceVector = [0, 0, 0];
 
-/** Absorbs the rounding errors of decimal fractions, in micro-units. */
+/** Tolerance in micro-units for the rounding errors of decimal fractions. */
 const ROUNDING_TOLERANCE = 1e-3;
 
-/** A demand, rounded up: with capacities rounded down, no machine is promised more than it has. */
+/** A demand, rounded up. Since capacities are rounded down, no machine is allocated beyond its capacity. */
 export const demandVector = (cpus: number, memoryGb: number, gpus: number): ResourceVector => [
   Math.ceil(cpus * MICRO_UNITS - ROUNDING_TOLERANCE),
   Math.ceil(memoryGb * MICRO_UNITS - ROUNDING_TOLERANCE),
@@ -35,7 +33,7 @@
   Math.floor(gpus * MICRO_UNITS + ROUNDING_TOLERANCE),
 ];
 
-/** The sum of `amounts` and so many times `added`. */
+/** The sum of `amounts` and `times` times `added`. */
 export const addResources = (amounts: ResourceVector, added: ResourceVector, times = 1): ResourceVector => [
   amounts[CPU] + added[CPU] * times,
   amounts[MEMORY] + added[MEMORY] * times,
@@ -46,7 +44,7 @@
 export const fitsWithin = (demand: ResourceVector, free: ResourceVector): boolean =>
   demand[CPU] <= free[CPU] && demand[MEMORY] <= free[MEMORY] && demand[GPU] <= free[GPU];
 
-/** How many tasks of the demand fit into the free resources; infinite for a demand of nothing. */
+/** How many tasks of the demand fit into the free resources together; infinite for an empty demand. */
 export function tasksThatFit(demand: ResourceVector, free: ResourceVector): number {
   let tasks = Number.POSITIVE_INFINITY;
   for (const resource of [CPU, MEMORY, GPU] as const) {
