--- a/src/core/agents/desired-state.ts
+++ b/src/core/agents/desired-state.ts
@@ -29,7 +29,7 @@
   if (isDone(job.done, index)) return 'task_done';
   if (allocation.kind === 'gang') {
     const allocations = desired.totals.jobs.get(allocation.job);
-    // An attempt of a gang runs as a whole or not at all: a task without the others would wait for them in vain.
+    // An attempt of a gang runs as a whole or not at all: a task without the others would only wait for them.
     const tasks = allocations?.tasksPerAttempt.get(allocation.attempt) ?? 0;
     if (tasks < job.spec.tasks) return 'gang_broken';
     if ((allocations?.stoppingAllocations ?? 0) > 0) return 'stopping';
--- a/src/core/bounded-map.ts
+++ b/src/core/bounded-map.ts
@@ -1,6 +1,6 @@
-/** Maps of bounded size, which evict the entries that were added first. */
+/** Maps of bounded size, from which the oldest entries are evicted. */
 
-/** Evicts the entry that was added first if the map has more entries than `maxSize`. */
+/** Evicts the entry that was inserted first if the map has more entries than `maxSize`. */
 export function evictOldest<Key>(map: Map<Key, unknown>, maxSize: number): void {
   if (map.size <= maxSize) return;
   const oldest = map.keys().next();
--- a/src/core/collections.ts
+++ b/src/core/collections.ts
@@ -1,11 +1,11 @@
-/** Small helpers for maps of counts and groups. */
+/** Helpers for maps of counts and for grouping. */
 
-/** Adds the amount to the count of the key; a key without a count starts at zero. */
+/** Adds `amount` to the count of `key`; a key without a count starts at zero. */
 export function addToCount<Key>(counts: Map<Key, number>, key: Key, amount: number): void {
   counts.set(key, (counts.get(key) ?? 0) + amount);
 }
 
-/** Groups the items by key; groups and their items keep the order of the items. */
+/** Groups items by key. Groups are in the order of their first items, and items keep their order within a group. */
 export function groupBy<Key, Item>(
   items: Iterable<Item>,
   keyOf: (item: Item) => Key,
--- a/src/core/concurrency-limit.ts
+++ b/src/core/concurrency-limit.ts
@@ -1,47 +1,48 @@
 /**
- * An adaptive limit on requests in progress. It follows response times: while they stay close to the best recent mean,
- * the limit grows by one per window; when they exceed it, it shrinks by a fraction.
+ * An adaptive limit on requests in progress, controlled by response times. While their mean stays close to the best
+ * recent one, the limit grows by one per window; when it exceeds a multiple of the best, the limit shrinks by a
+ * fraction.
  */
 import type { MonotonicMs } from './model/time.js';
 
 const INITIAL_LIMIT = 16;
-/** A window ends after this time, once it has `MIN_WINDOW_REQUESTS`. */
+/** Shortest duration of a window; it also needs `MIN_WINDOW_REQUESTS` to end. */
 const WINDOW_MS = 250;
 const MIN_WINDOW_REQUESTS = 4;
-/** The best mean drifts upwards by this factor per window, so that one fast window does not bind for ever. */
+/** Factor by which the best mean grows per window, so that a single fast window does not determine it forever. */
 const BEST_MEAN_DRIFT = 1.02;
 const DECREASE_FACTOR = 0.85;
 
-/** Bounds of the limit, and when answers count as slow. */
+/** Bounds of the limit, and response times that indicate overload. */
 export interface ConcurrencyLimitOptions {
   readonly min: number;
   readonly max: number;
-  /** A mean response time above this multiple of the best is a sign of overload. */
+  /** Multiple of the best mean response time above which a mean indicates overload. */
   readonly tolerance: number;
-  /** Mean response times below this are never a sign of overload. */
+  /** A mean response time up to this many milliseconds never indicates overload. */
   readonly floorMs: number;
 }
 
 /** An adaptive limit on requests in progress: additive increase, multiplicative decrease. */
 export class ConcurrencyLimit {
-  /** The present limit; only its whole part counts. */
+  /** The present limit; its fractional part is ignored. */
   limit: number;
-  /** Number of requests admitted and not released yet. */
+  /** Number of requests that were admitted and not released yet. */
   inProgress = 0;
-  /** Number of requests refused since the start. */
+  /** Number of requests that were refused since the limit was created. */
   refused = 0;
   private bestMeanMs = Number.POSITIVE_INFINITY;
   private windowStart = 0;
   private windowTotalMs = 0;
   private windowRequests = 0;
-  /** Whether the window used at least half of the limit: an unused limit does not grow. */
+  /** Whether the window has used at least half of the limit; otherwise the limit does not grow. */
   private wasLimitUsed = false;
 
   constructor(private readonly options: ConcurrencyLimitOptions) {
     this.limit = Math.max(options.min, Math.min(options.max, INITIAL_LIMIT));
   }
 
-  /** Admits a request, which must then be released; false where the limit is reached. */
+  /** Admits a request, which must later be released. Returns false if the limit is reached. */
   tryAcquire(): boolean {
     if (this.inProgress >= Math.floor(this.limit)) {
       this.refused++;
@@ -53,7 +54,7 @@
     return true;
   }
 
-  /** Ends a request that took so long. */
+  /** Releases a request that was admitted and took `durationMs`; at the end of a window this adjusts the limit. */
   release(durationMs: number, now: MonotonicMs): void {
     this.inProgress--;
     this.windowTotalMs += durationMs;
--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -1,6 +1,6 @@
-/** The base of all errors that this program throws itself. */
+/** Base class of the errors that this program throws, and errors that are used throughout. */
 
-/** An error with a stable code, which callers and logs can tell apart, and the error that caused it, where there is one. */
+/** Base class of errors with a stable code, by which callers and logs tell them apart, and an optional cause. */
 export abstract class CodedError extends Error {
   abstract readonly code: string;
 
@@ -10,12 +10,14 @@
   }
 }
 
-/** A violated assumption of the program itself, such as a task index beyond the window of its job: a defect. */
+/** A violated assumption of the program, such as a task index beyond the window of its job. It indicates a defect. */
 export class InvariantError extends CodedError {
   readonly code = 'invariant_violated';
 }
 
-/** Something cannot be known or done now, such as while the state service is out of reach; a later attempt may succeed. */
+/**
+ * Data or an operation is unavailable now, for example because the state service is unreachable; a retry may succeed.
+ */
 export class UnavailableError extends CodedError {
   readonly code = 'unavailable';
 }
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -1,4 +1,4 @@
-/** Events of a controller's work, for packages that follow, trace or count it. Without a subscriber no event is created. */
+/** Events of a controller's work, to which packages subscribe. Without a subscriber no event is created. */
 import type { JobFailures } from './health/failure-tracker.js';
 import type { TaskRun } from './health/slow-machine-detector.js';
 import type { AgentCommand, ExitReason, Heartbeat } from './model/heartbeats.js';
@@ -13,10 +13,10 @@
   readonly machine: MachineName;
 }
 
-/** How a transaction ended, as far as its sender knows. */
+/** Outcome of a transaction, as far as its sender knows it. */
 export type TransactionOutcome = 'ok' | 'conflict' | 'refused' | 'unknown' | 'other';
 
-/** Something that a controller did or observed. Times are those at which the work began. */
+/** Something that a controller has done or observed. `since` is the time at which the work began. */
 export type ServiceEvent =
   | {
       readonly kind: 'job_accepted';
@@ -24,12 +24,12 @@
       readonly team: TeamName;
       readonly since: MonotonicMs;
     }
-  /** A start was decided; it is not committed yet. */
+  /** The start of a task was decided; it is not committed yet. */
   | { readonly kind: 'task_placed'; readonly task: TaskOnMachine; readonly team: TeamName }
   /** A preemption was decided; it is not committed yet. */
   | { readonly kind: 'task_preempted'; readonly task: TaskOnMachine; readonly inFavourOf: JobId }
   | { readonly kind: 'command_sent'; readonly machine: MachineName; readonly command: AgentCommand }
-  /** A heartbeat, or the answer to a direct command, was recorded under the machine's present fencing token. */
+  /** A heartbeat or an answer to a direct command was recorded under the machine's present fencing token. */
   | { readonly kind: 'heartbeat_recorded'; readonly heartbeat: Heartbeat }
   | { readonly kind: 'task_exited'; readonly task: TaskOnMachine; readonly reason: ExitReason | null }
   | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: TaskRun }
@@ -41,24 +41,24 @@
       readonly since: MonotonicMs;
     };
 
-/** Receives events; must neither throw nor block. */
+/** Receives events. A listener must neither throw nor block. */
 export type EventListener = (event: ServiceEvent) => void;
 
 /** Delivers events to subscribers, synchronously and in the order of their subscription. */
 export class EventBus {
   private readonly listeners: EventListener[] = [];
 
-  /** Whether there are subscribers: checked before an event is created. */
+  /** Whether there are subscribers; checked before an event is created. */
   get isActive(): boolean {
     return this.listeners.length > 0;
   }
 
-  /** Adds a subscriber for the life of the process. */
+  /** Adds a subscriber for the lifetime of the process. */
   subscribe(listener: EventListener): void {
     this.listeners.push(listener);
   }
 
-  /** Delivers an event to all subscribers. */
+  /** Delivers an event to all subscribers before it returns. */
   emit(event: ServiceEvent): void {
     for (const listener of this.listeners) listener(event);
   }
--- a/src/core/log-events.ts
+++ b/src/core/log-events.ts
@@ -1,71 +1,105 @@
-/** All events that the service logs; docs/operations.md tells operators what each asks for. */
+/** All events that the service logs; docs/operations.md describes what operators should do about each. */
 
-/** Messages of log lines: subject first, then a state or what has happened. */
+/** Messages of log lines: the subject, then its state or what has happened to it. */
 export const LOG_EVENT = {
-  /** Level `info`. The controller listens. Fields: `node`, `incarnation`, `bind`. */
+  /** Level `info`. The controller has started and accepts requests. Fields: `node`, `incarnation`, `bind`. */
   controllerServing: 'controller serving',
-  /** Level `info`. The lease of this controller's session is gone; a new session follows. Fields: `lease`. */
+  /**
+   * Level `info`. The lease of this controller's session has ended; the controller opens a new session. Fields:
+   * `lease`.
+   */
   sessionLeaseExpired: 'session lease expired',
-  /** Level `info`. This controller is the leader from now on. Fields: `lease`. */
+  /** Level `info`. This controller has become the leader. Fields: `lease`. */
   leadershipAcquired: 'leadership acquired',
-  /** Level `info`. This controller holds its own shard again. Fields: `shard`, `token`. */
+  /**
+   * Level `info`. This controller has acquired the shard named after it, from an earlier run of itself or as the first
+   * holder. Fields: `shard`, `token`.
+   */
   shardAcquired: 'shard acquired',
-  /** Level `info`. The leader gives a shard to a controller. Fields: `shard`, `from`, `to`. */
+  /**
+   * Level `info`. The leader assigns a shard to a controller, which becomes its holder. Fields: `shard`, `from`, `to`.
+   */
   shardAssigned: 'shard assigned',
-  /** Level `info`. The leader gives a team to a shard. Fields: `team`, `shard`. */
+  /** Level `info`. The leader assigns a team to a shard, whose holder schedules it. Fields: `team`, `shard`. */
   teamAssigned: 'team assigned',
   /** Level `info`. The leader moves a machine to another shard. Fields: `machine`, `from`, `to`, `floor`, `reason`. */
   machineAssigned: 'machine assigned',
-  /** Level `info`. A machine without a record gets one. Fields: `machine`, `to`, `floor`. */
+  /** Level `info`. The leader creates the record of a machine that has none. Fields: `machine`, `to`, `floor`. */
   machineRegistered: 'machine registered',
-  /** Level `info`. The cloud lists the machine as failed. Fields: `machine`. */
+  /** Level `info`. The cloud lists the machine as failed; the machine is released. Fields: `machine`. */
   machineFailed: 'machine failed',
-  /** Level `info`. The cloud lists the machine no more. Fields: `machine`. */
+  /** Level `info`. The cloud no longer lists the machine; the machine is released. Fields: `machine`. */
   machineDelisted: 'machine delisted',
-  /** Level `info`. The leader returns the machine to the cloud. Fields: `machine`, `phase`, `ageS`. */
+  /** Level `info`. The leader has decided to release the machine to the cloud. Fields: `machine`, `phase`, `ageS`. */
   machineReleaseDecided: 'machine release decided',
-  /** Level `info`. The cloud has taken the machines back. Fields: `machines`. */
+  /**
+   * Level `info`. The cloud has confirmed the release of the machines; their records are removed. Fields: `machines`.
+   */
   machinesReleased: 'machines released',
-  /** Level `info`. The cloud answered a rental. Fields: `rental`, `type`, `zone`, `spot`, `asked`, `got`. */
+  /**
+   * Level `info`. The cloud has answered a rental request. Fields: `rental`, `type`, `zone`, `spot`, `asked`, `got`.
+   */
   machinesRented: 'machines rented',
-  /** Level `info`. No sign of life for too long; the machine is returned. Fields: `machine`, `token`, `silentMs`. */
+  /** Level `info`. The machine has been silent for too long and is released. Fields: `machine`, `token`, `silentMs`. */
   machineUnreachable: 'machine unreachable',
-  /** Level `info`. A submission is committed. Fields: `job`, `team`, `kind`, `tasks`, `class`. */
+  /** Level `info`. A submission was committed. Fields: `job`, `team`, `kind`, `tasks`, `class`. */
   jobAccepted: 'job accepted',
-  /** Level `info`. Why a job that has waited for long was passed over. Fields: `job`, `team`, `priority`, `waitsS`, `reason`. */
+  /**
+   * Level `info`. A job has been pending for long; `reason` says why it was not placed. Fields: `job`, `team`,
+   * `priority`, `waitsS`, `reason`.
+   */
   jobPending: 'job pending',
-  /** Level `info`. A cancellation begins. Fields: `job`. */
+  /** Level `info`. The cancellation of a job begins; its tasks are stopped. Fields: `job`. */
   jobCancelling: 'job cancelling',
-  /** Level `info`. The job is done or cancelled. Fields: `job`, `state`, `done`. */
+  /** Level `info`. The job has ended, done or cancelled. Fields: `job`, `state`, `done`. */
   jobFinished: 'job finished',
-  /** Level `info`. The job fails on every machine and backs off. Fields: `job`, `rounds`, `why`, `machines`, `until`. */
+  /**
+   * Level `info`. The job fails on every machine and is not retried before `until`. Fields: `job`, `rounds`, `why`,
+   * `machines`, `until`.
+   */
   jobFailing: 'job failing',
-  /** Level `info`. A task was placed on a machine. Fields: `task`, `team`, `attempt`, `machine`, `token`, `share`, `fitness`, `fetchRank`. */
+  /**
+   * Level `info`. The start of a task on a machine was decided. Fields: `task`, `team`, `attempt`, `machine`, `token`,
+   * `share`, `fitness`, `fetchRank`.
+   */
   taskPlaced: 'task placed',
   /** Level `info`. A task has left its machine. Fields: `task`, `attempt`, `machine`, `token`, `reason`. */
   taskExited: 'task exited',
-  /** Level `info`. Tasks are stopped for another job. Fields: `job`, `tasks`, `attempt`, `machine`, `for`, `entitled`. */
+  /**
+   * Level `info`. Tasks of a job are stopped in favour of another job. Fields: `job`, `tasks`, `attempt`, `machine`,
+   * `for`, `entitled`.
+   */
   taskPreempted: 'task preempted',
-  /** Level `info`. Requests and writes since the start. Fields: see docs/operations.md. */
+  /** Level `info`. Requests to the state service and writes since the start. Fields: see docs/operations.md. */
   stateServiceUsage: 'state service usage',
-  /** Level `debug`. A command to an agent. Fields: `op`, `task`, `attempt`, `machine`, `token`. */
+  /** Level `debug`. A command is sent to an agent. Fields: `op`, `task`, `attempt`, `machine`, `token`. */
   agentCommandSent: 'agent command sent',
-  /** Level `debug`. A cancellation went to the controller of the job's team. Fields: `job`, `ms`, `outcome`. */
+  /**
+   * Level `debug`. A cancellation was forwarded to the controller that schedules the job's team. Fields: `job`, `ms`,
+   * `outcome`.
+   */
   cancellationForwarded: 'cancellation forwarded',
-  /** Level `error`. The state service calls a transaction malformed or too large. Fields: `keys`, `answer`. */
+  /**
+   * Level `error`. The state service has rejected a transaction as malformed or too large. Fields: `keys`, `answer`.
+   */
   transactionRejected: 'transaction rejected',
-  /** Level `error`. An HTTP request ended with an unexpected error. Fields: `err`. */
+  /** Level `error`. An HTTP request failed with an unexpected error and was answered 503. Fields: `err`. */
   requestFailed: 'request failed',
-  /** Level `error`. A pass of the shard controller failed and is repeated. Fields: `err`. */
+  /** Level `error`. A pass of the shard controller failed and will be repeated. Fields: `err`. */
   reconcileLoopFailed: 'reconcile loop failed',
-  /** Level `error`. A pass of the leader failed and is repeated. Fields: `err`. */
+  /** Level `error`. A pass of the leader failed and will be repeated. Fields: `err`. */
   leaderLoopFailed: 'leader loop failed',
-  /** Level `error`. Reading the cloud's list failed and is repeated. Fields: `err`. */
+  /**
+   * Level `error`. Reading the cloud's machine types or its list of machines, or comparing the records with it, failed
+   * and will be repeated. Fields: `err`.
+   */
   cloudInventoryFailed: 'cloud inventory failed',
-  /** Level `error`. Returning machines failed and is repeated. Fields: `err`. */
+  /** Level `error`. Releasing machines to the cloud failed and will be repeated. Fields: `err`. */
   machineReleaseFailed: 'machine release failed',
-  /** Level `error`. Renting machines failed and is repeated. Fields: `err`. */
+  /** Level `error`. Renting machines failed and will be repeated. Fields: `err`. */
   machineRentalFailed: 'machine rental failed',
-  /** Level `error`. A package ended with an error; the controller goes on without it. Fields: `err`, `package`. */
+  /**
+   * Level `error`. A package has ended with an error; the controller continues without it. Fields: `err`, `package`.
+   */
   packageFailed: 'package failed',
 } as const;
--- a/src/core/records/keys.ts
+++ b/src/core/records/keys.ts
@@ -1,8 +1,8 @@
 /**
- * Keys of the state service: how they are built, and which record a key stands for.
+ * Builds and parses the keys of records in the state service.
  *
- * All keys but those of final states begin with one prefix, so that a single watch delivers their changes in one order.
- * Other versions of the program read and write the same keys: their form never changes.
+ * All keys except those of final states have a common prefix, so that a single watch delivers their changes in one
+ * order. Other versions of the program read and write the same keys, so their form must never change.
  */
 import {
   jobId,
@@ -15,7 +15,7 @@
   type TeamName,
 } from '../model/ids.js';
 
-/** The prefix of all watched keys. */
+/** The common prefix of all watched keys. */
 export const WATCHED_PREFIX = 'p/';
 
 const PREFIX = {
@@ -33,7 +33,7 @@
 const LEADER = 'p/leader';
 const TYPES = 'p/types';
 
-/** Builds the key of each kind of record. Names that users choose are encoded. */
+/** Builds the keys of all kinds of records. Names of teams, shards and controllers are percent-encoded. */
 export const key = {
   job: (id: JobId) => PREFIX.job + id,
   machine: (name: MachineName) => PREFIX.machine + name,
@@ -41,15 +41,17 @@
   shard: (name: string) => PREFIX.shard + encodeURIComponent(name),
   session: (node: string) => PREFIX.session + encodeURIComponent(node),
   rental: (name: string) => PREFIX.rental + name,
-  /** Machines for which a controller is the proxy; a long list continues in further parts. */
+  /**
+   * The machines that a controller answers as a proxy; a list that does not fit into part 0 continues in further parts.
+   */
   proxiedMachines: (node: string, part = 0) =>
     PREFIX.proxiedMachines + encodeURIComponent(node) + (part === 0 ? '' : `/${part}`),
   cancellation: (id: JobId) => PREFIX.cancellation + id,
   leader: LEADER,
-  /** The list of machine types; what does not fit into one value continues in `moreTypes`. */
+  /** The list of machine types; a list that does not fit into one value continues in `moreTypes`. */
   types: TYPES,
   moreTypes: (part: number) => `${PREFIX.moreTypes}${part}`,
-  /** Outside the watched prefix: finished jobs are kept for ever and read only when asked for. */
+  /** A job's final state. The key is not watched: final states are kept forever and read only on request. */
   final: (id: JobId) => PREFIX.final + id,
 };
 
@@ -68,7 +70,7 @@
   | { readonly kind: 'final'; readonly job: JobId }
   | { readonly kind: 'unknown' };
 
-/** How the rest of a key is parsed, by prefix; no prefix begins with another. */
+/** Parsers of the rest of a key, by prefix; no prefix is the beginning of another one. */
 const PARSERS: readonly (readonly [string, (rest: string) => ParsedKey])[] = [
   [PREFIX.job, (rest) => ({ kind: 'job', job: jobId(rest) })],
   [PREFIX.machine, (rest) => ({ kind: 'machine', machine: machineName(rest) })],
@@ -85,7 +87,7 @@
   [PREFIX.final, (rest) => ({ kind: 'final', job: jobId(rest) })],
 ];
 
-/** The record that a key stands for; `unknown` for a key of another form. */
+/** The record that a key stands for; `unknown` for a key in a form that this program does not write. */
 export function parseKey(text: string): ParsedKey {
   if (text === LEADER) return { kind: 'leader' };
   if (text === TYPES) return { kind: 'types' };
@@ -93,7 +95,7 @@
     for (const [prefix, parse] of PARSERS)
       if (text.startsWith(prefix)) return parse(text.slice(prefix.length));
   } catch (error) {
-    // The name is not encoded: no version of this program wrote the key.
+    // The name is not valid percent-encoding: no version of this program wrote the key.
     if (!(error instanceof URIError)) throw error;
   }
   return { kind: 'unknown' };
--- a/src/core/records/stored-records.ts
+++ b/src/core/records/stored-records.ts
@@ -1,38 +1,39 @@
-/** How records are stored: the state service limits the size of values, and may lower the limit at run time. */
+/** The stored form of records. The state service limits the size of values, and may lower the limit at run time. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { TASK_WINDOW } from '../jobs/done-tasks.js';
 import type { JobId } from '../model/ids.js';
 import type { JobRecord, JobSpec } from '../model/jobs.js';
 import type { Allocation, MachineRecord } from '../model/machines.js';
 
-/** Bytes that one more task in an allocation adds to a machine's record, at most. */
+/** Most bytes that one more task in an allocation adds to a machine's record. */
 export const TASK_INDEX_BYTES = 7;
 
-/** Bytes of an allocation beside the values that depend on the job, at most. */
+/** Most bytes of an allocation without the values that depend on its job. */
 const ALLOCATION_FIELD_NAMES_BYTES = 135;
 /** Tasks whose bits fit into one character of Base64. */
 const TASKS_PER_BASE64_CHARACTER = 6;
-/** Bytes that padding and growing counters of a set of done tasks add, at most. */
+/** Most bytes that the padding and the growing counters of a set of done tasks add to a job's record. */
 const DONE_SET_OVERHEAD_BYTES = 30;
-/** The brackets of a JSON array. */
+/** Bytes of the brackets of a JSON array. */
 const EMPTY_LIST_BYTES = 2;
 
-/** A job's record as the state service keeps it; versions without dependencies ignore either form of `needs`. */
+/** A job's record as stored. Versions without dependencies between jobs ignore either form of `needs`. */
 export interface StoredJob extends Omit<JobRecord, 'spec'> {
-  /** With the list of dependencies compressed where it would not fit: Base64 of the deflated ids, separated by spaces. */
+  /** `packedNeeds` replaces `needs` where that would not fit: Base64 of the deflated ids, separated by spaces. */
   readonly spec: JobSpec & { readonly packedNeeds?: string };
 }
 
 /** The size of a value in the state service, in bytes. */
 export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-/** Bytes that a further allocation of the job adds to a machine's record beside its tasks, at most. */
+/** Most bytes that a further allocation of the job adds to a machine's record, without its task indexes. */
 export const allocationBytes = (spec: JobSpec): number =>
   jsonBytes([spec.id, spec.team, spec.demand]) + ALLOCATION_FIELD_NAMES_BYTES;
 
 /**
- * A smaller record with the same tasks: without the list of cached images, and, where the machine is being released, with
- * the tasks of a job in one allocation, since no agent is commanded by them any more. Null where neither is enough.
+ * A smaller record with the same tasks; null if it still exceeds the limit. The list of cached images is left out. For
+ * a machine that is being released, the tasks of a job are also merged into one allocation, since its agent is no longer
+ * commanded by what its allocations say.
  */
 export function shrinkMachineRecord(machine: MachineRecord, limitBytes: number): MachineRecord | null {
   const { images, ...rest } = machine;
@@ -53,7 +54,7 @@
   return merged;
 }
 
-/** The record to store for a job; null where it could come to exceed the limit as tasks are done. */
+/** The record to store for a job; null if it could exceed the limit by the time that all tasks are done. */
 export function toStoredJob(record: JobRecord, limitBytes: number): StoredJob | null {
   const availableBytes = limitBytes - maxDoneSetBytes(record.spec.tasks);
   const withoutBits = { ...record, done: { ...record.done, bits: '' } };
@@ -64,16 +65,18 @@
   return jsonBytes({ ...withoutBits, spec }) <= availableBytes ? { ...record, spec } : null;
 }
 
-/** The job's record, in whichever form it was stored. */
+/** The job's record, read from either stored form. */
 export function fromStoredJob(stored: StoredJob): JobRecord {
-  // A value of unknown origin may lack a spec.
-  const known = stored.spec as StoredJob['spec'] | undefined;
-  if (known?.packedNeeds === undefined) return stored;
-  const { packedNeeds, ...spec } = known;
+  // A value that was not written by this program may lack a spec.
+  const storedSpec = stored.spec as StoredJob['spec'] | undefined;
+  if (storedSpec?.packedNeeds === undefined) return stored;
+  const { packedNeeds, ...spec } = storedSpec;
   return { ...stored, spec: { ...spec, needs: unpackJobIds(packedNeeds) } };
 }
 
-/** Splits a list into parts that each stay within the limit as JSON, in order; an item above the limit stands alone. */
+/**
+ * Splits a list, in order, into parts whose JSON stays within the limit; an item above the limit is a part of its own.
+ */
 export function splitBySize<Item>(list: readonly Item[], limitBytes: number): Item[][] {
   let current: Item[] = [];
   let currentBytes = EMPTY_LIST_BYTES;
@@ -91,7 +94,7 @@
   return parts;
 }
 
-/** What the set of done tasks may add to a job's record until the job ends. */
+/** Most bytes that the set of done tasks may take in the record of a job with so many tasks. */
 const maxDoneSetBytes = (tasks: number): number =>
   Math.ceil(Math.min(tasks, TASK_WINDOW) / TASKS_PER_BASE64_CHARACTER) + DONE_SET_OVERHEAD_BYTES;
 
