--- a/src/io/state/change-set.ts
+++ b/src/io/state/change-set.ts
@@ -1,23 +1,26 @@
-/** Sets of changes that are committed together, and the guards that protect them. */
+/** Change sets: write operations that are committed in one transaction, and the guards that it is conditional on. */
 import type { ClusterView } from '../../core/state/cluster-view.js';
 import type { Guard, WriteOperation } from './state-messages.js';
 
-/** The state service takes this many guards for each change that a transaction may make. */
+/** The state service's limit on guards in a transaction, as a multiple of its limit on operations. */
 export const GUARDS_PER_OPERATION = 4;
 
-/** Changes that must be committed together, with the versions that they were made from. */
+/**
+ * Write operations that must be committed together, and the versions of the keys that they were decided from: nothing
+ * is written unless each guarded key still has the version of its guard.
+ */
 export interface ChangeSet {
   readonly operations: readonly WriteOperation[];
   readonly guards: readonly Guard[];
 }
 
-/** The distinct guards of a change, no more than a transaction takes. */
+/** The guards of one change set, at most one for each key and no more than fit into a transaction. */
 export class GuardSet {
   private readonly guards = new Map<string, Guard>();
 
   constructor(private readonly maxGuards: number) {}
 
-  /** Adds all of the guards, or none where they would exceed the limit; returns whether they were added. */
+  /** Adds all guards, or none if they would exceed the limit; returns whether they were added. */
   add(guards: readonly Guard[]): boolean {
     const newKeys = new Set(guards.map((guard) => guard.key).filter((key) => !this.guards.has(key)));
     if (this.guards.size + newKeys.size > this.maxGuards) return false;
@@ -25,12 +28,15 @@
     return true;
   }
 
-  /** The guards in the order in which they were first added. */
+  /** All guards, in the order in which their keys were first added. */
   list(): Guard[] {
     return [...this.guards.values()];
   }
 }
 
-/** Whether the view shows that a guard has failed. Sending such a transaction would cost as much as one that succeeds. */
+/**
+ * Whether a guard's key has another version in the view, so that a transaction with the guard is not worth sending: a
+ * conflict uses as much of the state service's write budget as a commit.
+ */
 export const isOutdated = (view: ClusterView, guards: readonly Guard[]): boolean =>
   guards.some((guard) => view.versionOf(guard.key) !== guard.version);
--- a/src/io/state/group-commit.ts
+++ b/src/io/state/group-commit.ts
@@ -1,55 +1,56 @@
 /**
- * Commits independent changes that arrive together, such as the submissions of thousands of small jobs, in shared
- * transactions. A change that arrives alone is sent at once.
+ * Group commit: independent change sets that arrive together, such as the submissions of thousands of small jobs, share
+ * transactions. A change set that arrives alone is sent at once.
  */
 import { REQUEST_PRIORITY } from '../rate-limiter.js';
 import { GUARDS_PER_OPERATION, type ChangeSet } from './change-set.js';
 import type { StateClient, TransactionResult } from './state-client.js';
 
-/** Transactions under way at once; changes that arrive meanwhile are gathered for the next one. */
+/** Maximum number of transactions in flight; change sets that arrive meanwhile are queued for the next batch. */
 const MAX_IN_FLIGHT = 2;
-/** Bytes of changes in one transaction, below the service's limit by the size of guards and names. */
+/** Maximum bytes of operations in a batch; guards and field names fill the rest of the state service's 64 KiB. */
 const MAX_BATCH_BYTES = 48_000;
-/** A change that would wait longer is refused at once: its user would have given up before its turn. */
+/** A change set that would be queued longer is refused at once: its user would time out before it is sent. */
 const MAX_WAIT_MS = 3000;
 
-interface PendingChange {
+interface QueueEntry {
   readonly changeSet: ChangeSet;
   readonly resolve: (result: TransactionResult) => void;
 }
 
-/** Gathers changes while other transactions are under way, and commits them in batches. */
+/** Queues change sets while other transactions are in flight and commits them in batches. */
 export class GroupCommit {
-  private queue: PendingChange[] = [];
-  /** Changes whose outcome is not known yet, by name. */
-  private readonly pending = new Map<string, Promise<TransactionResult>>();
+  private queue: QueueEntry[] = [];
+  /** Results of change sets whose outcome is not known yet, by the name passed to `commit`. */
+  private readonly pendingByName = new Map<string, Promise<TransactionResult>>();
   private inFlight = 0;
 
   constructor(private readonly client: StateClient) {}
 
   /**
-   * Commits a change and returns its own outcome, whatever becomes of the others in the same transaction. A change under
-   * a name that is pending already is not sent a second time: users who got no answer in time retry.
+   * Commits a change set and resolves to its own result, independent of the others in the same transaction; `refused`
+   * at once if it would be queued too long. While a name is pending, further calls with it share its result and send
+   * nothing: users who got no answer in time retry.
    */
   commit(name: string, changeSet: ChangeSet): Promise<TransactionResult> {
-    const pending = this.pending.get(name);
+    const pending = this.pendingByName.get(name);
     if (pending !== undefined) return pending;
     if (this.queue.length >= this.maxQueued()) return Promise.resolve({ kind: 'refused' });
     const result = new Promise<TransactionResult>((resolve) => {
       this.queue.push({ changeSet, resolve });
-    }).finally(() => this.pending.delete(name));
-    this.pending.set(name, result);
+    }).finally(() => this.pendingByName.delete(name));
+    this.pendingByName.set(name, result);
     this.sendQueued();
     return result;
   }
 
-  /** As many changes as can be written within the longest wait. */
+  /** Maximum length of the queue: as many operations as can be written within `MAX_WAIT_MS`. */
   private maxQueued(): number {
     const fairShare = (this.writesPerSecond() * MAX_WAIT_MS) / 1000;
     return Math.max(fairShare, this.client.writesWithin(MAX_WAIT_MS));
   }
 
-  /** This controller's share of the write rate. */
+  /** Operations per second that this controller may write if all controllers share the rate equally; at least 1. */
   private writesPerSecond(): number {
     const { writeRps, nodes } = this.client.limits;
     return Math.max(1, Math.floor(writeRps / nodes));
@@ -61,7 +62,7 @@
       this.inFlight++;
       void this.send(batch)
         .catch(() => {
-          for (const change of batch) change.resolve({ kind: 'unknown' });
+          for (const entry of batch) entry.resolve({ kind: 'unknown' });
         })
         .finally(() => {
           this.inFlight--;
@@ -70,28 +71,31 @@
     }
   }
 
-  /** Takes as many queued changes as fit into one transaction and may be written within a second; at least one. */
-  private takeBatch(): PendingChange[] {
+  /**
+   * Removes from the queue as many change sets as fit into one transaction and into a second of this controller's write
+   * rate; at least one.
+   */
+  private takeBatch(): QueueEntry[] {
     const { operationsPerTransaction } = this.client.limits;
     const maxOperations = Math.min(operationsPerTransaction, this.writesPerSecond());
     const maxGuards = operationsPerTransaction * GUARDS_PER_OPERATION;
     let operations = 0;
     let guards = 0;
     let bytes = 0;
-    let size = 0;
+    let batchSize = 0;
     for (const { changeSet } of this.queue) {
       operations += changeSet.operations.length;
       guards += changeSet.guards.length;
       bytes += Buffer.byteLength(JSON.stringify(changeSet.operations));
       const isFull = operations > maxOperations || guards > maxGuards || bytes > MAX_BATCH_BYTES;
-      if (size > 0 && isFull) break;
-      size++;
+      if (batchSize > 0 && isFull) break;
+      batchSize++;
     }
-    return this.queue.splice(0, size);
+    return this.queue.splice(0, batchSize);
   }
 
-  private async send(batch: readonly PendingChange[]): Promise<void> {
-    const result = await this.client.transactWithRetry(mergeChanges(batch), REQUEST_PRIORITY.users);
+  private async send(batch: readonly QueueEntry[]): Promise<void> {
+    const result = await this.client.transactWithRetry(mergeChangeSets(batch), REQUEST_PRIORITY.users);
     if (batch.length > 1 && result.kind === 'conflict') {
       this.requeueUnaffected(batch, result);
       return;
@@ -100,29 +104,32 @@
       await this.sendSeparately(batch);
       return;
     }
-    for (const change of batch) change.resolve(result);
+    for (const entry of batch) entry.resolve(result);
   }
 
-  /** Answers the changes whose guards have failed, at least one, and queues the others again. */
+  /**
+   * Resolves the change sets whose guards failed, at least one, with the conflict, and puts the others back at the head
+   * of the queue.
+   */
   private requeueUnaffected(
-    batch: readonly PendingChange[],
+    batch: readonly QueueEntry[],
     result: TransactionResult & { kind: 'conflict' },
   ): void {
     const failedKeys = new Set(result.failed);
-    const hasFailed = ({ changeSet }: PendingChange) =>
+    const hasFailed = ({ changeSet }: QueueEntry) =>
       changeSet.guards.some((guard) => failedKeys.has(guard.key));
-    for (const change of batch.filter(hasFailed)) change.resolve(result);
-    this.queue.unshift(...batch.filter((change) => !hasFailed(change)));
+    for (const entry of batch.filter(hasFailed)) entry.resolve(result);
+    this.queue.unshift(...batch.filter((entry) => !hasFailed(entry)));
   }
 
-  /** After a rejection: a change that is malformed or too large must not fail the others. */
-  private async sendSeparately(batch: readonly PendingChange[]): Promise<void> {
-    for (const change of batch)
-      change.resolve(await this.client.transactWithRetry(change.changeSet, REQUEST_PRIORITY.users));
+  /** Sends each change set of a rejected batch alone: one that is malformed or too large must not fail the others. */
+  private async sendSeparately(batch: readonly QueueEntry[]): Promise<void> {
+    for (const entry of batch)
+      entry.resolve(await this.client.transactWithRetry(entry.changeSet, REQUEST_PRIORITY.users));
   }
 }
 
-const mergeChanges = (batch: readonly PendingChange[]): ChangeSet => ({
+const mergeChangeSets = (batch: readonly QueueEntry[]): ChangeSet => ({
   operations: batch.flatMap(({ changeSet }) => changeSet.operations),
   guards: batch.flatMap(({ changeSet }) => changeSet.guards),
 });
--- a/src/io/state/retry.ts
+++ b/src/io/state/retry.ts
@@ -1,6 +1,9 @@
-/** Repeats an operation a bounded number of times. */
+/** Bounded retries of an asynchronous operation. */
 
-/** Runs the operation, and again while its result asks for that; returns the last result. */
+/**
+ * Runs an operation, and up to `maxRetries` times again while `shouldRetry` holds for its result. Returns the last
+ * result; an operation that throws is not retried.
+ */
 export async function retryWhile<Result>(
   operation: () => Promise<Result>,
   shouldRetry: (result: Result) => boolean,
--- a/src/io/state/state-client.ts
+++ b/src/io/state/state-client.ts
@@ -1,4 +1,4 @@
-/** The client of the state service: paced requests, leases, transactions, listings and the watch. */
+/** The client of the state service: reads, transactions, leases, listings and the watch, all within its rate limits. */
 import { UnavailableError } from '../../core/errors.js';
 import type { TransactionOutcome } from '../../core/events.js';
 import type { Clock } from '../../core/model/clock.js';
@@ -29,58 +29,60 @@
 import { StateUsage, type RequestKind } from './state-usage.js';
 
 const TIMEOUT_MS = 2000;
-/** The parts of this controller's share of the limits that it uses; the rest absorbs differences between clocks. */
+/** Fractions of this controller's share of the rate limits that it uses; the rest absorbs clock drift. */
 const REQUEST_RATE_FRACTION = 0.9;
 const WRITE_RATE_FRACTION = 0.95;
 const MAX_QUEUED_REQUESTS = 200;
-/** The part of the whole write budget that one controller may borrow while nothing is refused. */
+/** Fraction of the write rate of all controllers that one of them may use while nothing is refused. */
 const MAX_BORROWED_FRACTION = 0.8;
 /**
- * The part of this controller's requests that may be spent on waiting for changes. Each change ends a wait, so that
- * without this limit many small changes by other controllers would use up the requests of users.
+ * Fraction of this controller's share of the request rate that watch requests may use. Each change of a watched key
+ * ends a watch request: without a limit, many small changes by other controllers would use up the requests for users.
  */
 const WATCH_FRACTION = 0.3;
-/** How often a transaction that a user waits for is sent again after a refusal. */
+/** Maximum number of retries of a refused transaction that a user waits for. */
 const MAX_RETRIES = 2;
 
-/** The limits of the state service, and how many controllers share them. */
+/** The limits of the state service, and the number of controllers (`nodes`) that share them. */
 export interface StateServiceLimits {
-  /** Requests per second, and changes per second. */
+  /** Requests per second. */
   readonly rps: number;
+  /** Write operations per second. */
   readonly writeRps: number;
-  /** What the rates may fall to without notice. */
+  /** What `rps` and `writeRps` may fall to without notice. */
   readonly lowRps: number;
   readonly lowWriteRps: number;
   readonly operationsPerTransaction: number;
+  /** Maximum size of a value, as JSON. */
   readonly valueBytes: number;
   readonly nodes: number;
 }
 
-/** What became of a transaction, as far as its sender knows. */
+/** Result of a transaction, as far as its sender knows; `failed` has the keys whose guards failed. */
 export type TransactionResult =
   | { readonly kind: 'ok'; readonly revision: Revision }
   | { readonly kind: 'conflict'; readonly revision: Revision; readonly failed: readonly string[] }
-  /** A lease that it names is over. */
+  /** Rejected with operations that name a lease: taken to mean that the lease does not exist any more. */
   | { readonly kind: 'no_lease' }
-  /** Not carried out: the budget is spent, or the service is in an outage. */
+  /** Not committed: the queue is full, the rate limit is exceeded or the service is in an outage. */
   | { readonly kind: 'refused' }
-  /** Malformed or above a limit: sent again, it would be rejected again. */
+  /** Not committed: it is malformed or exceeds a limit, and would be rejected each time. */
   | { readonly kind: 'rejected' }
-  /** Not sent: its guards had failed already when its turn came. */
+  /** Not sent: it was outdated by the time the rate limiter granted it. */
   | { readonly kind: 'stale' }
-  /** No answer came: it may have been carried out or may yet be. */
+  /** No response came: it may have been committed, or may be later. */
   | { readonly kind: 'unknown' };
 
-/** What a client of the state service is made of. */
+/** Limits, clock, connections and observers of a state client. */
 export interface StateClientOptions {
   readonly limits: StateServiceLimits;
   readonly clock: Clock;
   readonly transport: Transport;
-  /** Apart from the other requests, since a watch holds its connection. */
+  /** Connection of the watch, apart from the other requests since a watch occupies it while it blocks. */
   readonly watchTransport: Transport;
-  /** Called for each transaction that the service rejects for good. */
+  /** Called for each transaction that the service rejects as malformed or above a limit; `answer` is the body. */
   readonly onRejected?: (operations: readonly WriteOperation[], answer: unknown) => void;
-  /** Called for each transaction with changes; `since` is when it was begun. */
+  /** Called at the end of each transaction with operations; `since` is when it was passed to the client. */
   readonly onFinished?: (
     operations: readonly WriteOperation[],
     outcome: TransactionOutcome,
@@ -88,14 +90,15 @@
   ) => void;
 }
 
-/** A key's value, and a revision at which the answer held: that of the key, or of the service where it does not exist. */
+/** A key's value (undefined: no such key) and version, and a revision at which both held. */
 export interface KeyState {
   readonly value: unknown;
   readonly version: Version;
+  /** The key's version, or the state service's revision if there is no such key. */
   readonly revision: Revision;
 }
 
-/** All watched keys, the revision from which to watch, and the one at which the listing is complete. */
+/** All watched keys. The watch must begin at the first page's revision, `from`, and is complete from `upTo` on. */
 export interface KeyListing {
   readonly rows: KeyChange[];
   readonly from: Revision;
@@ -108,7 +111,7 @@
   readonly path: string;
   readonly body?: unknown;
   readonly priority: RequestPriority;
-  /** Number of changes that it makes. */
+  /** Number of write operations; undefined: none. */
   readonly writes?: number;
 }
 
@@ -118,14 +121,14 @@
   | { readonly kind: 'stale' }
   | { readonly kind: 'unknown'; readonly cause: unknown };
 
-/** Sends requests to the state service, each within the budget. */
+/** Sends requests to the state service, each once the rate limiter has granted it. */
 export class StateClient {
   readonly limits: StateServiceLimits;
   readonly clock: Clock;
   readonly usage = new StateUsage();
-  /** When the newest answered request was sent: the service was reachable then. */
+  /** Send time of the latest request that was answered, except with 429 or 503: the service was reachable then. */
   lastContactAt = Number.NEGATIVE_INFINITY;
-  /** When the service last refused or failed to answer. */
+  /** When a request last got no response or a 503. Watch requests affect neither this time nor `lastContactAt`. */
   lastFailureAt = Number.NEGATIVE_INFINITY;
   private readonly limiter: RateLimiter;
 
@@ -136,33 +139,34 @@
     this.limiter = createLimiter(limits, clock);
   }
 
-  /** Whether there is budget left for changes that could also be written later. */
+  /** Whether the write rate has room for writes that can wait. */
   get hasSpareBudget(): boolean {
     return this.limiter.isIdle;
   }
 
-  /** How many changes this process can write within the time at the present rate. */
+  /** How many operations this controller can write within `ms` milliseconds at its present rate. */
   writesWithin(ms: number): number {
     return this.limiter.writesWithin(ms);
   }
 
-  /** Whether nothing since the last answer suggests that the service is unreachable, or the answer is recent. */
+  /** Whether no request has failed since the latest answered one was sent, or that one is younger than `withinMs`. */
   isReachable(withinMs: number): boolean {
     return this.hasAnsweredLast || this.clock.now() - this.lastContactAt < withinMs;
   }
 
-  /** Reads a key. Throws `UnavailableError` where no usable answer came. */
+  /** Reads a key. Throws `UnavailableError` on a refusal, a missing answer or an unexpected status. */
   async get(key: string, priority: RequestPriority): Promise<KeyState> {
     const path = `${paths.kv}/${key}`;
     const result = await this.call({ kind: 'read', method: 'GET', path, priority });
-    const { status, body } = answerOf(result, key);
+    const { status, body } = responseOf(result, `read of ${key}`);
     if (status === 404) return { value: undefined, version: NO_VERSION, revision: revisionFromWire(body) };
-    if (status !== 200) throw new UnavailableError(`${key}: ${status}`);
+    if (status !== 200)
+      throw new UnavailableError(`read of ${key}: state service answered ${status}, expected 200 or 404`);
     const entry = entryFromWire(body);
     return { ...entry, revision: revision(entry.version) };
   }
 
-  /** Sends a transaction once; it is not sent where `isStale` holds when its turn comes. */
+  /** Sends a transaction once, unless `isStale` holds by then. Throws `ProtocolError` on an unexpected status. */
   async transact(
     changeSet: ChangeSet,
     priority: RequestPriority,
@@ -176,8 +180,8 @@
   }
 
   /**
-   * As `transact`, sent again where the service's budget was spent for the moment: it recovers within a fraction of a
-   * second, and a user who is asked to retry does so after a second at the earliest. In an outage nothing is sent again.
+   * Like `transact`, with up to `MAX_RETRIES` retries on refusal, except in an outage: the rate limit recovers within a
+   * fraction of a second, and a user who is asked to retry does so after a second at the earliest.
    */
   transactWithRetry(changeSet: ChangeSet, priority: RequestPriority): Promise<TransactionResult> {
     return retryWhile(
@@ -188,38 +192,44 @@
   }
 
   /**
-   * The service's present revision: whatever was committed before the call is at or below it. Throws `UnavailableError`
-   * where it cannot be read.
+   * The state service's current revision, read by an empty transaction: everything committed before the call has this
+   * revision or a lower one. Throws `UnavailableError` if it cannot be read.
    */
   async currentRevision(priority: RequestPriority): Promise<Revision> {
     const result = await this.transactWithRetry({ guards: [], operations: [] }, priority);
-    if (result.kind !== 'ok') throw new UnavailableError(`current revision: ${result.kind}`);
+    if (result.kind !== 'ok')
+      throw new UnavailableError(`read of current revision: transaction '${result.kind}', expected 'ok'`);
     return result.revision;
   }
 
-  /** Grants a lease and returns its id. Throws `UnavailableError` where the outcome is not known. */
+  /** Grants a lease that lasts `ttlMs` from each renewal; returns its id. Throws `UnavailableError` on any failure. */
   async grantLease(ttlMs: number): Promise<number> {
     const result = await this.sendLeaseRequest('POST', paths.leases, leaseToWire(ttlMs));
-    const { status, body } = answerOf(result, 'grant lease');
-    if (status !== 200) throw new UnavailableError(`grant lease: ${status}`);
+    const { status, body } = responseOf(result, 'grant of a lease');
+    if (status !== 200)
+      throw new UnavailableError(`grant of a lease: state service answered ${status}, expected 200`);
     return leaseFromWire(body);
   }
 
-  /** True: renewed; false: the lease is over. Throws `UnavailableError` where that is not known. */
+  /** Renews a lease; returns false if it does not exist any more. Throws `UnavailableError` if neither is known. */
   async renewLease(lease: number): Promise<boolean> {
     const result = await this.sendLeaseRequest('POST', `${paths.leases}/${lease}/touch`);
-    const { status } = answerOf(result, 'renew lease');
+    const { status } = responseOf(result, `renewal of lease ${lease}`);
     if (status === 404) return false;
-    if (status !== 200) throw new UnavailableError(`renew lease: ${status}`);
+    if (status !== 200)
+      throw new UnavailableError(
+        `renewal of lease ${lease}: state service answered ${status}, expected 200 or 404`,
+      );
     return true;
   }
 
-  /** Ends a lease, and with it all keys that are bound to it. Throws `UnavailableError` where no answer came. */
+  /** Revokes a lease, which removes all keys bound to it. Throws `UnavailableError` if refused or not answered. */
   async revokeLease(lease: number): Promise<void> {
-    answerOf(await this.sendLeaseRequest('DELETE', `${paths.leases}/${lease}`), 'revoke lease');
+    const path = `${paths.leases}/${lease}`;
+    responseOf(await this.sendLeaseRequest('DELETE', path), `revocation of lease ${lease}`);
   }
 
-  /** Reads all watched keys, page by page; the watch must begin at the first page's revision. */
+  /** Lists all watched keys. Throws `UnavailableError` if a page cannot be read, `ProtocolError` if it is malformed. */
   async list(): Promise<KeyListing> {
     const rows: KeyChange[] = [];
     let from: Revision | null = null;
@@ -227,11 +237,12 @@
     for (;;) {
       const path: string = paths.kv + listKeysQuery(WATCHED_PREFIX, after);
       const priority = REQUEST_PRIORITY.session;
-      const { status, body } = answerOf(
+      const { status, body } = responseOf(
         await this.call({ kind: 'list', method: 'GET', path, priority }),
-        'list',
+        'listing of keys',
       );
-      if (status !== 200) throw new UnavailableError(`list: ${status}`);
+      if (status !== 200)
+        throw new UnavailableError(`listing of keys: state service answered ${status}, expected 200`);
       const page = rowsFromWire(body);
       from ??= page.revision;
       rows.push(...page.rows);
@@ -240,23 +251,23 @@
     }
   }
 
-  /** The shortest time between two waits for changes, so that these leave most of the requests to others. */
+  /** The shortest time from one watch request to the next, so that most of the request rate is left to others. */
   get minWatchIntervalMs(): number {
     return (1000 * this.limits.nodes) / (this.limits.rps * WATCH_FRACTION);
   }
 
-  /** Waits once for changes after the revision. Null: the revision is too old, and the keys have to be listed again. */
+  /** Waits once for changes after `from`. Null: the service no longer has all of them; keys must be listed again. */
   async watch(from: Revision, waitMs: number): Promise<WatchedChanges | null> {
     if (!(await this.limiter.acquire(REQUEST_PRIORITY.session, 0)))
-      throw new UnavailableError('watch: queue full');
-    this.usage.sent('watch');
+      throw new UnavailableError(`watch from revision ${from}: not sent, the request queue is full`);
+    this.usage.countRequest('watch');
     const path = paths.watch + watchQuery(WATCHED_PREFIX, from, waitMs);
     const { watchTransport } = this.options;
     const { status, body } = await watchTransport.request('GET', path, undefined, waitMs + TIMEOUT_MS);
     if (status === 410) return null;
     if (status !== 200) {
       if (status === 429) this.limiter.noteExhausted(0);
-      throw new UnavailableError(`watch: ${status}`);
+      throw new UnavailableError(`watch from ${from}: state service answered ${status}, expected 200 or 410`);
     }
     return eventsFromWire(body);
   }
@@ -289,7 +300,7 @@
   ): TransactionResult {
     switch (status) {
       case 200:
-        for (const operation of operations) this.usage.wrote(operation.reason ?? 'other');
+        for (const operation of operations) this.usage.countWrite(operation.reason ?? 'other');
         return { kind: 'ok', revision: revisionFromWire(body) };
       case 409:
         this.usage.conflicted += operations.length;
@@ -299,7 +310,9 @@
         this.options.onRejected?.(operations, body);
         return { kind: 'rejected' };
       default:
-        throw new ProtocolError(`transaction: ${status} ${JSON.stringify(body)}`);
+        throw new ProtocolError(
+          `transaction: state service answered ${status} ${JSON.stringify(body)}, expected 200, 400 or 409`,
+        );
     }
   }
 
@@ -317,7 +330,7 @@
       return { kind: 'stale' };
     }
     const sentAt = this.clock.now();
-    this.usage.sent(kind);
+    this.usage.countRequest(kind);
     try {
       const response = await this.options.transport.request(method, path, body, TIMEOUT_MS);
       return this.classify(response, { writes, sentAt });
@@ -362,11 +375,12 @@
     clock,
   });
 
-/** The answer to a request; throws `UnavailableError` where none came. */
-function answerOf(result: RequestResult, subject: string): HttpResponse {
+/** The response to a request, whatever its status; throws `UnavailableError` on a refusal or a missing response. */
+function responseOf(result: RequestResult, request: string): HttpResponse {
   if (result.kind === 'answered') return result.response;
+  const reason = result.kind === 'unknown' ? 'no response' : 'request queue full, status 429 or status 503';
   throw new UnavailableError(
-    `${subject}: ${result.kind}`,
+    `${request}: no usable answer from the state service (${result.kind}: ${reason})`,
     result.kind === 'unknown' ? { cause: result.cause } : undefined,
   );
 }
--- a/src/io/state/state-usage.ts
+++ b/src/io/state/state-usage.ts
@@ -1,6 +1,6 @@
-/** Counts a controller's requests to the state service, and its changes by reason, for operators. */
+/** Counters of a controller's requests to the state service and of its writes by reason, logged for operators. */
 
-/** Why a change is written. */
+/** Why a key is written; only a label of the counters. */
 export type WriteReason =
   | 'submission'
   | 'end'
@@ -18,36 +18,36 @@
   | 'settling'
   | 'other';
 
-/** What a request to the state service is for. */
+/** Kind of a request to the state service; a `barrier` is an empty transaction that reads the current revision. */
 export type RequestKind = 'read' | 'barrier' | 'transaction' | 'lease' | 'list' | 'watch';
 
-/** Counts since the process began. */
+/** Counters of requests and writes since the process started. */
 export class StateUsage {
-  /** All requests that were sent. */
+  /** Requests sent, whatever their answer. */
   requests = 0;
-  /** Requests above the rate (429). */
+  /** Requests refused for exceeding the rate limit (status 429). */
   limited = 0;
-  /** Requests refused in an outage (503). */
+  /** Requests refused in an outage (status 503). */
   refused = 0;
-  /** Requests without an answer. */
+  /** Requests without a usable response: failed, timed out or with a malformed body. */
   lost = 0;
-  /** Changes in transactions whose guards failed; they use as much of the budget as those that were made. */
+  /** Writes in transactions whose guards failed; they use as much of the write budget as committed writes. */
   conflicted = 0;
-  private readonly changesByReason = new Map<WriteReason, number>();
+  private readonly writesByReason = new Map<WriteReason, number>();
   private readonly requestsByKind = new Map<RequestKind, number>();
 
-  /** Counts a request. */
-  sent(kind: RequestKind): void {
+  /** Counts a request that is about to be sent. */
+  countRequest(kind: RequestKind): void {
     this.requests++;
     this.requestsByKind.set(kind, (this.requestsByKind.get(kind) ?? 0) + 1);
   }
 
-  /** Counts a change that was committed. */
-  wrote(reason: WriteReason): void {
-    this.changesByReason.set(reason, (this.changesByReason.get(reason) ?? 0) + 1);
+  /** Counts a committed write. */
+  countWrite(reason: WriteReason): void {
+    this.writesByReason.set(reason, (this.writesByReason.get(reason) ?? 0) + 1);
   }
 
-  /** The counts in the form in which they are logged. */
+  /** The counters as fields of the log line for operators. */
   snapshot() {
     const { requests, limited, refused, lost, conflicted } = this;
     return {
@@ -57,7 +57,7 @@
       refused,
       lost,
       conflicted,
-      written: Object.fromEntries(this.changesByReason),
+      written: Object.fromEntries(this.writesByReason),
     };
   }
 }
--- a/src/io/state/state-watcher.ts
+++ b/src/io/state/state-watcher.ts
@@ -1,4 +1,4 @@
-/** Keeps a view of the shared state current by listing it once and watching it from then on. */
+/** Keeps a view of the shared state up to date: lists all watched keys, then watches their changes. */
 import { UnavailableError } from '../../core/errors.js';
 import { revision, version, type Revision, type Version } from '../../core/model/ids.js';
 import { WATCHED_PREFIX, parseKey } from '../../core/records/keys.js';
@@ -7,21 +7,21 @@
 import type { KeyListing, StateClient } from './state-client.js';
 import type { WatchedChanges, WriteOperation } from './state-messages.js';
 
-/** Calls within this time share a barrier: each barrier is a request of the state service's budget. */
+/** Pause before a queued barrier, so that more callers share it: each barrier uses one request of the rate limit. */
 const BARRIER_INTERVAL_MS = 80;
-/** The longest time for which one watch request blocks. */
-const WATCH_MS = 8000;
-/** Pauses after a watch and after a listing that failed. */
+/** Longest time for which one watch request blocks. */
+const WATCH_BLOCK_MS = 8000;
+/** Pauses before a failed watch request or listing is repeated. */
 const WATCH_RETRY_MS = 250;
 const LIST_RETRY_MS = 300;
-/** How long a barrier waits for the watch. */
+/** Longest time that a barrier waits for the view to reach the current revision. */
 const MAX_WATCH_LAG_MS = 1500;
 
-/** Whom a watcher notifies. */
+/** Callbacks of a watcher. */
 export interface StateWatcherListeners {
-  /** Called with the keys that have changed in the view. */
+  /** Called after changes were applied to the view, with the changed keys. */
   readonly onChanged: (keys: ReadonlySet<string>) => void;
-  /** Called with each change that this process has committed, before it is applied to the view. */
+  /** Called with the operations of each commit of this process, before they are applied to the view. */
   readonly onCommitted?: (operations: readonly WriteOperation[]) => void;
 }
 
@@ -30,12 +30,12 @@
   readonly resolve: (isReached: boolean) => void;
 }
 
-/** Keeps a view current and lets callers wait until it has reached a revision. */
+/** Keeps a view up to date and lets callers wait until it has reached a revision. */
 export class StateWatcher {
-  /** Whether the view has been complete once. */
+  /** Whether the view has reached the end of a listing, and so was complete at least once. */
   isReady = false;
   private waiters: RevisionWaiter[] = [];
-  /** Shards that this process has written before the watch reached the revision of that write. */
+  /** Versions of the shard records that this process wrote and the watch has not reached yet, by key. */
   private readonly shardsAheadOfWatch = new Map<string, Version>();
   private barrier: Promise<void> | null = null;
   private queuedBarrier: Promise<void> | null = null;
@@ -46,7 +46,7 @@
     private readonly listeners: StateWatcherListeners,
   ) {}
 
-  /** Lists and watches for ever; what fails is repeated after a pause. */
+  /** Lists and watches for ever; a listing or watch request that fails is repeated after a pause. */
   async run(): Promise<never> {
     for (;;) {
       try {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Resolves to true once the view has reached the revision, to false after the timeout. */
+  /** Resolves to true once the view has reached the revision, or to false after the timeout. */
   waitForRevision(target: Revision, timeoutMs: number): Promise<boolean> {
     if (this.view.revision >= target) return Promise.resolve(true);
     return new Promise((resolve) => {
@@ -79,8 +79,9 @@
   }
 
   /**
-   * Waits until the view is at least as new as anything that any controller had told a user before the call. Calls during
-   * one barrier share the next one. Throws `UnavailableError` where that cannot be reached now.
+   * Waits until the view has everything committed before the call, and with it all that any controller had told a user
+   * by then. Calls during one barrier share the next one. Throws `UnavailableError` if the current revision cannot be
+   * read or the view does not reach it in time.
    */
   async waitUntilFresh(): Promise<void> {
     if (this.barrier === null) {
@@ -99,7 +100,7 @@
     return this.queuedBarrier;
   }
 
-  /** Applies this process's own commit to the view without waiting for the watch. */
+  /** Applies a transaction that this process committed to the view, without waiting for the watch. */
   applyCommitted(operations: readonly WriteOperation[], committedAt: Revision): void {
     this.listeners.onCommitted?.(operations);
     const keys = new Set<string>();
@@ -119,7 +120,7 @@
     if (from >= upTo) this.isReady = true;
   }
 
-  /** Follows all changes after the listing; returns when the keys have to be listed again. */
+  /** Applies all changes after the listing; returns when the keys must be listed again. */
   private async watchFrom({ from, upTo }: KeyListing): Promise<void> {
     const { clock, minWatchIntervalMs } = this.client;
     let reached = from;
@@ -127,7 +128,7 @@
       const nextWatchAt = clock.now() + minWatchIntervalMs;
       let changes: WatchedChanges | null;
       try {
-        changes = await this.client.watch(reached, WATCH_MS);
+        changes = await this.client.watch(reached, WATCH_BLOCK_MS);
       } catch {
         await clock.sleep(WATCH_RETRY_MS);
         continue;
@@ -152,7 +153,10 @@
     if (keys.size > 0) this.listeners.onChanged(keys);
   }
 
-  /** Shards that may be acted on only now that the view has reached them: listeners are notified once more. */
+  /**
+   * Removes and returns the keys in `shardsAheadOfWatch` that the view has reached. Listeners are notified of them a
+   * second time: a shard may be acted on only once the view has all that former holders committed.
+   */
   private takeCaughtUpShards(): string[] {
     const keys = [...this.shardsAheadOfWatch]
       .filter(([, writtenAt]) => writtenAt <= this.view.revision)
@@ -171,8 +175,10 @@
   }
 
   private async runBarrier(): Promise<void> {
-    const current = await this.client.currentRevision(REQUEST_PRIORITY.users);
-    if (!(await this.waitForRevision(current, MAX_WATCH_LAG_MS)))
-      throw new UnavailableError('the watch lags behind');
+    const currentRevision = await this.client.currentRevision(REQUEST_PRIORITY.users);
+    if (!(await this.waitForRevision(currentRevision, MAX_WATCH_LAG_MS)))
+      throw new UnavailableError(
+        `barrier: view at revision ${this.view.revision} after ${MAX_WATCH_LAG_MS} ms, expected ${currentRevision}`,
+      );
   }
 }
--- a/src/io/state/transaction-commit.ts
+++ b/src/io/state/transaction-commit.ts
@@ -11,37 +11,40 @@
 import type { StateWatcher } from './state-watcher.js';
 import { packTransactions } from './transaction-packing.js';
 
-/** How often a refused transaction is sent again before its plan is abandoned. */
+/** Maximum number of retries of a refused transaction, before the rest of the change sets is given up. */
 const MAX_RETRIES = 3;
 /**
- * Within this time of the service's last answer a refusal is attributed to the request budget rather than to an outage,
- * and the transaction is sent again.
+ * A refusal within this time of the state service's latest answer is attributed to the rate limit rather than to an
+ * outage, and the transaction is retried.
  */
 const REACHABLE_MS = 1000;
-/** How long the view may take to reach the revision at which guards failed. */
+/** Longest wait for the view to reach the revision at which guards failed. */
 const CONFLICT_VIEW_TIMEOUT_MS = 2000;
-/** How long one wait for the present revision takes; it is repeated. */
-const PRESENT_VIEW_TIMEOUT_MS = 5000;
-/** Pause between attempts to settle a transaction whose outcome is unknown. */
+/** Longest single wait for the view to reach the current revision; the wait is repeated until it has. */
+const CURRENT_VIEW_TIMEOUT_MS = 5000;
+/** Pause between attempts to settle a transaction with an unknown outcome. */
 const SETTLE_RETRY_MS = 200;
 
-/** What became of a transaction; `rejected`: malformed or above a limit, so that sending it again is pointless. */
+/**
+ * Outcome of a transaction. `conflict`: it was outdated, its guards failed, a lease is gone, or it was settled after an
+ * unknown outcome; `rejected`: it is malformed or above a limit, so that a retry is pointless.
+ */
 export type CommitOutcome = 'ok' | 'conflict' | 'refused' | 'rejected';
 
 /**
- * Commits change sets in order, as many to a transaction as fit. Returns false where not all were committed. An outdated
- * change set does not hold up those behind it, and a transaction refused for the budget is sent again rather than the plan
- * begun anew. Of a transaction that the service rejects each change set is sent alone, so that only the one at fault
- * fails. After `forMs` the rest is left out.
+ * Commits change sets in order, as many to a transaction as fit; returns false if a transaction was not committed or
+ * `timeLimitMs` has passed, after which the rest is left out. Outdated change sets are skipped and do not hold up those
+ * behind them. A transaction that the rate limit refuses is retried rather than planned again. Each change set of a
+ * rejected transaction is sent alone, so that only the one at fault fails.
  */
 export async function commitChangeSets(
   client: StateClient,
   watcher: StateWatcher,
   changeSets: readonly ChangeSet[],
   priority: RequestPriority,
-  forMs = Number.POSITIVE_INFINITY,
+  timeLimitMs = Number.POSITIVE_INFINITY,
 ): Promise<boolean> {
-  const deadline = client.clock.now() + forMs;
+  const deadline = client.clock.now() + timeLimitMs;
   let isComplete = true;
   for (const transaction of packTransactions(changeSets, [], client.limits, watcher.view)) {
     const outcome = await commitWithRetry(client, watcher, transaction, priority);
@@ -69,8 +72,9 @@
   );
 
 /**
- * Commits one transaction and returns only when its outcome is known. A transaction without an answer may still be
- * applied minutes later, so one of the keys that it is guarded on is rewritten: from then on its guards fail.
+ * Commits one transaction and resolves only once its outcome is known. A transaction without an answer may still be
+ * applied minutes later, so one of its guarded keys is rewritten: from then on its guards fail. Throws `InvariantError`
+ * if none of them can be rewritten.
  */
 export async function commit(
   client: StateClient,
@@ -99,8 +103,8 @@
 }
 
 /**
- * Settles a transaction of which no answer came: rewrites a key that it is guarded on, so that it either has been applied
- * or no longer can be, and waits until the view shows which.
+ * Settles a transaction without an answer: rewrites one of its guarded keys, so that it either has been applied or no
+ * longer can be, and waits until the view shows which. Callers plan again from that view, as after a conflict.
  */
 async function settleUnknown(
   client: StateClient,
@@ -108,53 +112,63 @@
   changeSet: ChangeSet,
   priority: RequestPriority,
 ): Promise<'conflict'> {
-  const pivot = choosePivot(client, watcher.view, changeSet);
+  const guard = chooseGuardToRewrite(client, watcher.view, changeSet);
   for (;;) {
-    const entry = watcher.view.entries.get(pivot.key);
-    // The view shows a newer version already: whatever can have been applied is in it, or soon will be.
-    if (entry === undefined || entry.version > pivot.version) return waitForPresentView(client, watcher);
-    if (entry.version === pivot.version) {
-      const operation = rewriteOf(pivot, entry.value);
-      const result = await client.transact({ guards: [pivot], operations: [operation] }, priority);
+    const entry = watcher.view.entries.get(guard.key);
+    // The key has changed or gone since, so that the transaction can no longer be applied. If it was, the view is about
+    // to show it.
+    if (entry === undefined || entry.version > guard.version) return waitForCurrentView(client, watcher);
+    if (entry.version === guard.version) {
+      const operation = rewriteOperation(guard, entry.value);
+      const result = await client.transact({ guards: [guard], operations: [operation] }, priority);
       if (result.kind === 'ok') watcher.applyCommitted([operation], result.revision);
       if (result.kind === 'ok' || result.kind === 'conflict' || result.kind === 'no_lease')
-        return waitForPresentView(client, watcher);
+        return waitForCurrentView(client, watcher);
     }
     await client.clock.sleep(SETTLE_RETRY_MS);
   }
 }
 
-/** Writes the same value again under a new version. */
-function rewriteOf({ key: pivotKey }: Guard, value: unknown): WriteOperation {
+/** A write of the same value under the same lease, which only gives the key a new version. */
+function rewriteOperation({ key: guardedKey }: Guard, value: unknown): WriteOperation {
   const { lease } = value as { lease?: number };
-  return { key: pivotKey, value, reason: 'settling', ...(lease === undefined ? {} : { lease }) };
+  return { key: guardedKey, value, reason: 'settling', ...(lease === undefined ? {} : { lease }) };
 }
 
 /**
- * The guarded key to rewrite after a transaction without an answer; preferably one that the transaction writes itself,
- * since the versions of the others matter to others. A value stored under a higher limit cannot be written again.
+ * The guard whose key is rewritten after a transaction without an answer: preferably of a key that the transaction
+ * itself writes, since a new version of another key fails the guards of other transactions; of the leader's key only if
+ * there is no other. A value stored under a higher limit cannot be rewritten.
  */
-function choosePivot(client: StateClient, view: ClusterView, { guards, operations }: ChangeSet): Guard {
+function chooseGuardToRewrite(
+  client: StateClient,
+  view: ClusterView,
+  { guards, operations }: ChangeSet,
+): Guard {
   const isWithinLimit = (guard: Guard) =>
     jsonBytes(view.entries.get(guard.key)?.value ?? null) <= client.limits.valueBytes;
   const candidates = guards.filter((guard) => guard.version > 0 && isWithinLimit(guard));
-  const pivot =
+  const chosen =
     candidates.find((guard) => operations.some((operation) => operation.key === guard.key)) ??
     candidates.find((guard) => guard.key !== key.leader) ??
     candidates[0];
-  if (pivot === undefined) throw new InvariantError('a transaction must be guarded on a key that exists');
-  return pivot;
+  if (chosen === undefined)
+    throw new InvariantError(
+      `cannot settle a transaction without an answer: expected a guarded key with a value of at most ` +
+        `${client.limits.valueBytes} bytes, got ${guards.map((guard) => guard.key).join(' ') || 'no guards'}`,
+    );
+  return chosen;
 }
 
 /**
- * Waits, however long it takes, until the view holds everything that was committed before the call. Continuing with an
- * older view could place a task a second time whose first placement is not in it yet.
+ * Waits without a time limit until the view has everything committed before the call: planning from an older view could
+ * place a task a second time whose first placement is not in the view yet.
  */
-async function waitForPresentView(client: StateClient, watcher: StateWatcher): Promise<'conflict'> {
+async function waitForCurrentView(client: StateClient, watcher: StateWatcher): Promise<'conflict'> {
   for (;;) {
     try {
       const revision = await client.currentRevision(REQUEST_PRIORITY.starts);
-      while (!(await watcher.waitForRevision(revision, PRESENT_VIEW_TIMEOUT_MS)));
+      while (!(await watcher.waitForRevision(revision, CURRENT_VIEW_TIMEOUT_MS)));
       return 'conflict';
     } catch (error) {
       if (!(error instanceof UnavailableError)) throw error;
--- a/src/io/state/transaction-packing.ts
+++ b/src/io/state/transaction-packing.ts
@@ -7,23 +7,24 @@
 import type { StateServiceLimits } from './state-client.js';
 import type { Guard, WriteOperation } from './state-messages.js';
 
-/** Size of a transaction as estimated here, below the service's limit of 64 KiB. */
+/** Maximum estimated size of a transaction, below the state service's limit of 64 KiB. */
 const MAX_TRANSACTION_BYTES = 60_000;
-/** Estimated size of a transaction's frame and of one guard. */
+/** Estimated sizes of a transaction without operations and guards, and of one guard. */
 const TRANSACTION_OVERHEAD_BYTES = 200;
 const GUARD_BYTES = 80;
 
-/** The limits that a transaction has to keep to. */
+/** The limits of the state service that apply to a single transaction. */
 export type TransactionLimits = Pick<StateServiceLimits, 'operationsPerTransaction' | 'valueBytes'>;
 
-/** A transaction and the change sets that it is made of. */
+/** The operations and guards of a transaction, and the change sets that it consists of. */
 export interface PackedTransaction extends ChangeSet {
   readonly changeSets: readonly ChangeSet[];
 }
 
 /**
- * Packs change sets into transactions, in order, as many to each as the limits allow. Each transaction is built only when
- * it is asked for, so that change sets that have become outdated in the meantime are left out.
+ * Packs change sets into transactions, in order, as many to each as the limits allow; `baseGuards` are added to each
+ * transaction. A transaction is built only when the generator is advanced, so that change sets that have become
+ * outdated in the meantime are left out.
  */
 export function* packTransactions(
   changeSets: readonly ChangeSet[],
@@ -44,7 +45,7 @@
   }
 }
 
-/** A transaction that is being filled. */
+/** Collects change sets for one transaction up to the limits. */
 class TransactionBuilder {
   private readonly operations: WriteOperation[] = [];
   private readonly changeSets: ChangeSet[] = [];
@@ -63,7 +64,7 @@
     return this.operations.length === 0;
   }
 
-  /** Adds the change set unless it exceeds a limit; the first one is always taken. */
+  /** Adds a change set unless that exceeds a limit; the first one is always added. Returns whether it was added. */
   tryAdd(changeSet: ChangeSet): boolean {
     const bytes = JSON.stringify(changeSet.operations).length + GUARD_BYTES * changeSet.guards.length;
     if (!this.isEmpty && this.wouldExceedLimits(changeSet, bytes)) return false;
@@ -74,7 +75,7 @@
     return true;
   }
 
-  /** The transaction with all that was added. */
+  /** The transaction with all change sets added so far. */
   build(): PackedTransaction {
     return { operations: this.operations, guards: [...this.guards.values()], changeSets: this.changeSets };
   }
@@ -90,9 +91,9 @@
 }
 
 /**
- * The change set with values within the limit, or null where that is impossible: the service would reject it each time,
- * and everything behind it would wait. Only a value stored under a higher limit is that large; it is left as it is until
- * it shrinks.
+ * The change set with its values shrunk to the size limit, or null if one cannot be: the state service would reject the
+ * change set each time, and everything behind it would wait. Only a value stored under a higher limit is that large; it
+ * stays as it is until it shrinks.
  */
 function fitChangeSet(changeSet: ChangeSet, valueBytes: number): ChangeSet | null {
   const operations: WriteOperation[] = [];
