--- a/src/io/cloud/cloud-client.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -1,4 +1,4 @@
-/** The client of the cloud: machine types, rentals, returns and the list of machines, which lags behind. */
+/** The client of the cloud: lists machine types and machines, rents and releases machines. */
 import type { Clock } from '../../core/model/clock.js';
 import type { MachineName } from '../../core/model/ids.js';
 import type { MachineType, RentalRecord } from '../../core/model/machines.js';
@@ -17,17 +17,17 @@
 
 const TIMEOUT_MS = 5000;
 const MAX_QUEUED_REQUESTS = 50;
-/** The part of the cloud's rate that is used; the rest absorbs differences between clocks. */
+/** Fraction of the cloud's rate limit that is used; the rest absorbs clock drift. */
 const RATE_FRACTION = 0.9;
-/** Changes go before listings. */
+/** Rentals, releases and reads of machine types are granted before listings. */
 const CHANGE_PRIORITY: RequestPriority = 1;
 const LIST_PRIORITY: RequestPriority = 2;
 
-/** What the cloud answered to a rental. */
+/** Result of a rental request. */
 export type RentalResult =
   | { readonly kind: 'rented'; readonly machines: readonly MachineName[] }
   | { readonly kind: 'no_capacity' }
-  /** It may have been carried out: the same request must be sent again. */
+  /** No usable answer: the rental may have been carried out, and the same request must be sent again. */
   | { readonly kind: 'unknown' };
 
 interface CloudRequest {
@@ -37,7 +37,7 @@
   readonly priority: RequestPriority;
 }
 
-/** Sends requests to the cloud, within its rate. */
+/** Sends requests to the cloud, each once the rate limiter has granted it. */
 export class CloudClient {
   private readonly limiter: RateLimiter;
 
@@ -49,7 +49,7 @@
     const rate = requestsPerSecond * RATE_FRACTION;
     this.limiter = new RateLimiter({
       requestRates: { high: rate, low: rate },
-      // Requests to the cloud count as requests only: no changes are ever acquired.
+      // The cloud limits requests only: no writes are ever acquired.
       writeRates: { high: 1, low: 1 },
       maxQueued: MAX_QUEUED_REQUESTS,
       maxBorrowFactor: 1,
@@ -57,13 +57,13 @@
     });
   }
 
-  /** The machine types; null where no usable answer came. Throws `ProtocolError` on a malformed one. */
+  /** Reads the machine types; null if no answer with status 200 came. Throws `ProtocolError` on a malformed body. */
   async types(): Promise<MachineType[] | null> {
     const response = await this.call({ method: 'GET', path: paths.types, priority: CHANGE_PRIORITY });
     return response?.status === 200 ? typesFromWire(response.body) : null;
   }
 
-  /** Rents machines; the cloud recognises a repeated request by the rental's name. */
+  /** Rents one machine for each owner of the rental; idempotent, as the cloud identifies a rental by its name. */
   async rent(rental: RentalRecord): Promise<RentalResult> {
     const body = rentalToWire({ ...rental, count: rental.owners.length });
     const response = await this.call({
@@ -76,7 +76,7 @@
     return { kind: isCapacityRefusal(response) ? 'no_capacity' : 'unknown' };
   }
 
-  /** Returns machines. True: the machines and everything on them are gone. */
+  /** Releases machines to the cloud. True: they and everything on them are gone; false: they may still exist. */
   async release(names: readonly MachineName[]): Promise<boolean> {
     const body = releaseToWire(names);
     const response = await this.call({
@@ -88,7 +88,10 @@
     return response?.status === 200;
   }
 
-  /** All machines, page by page; null where a page could not be read. Throws `ProtocolError` on a malformed one. */
+  /**
+   * Lists all machines, page by page; the list lags behind rentals and releases. Null if a page could not be read.
+   * Throws `ProtocolError` on a malformed page.
+   */
   async list(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let after: string | null = null;
@@ -103,7 +106,7 @@
     }
   }
 
-  /** Null: no answer, or the queue is full. */
+  /** Sends a request; null if no response came, its body is not JSON, or the queue is full. */
   private async call({ method, path, body, priority }: CloudRequest): Promise<HttpResponse | null> {
     if (!(await this.limiter.acquire(priority, 0))) return null;
     try {
@@ -116,7 +119,7 @@
   }
 }
 
-/** An outage has status 503, too; only the body tells it from a lack of capacity. */
+/** Whether the cloud refused a rental. An outage is a 503, too; only the body tells it from a lack of capacity. */
 function isCapacityRefusal(response: HttpResponse | null): boolean {
   if (response?.status === 400) return true;
   return response?.status === 503 && JSON.stringify(response.body ?? '').includes('no capacity');
--- a/src/io/cloud/cloud-messages.ts
+++ b/src/io/cloud/cloud-messages.ts
@@ -1,4 +1,4 @@
-/** Requests to the cloud and its answers: the protocol's field names, mapped to those of the core. */
+/** Encodes requests to the cloud and decodes its answers: maps the protocol's field names to those of the core. */
 import {
   machineName,
   typeName,
@@ -12,7 +12,7 @@
 import { isObject, type Json } from '../json.js';
 import { ProtocolError } from '../protocol-error.js';
 
-/** Machines on one page of the list. */
+/** Maximum number of machines on one page of the list. */
 const PAGE_SIZE = 500;
 
 /** A machine as the cloud lists it. */
@@ -21,13 +21,20 @@
   readonly type: TypeName;
   readonly zone: Zone;
   readonly spot: boolean;
+  /** `booting` for a machine that the cloud calls `starting`; its other values are unchanged. */
   readonly state: string;
+  /** Seconds since the rental. */
   readonly ageS: number;
 }
 
-/** The machine types of the cloud's answer. Throws `ProtocolError` where it has none. */
+/** Decodes a list of machine types. Throws `ProtocolError` if the body has no list. */
 export function typesFromWire(body: unknown): MachineType[] {
-  if (!isObject(body) || !Array.isArray(body['flavors'])) throw new ProtocolError('machine types: no list');
+  if (!isObject(body) || !Array.isArray(body['flavors'])) {
+    const received = isObject(body)
+      ? `an object with the fields ${Object.keys(body).join(' ')}`
+      : typeof body;
+    throw new ProtocolError(`machine types: expected an array 'flavors' from the cloud, got ${received}`);
+  }
   return (body['flavors'] as Json[]).map((type) => ({
     name: typeName(String(type['label'])),
     capacity: capacityVector(Number(type['vcpus']), Number(type['memoryGb']), Number(type['cards'] ?? 0)),
@@ -40,7 +47,7 @@
   }));
 }
 
-/** The body of a rental request. */
+/** Encodes the body of a rental request for `count` machines. */
 export const rentalToWire = (rental: {
   name: string;
   type: TypeName;
@@ -55,19 +62,25 @@
   howMany: rental.count,
 });
 
-/** The machines of the answer to a rental. */
+/** Decodes the names of the rented machines; empty if the answer has none. */
 export const rentedFromWire = (body: unknown): MachineName[] =>
   isObject(body) && Array.isArray(body['tellers']) ? (body['tellers'] as string[]).map(machineName) : [];
 
-/** The body of a request to return machines. */
+/** Encodes the body of a request to release machines. */
 export const releaseToWire = (names: readonly MachineName[]) => ({ tellers: names });
 
-/** The query for a page of the machine list. */
+/** The query string for a page of the machine list, after the machine `after` (null: the first page). */
 export const listQuery = (after: string | null): string =>
   `?most=${PAGE_SIZE}${after === null ? '' : `&from=${encodeURIComponent(after)}`}`;
-/** A page of the machine list. Throws `ProtocolError` where it has none. */
+
+/** Decodes a page of the machine list. Throws `ProtocolError` if the body has no list. */
 export function listFromWire(body: unknown): { machines: ListedMachine[]; hasMore: boolean } {
-  if (!isObject(body) || !Array.isArray(body['tellers'])) throw new ProtocolError('machine list: no list');
+  if (!isObject(body) || !Array.isArray(body['tellers'])) {
+    const received = isObject(body)
+      ? `an object with the fields ${Object.keys(body).join(' ')}`
+      : typeof body;
+    throw new ProtocolError(`machine list: expected an array 'tellers' from the cloud, got ${received}`);
+  }
   const machines = (body['tellers'] as Json[]).map((machine) => ({
     name: machineName(String(machine['nameId'])),
     type: typeName(String(machine['flavor'])),
--- a/src/io/peers/peer-frames.ts
+++ b/src/io/peers/peer-frames.ts
@@ -1,8 +1,8 @@
-/** Frames of the link between controllers: protobuf messages, each preceded by its length in four bytes, big-endian. */
+/** Frames between controllers: protobuf messages, each preceded by its length in bytes as a big-endian uint32. */
 import protobuf from 'protobufjs/light.js';
 import { ProtocolError } from '../protocol-error.js';
 
-/** The longest frame that is read, and the most that a server keeps unsent for one connection. */
+/** Maximum bytes of a received frame; a server drops answers to a connection with this many unsent bytes. */
 export const MAX_FRAME_BYTES = 64 * 1024;
 const LENGTH_BYTES = 4;
 
@@ -23,29 +23,31 @@
 });
 const FrameType = root.lookupType('Frame');
 
-/** A request, or the answer to the request with the same number. */
+/** A request (with a topic, for contact, else a cancellation), or the answer to the request with the same number. */
 export interface Frame {
+  /** Identifies a request on its connection. */
   number: number;
+  /** Whether this frame is an answer. */
   answer: boolean;
-  /** The job whose cancellation is forwarded. */
+  /** Id of the job whose cancellation a request forwards. */
   cancel: string;
-  /** What became of the cancellation. */
+  /** Outcome of a forwarded cancellation, in its answer; empty if it failed. */
   outcome: string;
-  /** Asks for, or tells of, contact to the state service. */
+  /** In a request: asks whether the receiver has contact to the state service. In the answer: whether it has. */
   contact: boolean;
-  /** The subject of a package's request; empty: none. */
+  /** Topic of a package's request; empty in all other frames. */
   topic: string;
-  /** The content of a package's request or answer. */
+  /** Content of a package's request or of the answer to it. */
   payload: Uint8Array;
 }
 
 /**
- * The fields that versions without topics always send. A field that is left out has its default at the receiver, but an
- * explicitly empty one changes the bytes on the wire.
+ * Default values of the fields that versions without topics always send. Left out, a field has the same value at the
+ * receiver, but the frame's bytes differ from those of these versions.
  */
 export const EMPTY_FRAME = { answer: false, cancel: '', outcome: '', contact: false };
 
-/** The bytes of a frame, with its length. */
+/** Encodes a frame, preceded by its length. */
 export function encodeFrame(frame: Partial<Frame>): Buffer {
   const body = FrameType.encode(FrameType.create(frame)).finish();
   const bytes = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -54,14 +56,15 @@
   return bytes;
 }
 
-/** Splits a connection's bytes into frames. Throws `ProtocolError` on one that is too long, or protobuf's error. */
+/** Decodes the frames of a connection. Throws `ProtocolError` on a frame that is too long, or protobuf's errors. */
 export async function* readFrames(socket: AsyncIterable<Buffer>): AsyncGenerator<Frame> {
   let buffered: Buffer = Buffer.alloc(0);
   for await (const chunk of socket) {
     buffered = buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
     while (buffered.length >= LENGTH_BYTES) {
       const bodyBytes = buffered.readUInt32BE(0);
-      if (bodyBytes > MAX_FRAME_BYTES) throw new ProtocolError(`frame of ${bodyBytes} bytes`);
+      if (bodyBytes > MAX_FRAME_BYTES)
+        throw new ProtocolError(`received frame of ${bodyBytes} bytes, expected at most ${MAX_FRAME_BYTES}`);
       const frameBytes = LENGTH_BYTES + bodyBytes;
       if (buffered.length < frameBytes) break;
       yield FrameType.decode(buffered.subarray(LENGTH_BYTES, frameBytes)) as unknown as Frame;
--- a/src/io/peers/peer-server.ts
+++ b/src/io/peers/peer-server.ts
@@ -1,14 +1,14 @@
-/** Answers the other controllers on plain sockets. */
+/** The server side of the connections between controllers. */
 import net from 'node:net';
 import { EMPTY_FRAME, MAX_FRAME_BYTES, encodeFrame, readFrames, type Frame } from './peer-frames.js';
 
-/** What a peer server answers with, and its limit. */
+/** Handlers of requests, and the connection limit of a peer server. */
 export interface PeerServerOptions {
-  /** Accepts a forwarded cancellation and returns the outcome that the peer is told. */
+  /** Handles a forwarded cancellation of a job; resolves to the outcome that is sent back. */
   readonly onCancellation: (job: string) => Promise<string>;
-  /** Whether this controller has contact to the state service. */
+  /** Returns whether this controller has contact to the state service. */
   readonly hasStateContact: () => boolean;
-  /** Answers a package's request; null where no package does. `from` is the sender's IP address. */
+  /** Handles a package's request; resolves to null if no package knows the topic. `from` is the sender's IP address. */
   readonly onTopic?: (topic: string, payload: Uint8Array, from: string) => Promise<Uint8Array | null>;
   readonly maxConnections: number;
 }
@@ -23,7 +23,7 @@
     this.server.maxConnections = options.maxConnections;
   }
 
-  /** Resolves once the server listens; rejects where it cannot. */
+  /** Resolves once the server listens; rejects with Node's error if it cannot. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -44,7 +44,7 @@
     try {
       for await (const frame of readFrames(socket)) if (!frame.answer) this.answer(frame, socket);
     } catch {
-      // A broken connection or frame ends this connection only.
+      // The connection broke or a frame was malformed; the other connections are not affected.
     } finally {
       this.sockets.delete(socket);
       socket.destroy();
--- a/src/io/peers/peer.ts
+++ b/src/io/peers/peer.ts
@@ -1,11 +1,11 @@
-/** Another controller, as the rest of the program calls it. */
+/** The interface through which a controller calls another one. */
 
-/** Another controller; the link to it only makes things faster, and nothing depends on it. */
+/** Another controller. Calls to it only save time: correctness depends on none of its answers. */
 export interface Peer {
-  /** Forwards a cancellation; the peer's answer, or null where none came in time. */
+  /** Forwards the cancellation of a job; resolves to the peer's outcome, or to null if no answer came in time. */
   cancel(job: string, timeoutMs: number): Promise<string | null>;
-  /** Whether the peer has contact to the state service; null where it does not answer. */
+  /** Asks whether the peer has contact to the state service; resolves to null if no answer came in time. */
   contact(timeoutMs: number): Promise<boolean | null>;
-  /** The answer to a package's request, or null where none came in time or the peer does not know the topic. */
+  /** Sends a package's request; resolves to the answer, or to null if none came in time or the peer has none. */
   ask(topic: string, payload: Uint8Array, timeoutMs: number): Promise<Uint8Array | null>;
 }
