--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -1,19 +1,18 @@
-/**
- * A JSON client over undici for the cloud and the state service: a deadline on each request and a bound on sockets.
- */
+/** A JSON client over undici for the cloud and the state service, with a timeout per request and a bounded pool. */
 import { Pool } from 'undici';
 import { CodedError } from '../core/errors.js';
 
 const CONNECT_TIMEOUT_MS = 1500;
 const KEEP_ALIVE_MS = 60_000;
 
-/** A response. */
+/** An HTTP response. */
 export interface HttpResponse {
   readonly status: number;
+  /** The parsed JSON; null if the body is empty. */
   readonly body: unknown;
 }
 
-/** A request without an answer in time: it may or may not have been carried out. */
+/** No response came in time: the request may or may not have been carried out. */
 export class TimeoutError extends CodedError {
   readonly code = 'timeout';
 }
@@ -21,13 +20,16 @@
 /** The HTTP methods in use. */
 export type Method = 'GET' | 'POST' | 'DELETE';
 
-/** Sends requests to one server. */
+/** Sends HTTP requests to one server. */
 export interface Transport {
-  /** Throws when no answer came: the request may or may not have been carried out. */
+  /**
+   * Sends a request with `body` as JSON (undefined: no body). Throws if no response came within `timeoutMs` or its body
+   * is not JSON: the request may or may not have been carried out.
+   */
   request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse>;
 }
 
-/** A pool of connections to one server. */
+/** A transport with a pool of connections to one server. */
 export class HttpClient implements Transport {
   private readonly pool: Pool;
 
@@ -36,18 +38,18 @@
       connections,
       pipelining: 1,
       connectTimeout: CONNECT_TIMEOUT_MS,
-      // Deadlines are set per request by a signal; the client's own coarse ones stay off.
+      // An abort signal limits the time of each request; undici's own timeouts are coarse and stay off.
       headersTimeout: 0,
       bodyTimeout: 0,
       keepAliveTimeout: KEEP_ALIVE_MS,
     });
   }
 
-  /** See `Transport`. Throws where no answer came within the timeout. */
+  /** Implements `Transport.request`. Throws `TimeoutError`, undici's errors, or `SyntaxError` on a malformed body. */
   async request(method: Method, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
     const abort = new AbortController();
     const timer = setTimeout(() => {
-      abort.abort(new TimeoutError('deadline'));
+      abort.abort(new TimeoutError(`no response to ${method} ${path} within ${timeoutMs} ms`));
     }, timeoutMs);
     try {
       const response = await this.pool.request({
@@ -65,7 +67,7 @@
     }
   }
 
-  /** Closes all connections; requests under way fail. */
+  /** Closes all connections; requests in flight fail. */
   close(): Promise<void> {
     return this.pool.destroy();
   }
--- a/src/io/paths.ts
+++ b/src/io/paths.ts
@@ -1,6 +1,6 @@
-/** HTTP paths of all requests, and the largest body accepted. */
+/** HTTP paths of users, agents, the cloud and the state service, and the size limit of request bodies. */
 
-/** Paths of all requests. */
+/** HTTP paths, those served by a controller and those that it requests. */
 export const paths = {
   jobs: '/v1/jobs',
   job: '/v1/jobs/:id',
@@ -20,5 +20,5 @@
   leases: '/grants',
   watch: '/follow',
 };
-/** The largest body of a request. */
+/** Maximum size in bytes of the body of a request to a controller. */
 export const BODY_LIMIT = 64 * 1024;
--- a/src/io/protocol-error.ts
+++ b/src/io/protocol-error.ts
@@ -1,7 +1,7 @@
-/** Answers of other services that do not follow their protocol. */
+/** The error for messages of other programs that violate their protocol. */
 import { CodedError } from '../core/errors.js';
 
-/** An answer that its protocol does not allow: a malformed body or an unexpected status. */
+/** A received message violates its protocol, by a malformed body, an unexpected status or a frame that is too long. */
 export class ProtocolError extends CodedError {
   readonly code = 'protocol_violated';
 }
--- a/src/io/rate-limiter.ts
+++ b/src/io/rate-limiter.ts
@@ -1,14 +1,14 @@
 /**
- * Keeps this process within its share of a budget of requests and changes. Waiting requests are granted by priority, then
- * by age; the queue is bounded, and what does not fit is refused at once.
+ * Keeps this process within its share of the rate limits on requests and writes. Queued requests are granted by
+ * priority, then in order of arrival; when the queue is full, further requests are refused at once.
  */
 import type { Clock } from '../core/model/clock.js';
 import type { MonotonicMs } from '../core/model/time.js';
 import { TokenBucket, type RateRange } from './token-bucket.js';
 
-/** The lower, the sooner a request is granted. */
+/** Priority of a request: lower numbers are granted first. Priority 0 is queued even if the queue is full. */
 export type RequestPriority = 0 | 1 | 2 | 3;
-/** Sessions and leadership; what users' requests wait for; results of ended tasks; starts. */
+/** Priorities: sessions and leadership, requests that users wait for, results of ended tasks, starts of tasks. */
 export const REQUEST_PRIORITY: Record<'session' | 'users' | 'results' | 'starts', RequestPriority> = {
   session: 0,
   users: 1,
@@ -16,21 +16,21 @@
   starts: 3,
 };
 
-/** For this time after a refusal the whole budget counts as short. */
-const SHORTAGE_MS = 5000;
-/** The shortest time until the queue is looked at again. */
+/** For this time after a refused write the write limit of all processes counts as exhausted. */
+const RECENT_REFUSAL_MS = 5000;
+/** Shortest delay before the queue is checked again. */
 const MIN_RETRY_MS = 2;
-/** Shortfalls up to this many seconds are rounding errors. */
+/** A shortfall of up to this many seconds is a rounding error and counts as none. */
 const ROUNDING_TOLERANCE_S = 1e-9;
 
-/** What a rate limiter keeps to. */
+/** Rates, queue length and clock of a rate limiter. */
 export interface RateLimiterOptions {
   /** Requests per second. */
   readonly requestRates: RateRange;
-  /** Changes per second. */
+  /** Writes per second. */
   readonly writeRates: RateRange;
   readonly maxQueued: number;
-  /** How many times its share of the changes this process may use while nothing is refused. */
+  /** Maximum multiple of its share of writes that this process may use while nothing is refused. */
   readonly maxBorrowFactor: number;
   readonly clock: Clock;
 }
@@ -41,7 +41,7 @@
   readonly resolve: (isGranted: boolean) => void;
 }
 
-/** Grants requests and changes within this process's share of the budget, in order of priority. */
+/** Grants requests and their writes within this process's share of the rate limits, in order of priority. */
 export class RateLimiter {
   private readonly requestBucket: TokenBucket;
   private readonly writeBucket: TokenBucket;
@@ -49,7 +49,7 @@
   private readonly clock: Clock;
   private readonly queue: QueuedRequest[] = [];
   private refilledAt: MonotonicMs;
-  private writesExhaustedAt = Number.NEGATIVE_INFINITY;
+  private writesRefusedAt = Number.NEGATIVE_INFINITY;
   private cancelRetry: () => void = () => undefined;
 
   constructor({ requestRates, writeRates, maxQueued, maxBorrowFactor, clock }: RateLimiterOptions) {
@@ -60,7 +60,10 @@
     this.refilledAt = clock.now();
   }
 
-  /** Waits for one request with so many changes; resolves to false at once where the queue is full. */
+  /**
+   * Resolves to true once one request with so many writes may be sent, or to false at once if the queue is full and the
+   * priority is not 0.
+   */
   acquire(priority: RequestPriority, writes: number): Promise<boolean> {
     if (this.queue.length >= this.maxQueued && priority > 0) return Promise.resolve(false);
     return new Promise((resolve) => {
@@ -72,35 +75,37 @@
   }
 
   /**
-   * Nothing waits, at least half of the changes of a second are left, and no changes were refused recently: a process
-   * that has little to write itself may still compete with others for the budget.
+   * Whether writes that can wait may be sent: the queue is empty, at least half a second's writes are left, and no
+   * write was refused recently. A refusal shows that other processes need the limit, even if this one writes little.
    */
   get isIdle(): boolean {
     this.refill();
-    const isShort = this.refilledAt - this.writesExhaustedAt < SHORTAGE_MS;
-    return this.queue.length === 0 && this.writeBucket.tokens >= this.writeBucket.rate / 2 && !isShort;
+    const wasRecentlyRefused = this.refilledAt - this.writesRefusedAt < RECENT_REFUSAL_MS;
+    return (
+      this.queue.length === 0 && this.writeBucket.tokens >= this.writeBucket.rate / 2 && !wasRecentlyRefused
+    );
   }
 
-  /** How many changes this process can make within the time at the present rate. */
+  /** How many writes this process can make within `ms` milliseconds at its present rate. */
   writesWithin(ms: number): number {
     this.refill();
     return Math.max(0, Math.floor(this.writeBucket.tokens + (this.writeBucket.borrowedRate * ms) / 1000));
   }
 
-  /** Returns changes that were granted and not made. */
+  /** Gives back writes that were granted but not sent. */
   refund(writes: number): void {
     this.writeBucket.tokens += writes;
     this.grantQueued();
   }
 
-  /** The service said that its budget is spent: that of changes if the refused request had any, else that of requests. */
+  /** Records a refusal (429): for the write limit if the refused request had writes, else for the request limit. */
   noteExhausted(writes: number): void {
     this.refill();
     if (writes === 0) {
       this.requestBucket.noteExhausted();
       return;
     }
-    this.writesExhaustedAt = this.refilledAt;
+    this.writesRefusedAt = this.refilledAt;
     this.writeBucket.noteExhausted();
   }
 
@@ -133,15 +138,15 @@
   }
 
   /**
-   * Seconds until the request can be granted. A transaction larger than the bucket is granted once the bucket is full;
-   * the debt is paid off afterwards.
+   * Seconds until the request can be granted. A transaction with more writes than the bucket holds is granted once the
+   * bucket is full, and leaves it negative.
    */
   private shortfallOf({ writes }: QueuedRequest): number {
     const neededWrites = Math.min(writes, this.writeBucket.rate);
     return Math.max(this.requestBucket.secondsUntil(1), this.writeBucket.secondsUntil(neededWrites));
   }
 
-  /** Grants the first queued request without changes: it need not wait for the changes that the first in line needs. */
+  /** Grants the first queued request without writes: it does not wait for the writes of requests ahead of it. */
   private grantQueuedRead(): boolean {
     if (this.requestBucket.tokens < 1) return false;
     const position = this.queue.findIndex(({ writes }) => writes === 0);
--- a/src/io/token-bucket.ts
+++ b/src/io/token-bucket.ts
@@ -1,51 +1,53 @@
-/** A token bucket whose rate adapts to the refusals of the service that it protects. */
+/** A token bucket whose rate adapts to refusals by the service whose limit it keeps. */
 
-/** After a refusal, the part of the usual rate that is regained per second. */
+/** Fraction of the usual rate that is restored per second after a refusal. */
 const RATE_RECOVERY_PER_SECOND = 0.005;
-/** The factor by which a refused rate is reduced. */
+/** Factor by which a refusal reduces the rate. */
 const RATE_REDUCTION = 0.8;
-/** The part of the largest borrow factor that is regained per second. */
+/** Fraction of the maximum borrow factor that is restored per second. */
 const BORROW_RECOVERY_PER_SECOND = 0.1;
-/** Up to this borrow factor a refusal means that the whole budget has shrunk, not that too much was borrowed. */
+/** Up to this borrow factor a refusal is attributed to a lowered limit of the service, not to borrowing too much. */
 const MAX_UNBORROWED_FACTOR = 1.1;
 
-/** What the service usually allows this process per second, and what that may fall to without notice. */
+/** This process's share of a rate limit, in tokens per second. */
 export interface RateRange {
+  /** The usual rate. */
   readonly high: number;
+  /** What the rate may fall to without notice. */
   readonly low: number;
 }
 
 /**
- * Holds at most one second's worth of tokens. The rate stays within its range: a refusal lowers it, time restores it.
- * Other processes seldom use their share of the budget, so that this one borrows from it step by step until the service
- * refuses something.
+ * A token bucket that holds at most the tokens of one second. A refusal lowers the rate within its range; it recovers
+ * over time. Other processes seldom use their shares of the limit, so that this one borrows from them, gradually more
+ * until the service refuses a request.
  */
 export class TokenBucket {
-  /** Negative while a debt is paid off. */
+  /** Available tokens; negative after a grant of more than the bucket holds, until refilled. */
   tokens: number;
-  /** Tokens per second of this process's own share, as the latest refusals suggest it. */
+  /** Tokens per second of this process's own share, lowered by recent refusals; excludes borrowing. */
   rate: number;
   private borrowFactor = 1;
 
   constructor(
     private readonly range: RateRange,
-    /** How many times its own rate this process may use while nothing is refused. */
+    /** Maximum multiple of its own rate that this process may use while nothing is refused. */
     private readonly maxBorrowFactor: number,
   ) {
     this.tokens = this.rate = range.high;
   }
 
-  /** Tokens per second, including what is borrowed. */
+  /** Tokens per second, including borrowed ones. */
   get borrowedRate(): number {
     return this.rate * this.borrowFactor;
   }
 
-  /** Seconds until the bucket holds the amount; not above 0 when it does already. */
+  /** Seconds until the bucket holds `amount` tokens; 0 or negative if it does already. */
   secondsUntil(amount: number): number {
     return (amount - this.tokens) / this.borrowedRate;
   }
 
-  /** Adds what the time has earned, up to the size of the bucket. */
+  /** Restores the rate and the borrow factor, and adds the tokens of `seconds` up to the size of the bucket. */
   refill(seconds: number): void {
     this.rate = Math.min(this.range.high, this.rate + this.range.high * RATE_RECOVERY_PER_SECOND * seconds);
     const regained = seconds * BORROW_RECOVERY_PER_SECOND * this.maxBorrowFactor;
@@ -54,7 +56,7 @@
     this.tokens = Math.min(rate, this.tokens + seconds * rate);
   }
 
-  /** The service has refused a request because the budget was spent. */
+  /** Records a refusal: empties the bucket, resets borrowing, and lowers the rate if little was borrowed. */
   noteExhausted(): void {
     if (this.borrowFactor <= MAX_UNBORROWED_FACTOR)
       this.rate = Math.max(this.range.low, this.rate * RATE_REDUCTION);
