--- a/src/io/agents/agent-client.ts
+++ b/src/io/agents/agent-client.ts
@@ -1,6 +1,6 @@
 /**
- * Direct messages to agents. Only fencing tokens (without commands) and stop commands are sent this way, since a message may
- * be carried out minutes late.
+ * Direct messages to agents. Only fencing tokens (without commands) and stop commands are sent this way,
+ * since an agent may carry out a message minutes after it was sent.
  */
 import { Agent, request } from 'undici';
 import type { AgentCommand, Heartbeat } from '../../core/model/heartbeats.js';
@@ -8,14 +8,17 @@
 import { paths } from '../paths.js';
 import { directCommandsToWire, heartbeatFromWire } from './agent-messages.js';
 
-/** Longest time for a connection, and for an answer. */
+/** Time-out of a connection attempt, and of a whole request. */
 const TIMEOUT_MS = 1500;
-/** Idle connections are closed early: there are far more agents than connections. */
+/** Idle time after which a connection is closed: short, since there are far more agents than connections. */
 const KEEP_ALIVE_MS = 2000;
 
 /** Sends direct messages to agents. */
 export interface AgentGateway {
-  /** The agent's heartbeat after the commands, or null where no answer came or too many messages are under way. */
+  /**
+   * Sends a token and commands to the agent at `address`. Returns the agent's answer, its heartbeat after the commands;
+   * null if no valid heartbeat came within the time-out, or if too many messages were in flight to send it.
+   */
   sendCommands(
     address: string,
     token: FencingToken,
@@ -24,7 +27,7 @@
   ): Promise<Heartbeat | null>;
 }
 
-/** Direct messages over HTTP, with a bounded number under way. */
+/** Sends direct messages over HTTP, with a bounded number in flight. */
 export class AgentClient implements AgentGateway {
   private readonly agent = new Agent({
     connections: 1,
@@ -38,7 +41,7 @@
 
   constructor(private readonly maxInFlight: number) {}
 
-  /** See `AgentGateway`; gives null at once where too many requests are under way. */
+  /** See `AgentGateway`. Returns null at once if `address` is empty or `maxInFlight` messages are in flight. */
   async sendCommands(
     address: string,
     token: FencingToken,
--- a/src/io/agents/agent-messages.ts
+++ b/src/io/agents/agent-messages.ts
@@ -1,4 +1,4 @@
-/** Agents' heartbeats and the commands to them: the protocol's field names, mapped to those of the core. */
+/** JSON bodies of agents' heartbeats and of commands to agents: maps their field names to those of the core. */
 import type {
   AgentCommand,
   ExitReason,
@@ -19,7 +19,7 @@
 } from '../../core/model/ids.js';
 import { isCount, isObject, type Json } from '../json.js';
 
-/** No message may exceed 64 KiB; commands beyond this number wait for the next heartbeat. */
+/** Commands per message, so that no message exceeds 64 KiB; further commands wait for the next heartbeat. */
 const MAX_COMMANDS = 400;
 const MACHINE_NAME_PATTERN = /^[\w.:-]{1,150}$/;
 
@@ -42,17 +42,17 @@
 ]);
 const COMMAND_TO_WIRE = { start: 'run', stop: 'stop', forget: 'forget' };
 
-/** A heartbeat; null where the body is none. */
+/** Converts a request or response body to a heartbeat; null if it is malformed. */
 export function heartbeatFromWire(body: unknown): Heartbeat | null {
   if (!isObject(body)) return null;
   const machine = machineFromWire(body);
-  const order = orderFromWire(body);
+  const sequencing = sequencingFromWire(body);
   const tasks = tasksFromWire(body['shards'] ?? []);
-  if (machine === null || order === null || tasks === null) return null;
+  if (machine === null || sequencing === null || tasks === null) return null;
   const notice = body['recallS'];
   return {
     ...machine,
-    ...order,
+    ...sequencing,
     preemptionNoticeS: typeof notice === 'number' ? notice : null,
     tasks,
   };
@@ -73,7 +73,10 @@
   };
 }
 
-function orderFromWire(body: Json): Pick<Heartbeat, 'agentEpoch' | 'sequence' | 'token'> | null {
+/**
+ * The fields that order the heartbeats of an agent and its commands: agent epoch, sequence number and fencing token.
+ */
+function sequencingFromWire(body: Json): Pick<Heartbeat, 'agentEpoch' | 'sequence' | 'token'> | null {
   const { shift, tally } = body;
   const mandate = body['mandate'] ?? 0;
   if (!isCount(shift) || !isCount(tally) || !isCount(mandate)) return null;
@@ -108,26 +111,26 @@
   };
 }
 
-/** A task's name: the id of its job, a slash, and its index. */
+/** Parses a task id (`JOB/INDEX`); null if it is malformed. */
 function taskIdFromWire(text: string): { job: JobId; index: TaskIndex } | null {
   const slash = text.lastIndexOf('/');
   const index = Number(text.slice(slash + 1));
   return slash > 0 && Number.isInteger(index) ? { job: jobId(text.slice(0, slash)), index } : null;
 }
 
-/** The commands in answer to a heartbeat. */
+/** The response body for a heartbeat: the fencing token and at most `MAX_COMMANDS` commands. */
 export function commandsToWire(token: FencingToken, commands: readonly AgentCommand[]) {
   return { mandate: token, orders: commands.slice(0, MAX_COMMANDS).map(commandToWire) };
 }
 
-/** The body of a direct message with commands to an agent. */
+/** The request body of a direct message to an agent; valid for the given agent epoch only. */
 export const directCommandsToWire = (
   token: FencingToken,
   agentEpoch: number,
   commands: readonly AgentCommand[],
 ) => ({ ...commandsToWire(token, commands), shift: agentEpoch });
 
-/** The answer to an agent that should send its heartbeats to another controller. */
+/** The response body that redirects an agent to the controller `node`, or to any other controller if null. */
 export const redirectToWire = (node: string | null) => (node === null ? {} : { answersTo: node });
 
 const commandToWire = (command: AgentCommand) => ({
--- a/src/io/users/agent-routes.ts
+++ b/src/io/users/agent-routes.ts
@@ -1,10 +1,13 @@
-/** The route for agents' heartbeats. */
+/** The HTTP route for the heartbeats of node agents. */
 import type { FastifyInstance } from 'fastify';
 import { commandsToWire, heartbeatFromWire, redirectToWire } from '../agents/agent-messages.js';
 import { paths } from '../paths.js';
 import type { HeartbeatHandler } from './http-api.js';
 
-/** Adds the route: answers with commands, or names the controller that answers instead. */
+/**
+ * Adds the heartbeat route. Answers 200 with the commands for the agent, 421 with the controller that the
+ * agent should turn to, 503 while this controller cannot answer, or 400 for a malformed heartbeat.
+ */
 export function serveHeartbeats(app: FastifyInstance, heartbeats: HeartbeatHandler): void {
   app.post(paths.heartbeat, async (request, reply) => {
     const heartbeat = heartbeatFromWire(request.body);
--- a/src/io/users/http-api.ts
+++ b/src/io/users/http-api.ts
@@ -1,13 +1,13 @@
-/** What the HTTP server serves: the interfaces that a controller implements for it. */
+/** The interfaces that a controller implements for the HTTP server. */
 import type { Heartbeat, HeartbeatReply } from '../../core/model/heartbeats.js';
 import type { JobId } from '../../core/model/ids.js';
 import type { CancellationResult, SubmissionResult } from '../../core/model/job-results.js';
 import type { JobSpec, JobStatus } from '../../core/model/jobs.js';
 
-/** Users' requests; each throws `UnavailableError` where it cannot be answered now. */
+/** Users' requests about jobs. Each method throws `UnavailableError` when the request cannot be answered at present. */
 export interface JobRequests {
   submit(spec: JobSpec): Promise<SubmissionResult>;
-  /** Undefined: never accepted. */
+  /** Returns the status of the job; undefined if no job with this id was ever accepted. */
   find(id: JobId): Promise<JobStatus | undefined>;
   cancel(id: JobId): Promise<CancellationResult>;
 }
@@ -17,16 +17,16 @@
   answer(heartbeat: Heartbeat): HeartbeatReply;
 }
 
-/** What a package answers to an operator's command. */
-export interface PackageCommandReply {
+/** A plugin's reply to an operator's command: HTTP status and JSON body. */
+export interface PluginCommandReply {
   readonly status: number;
   readonly body: object;
 }
 
-/** Operators' commands to packages, and the metrics of packages. */
-export interface PackageRequests {
-  /** Null: there is no such package or command. */
-  command(packageName: string, command: string, body: unknown): Promise<PackageCommandReply | null>;
-  /** In the text format of Prometheus. */
+/** Operators' requests to plugins: commands and metrics. */
+export interface PluginRequests {
+  /** Runs a plugin's command; null if the plugin or the command does not exist. */
+  command(pluginName: string, command: string, body: unknown): Promise<PluginCommandReply | null>;
+  /** Returns the metrics of all plugins in the Prometheus text format. */
   metrics(): Promise<string>;
 }
--- a/src/io/users/http-server.ts
+++ b/src/io/users/http-server.ts
@@ -1,17 +1,20 @@
-/** The HTTP server for users, agents, operators and the load balancer: parsing, errors and limits; the routes stand apart. */
+/**
+ * The HTTP server for users, agents, operators and the load balancer: body parsing, error responses and
+ * limits. The routes are defined in modules of their own.
+ */
 import fastify, { type FastifyInstance, type FastifyReply } from 'fastify';
 import type { Logger } from 'pino';
 import { CodedError, UnavailableError } from '../../core/errors.js';
 import { LOG_EVENT } from '../../core/log-events.js';
 import { BODY_LIMIT } from '../paths.js';
 import { serveHeartbeats } from './agent-routes.js';
-import type { HeartbeatHandler, JobRequests, PackageRequests } from './http-api.js';
-import { servePackages, serveStatus } from './operator-routes.js';
+import type { HeartbeatHandler, JobRequests, PluginRequests } from './http-api.js';
+import { servePlugins, serveStatus } from './operator-routes.js';
 import { serveJobs } from './user-routes.js';
 
 const KEEP_ALIVE_MS = 75_000;
 
-/** What the HTTP server serves, and its limits. */
+/** The request handlers of the HTTP server, and its limits. */
 export interface ServerOptions {
   readonly log: Logger;
   readonly jobs: JobRequests;
@@ -19,14 +22,14 @@
   readonly isHealthy: () => boolean;
   readonly status: () => object;
   readonly maxConnections: number;
-  /** Bounds of the adaptive limit on users' requests in progress. */
+  /** Lower and upper bound of the adaptive limits on users' requests in progress. */
   readonly minInProgress: number;
   readonly maxInProgress: number;
-  /** Commands and metrics of packages; none where no package is enabled. */
-  readonly packages?: PackageRequests;
+  /** Commands and metrics of plugins; absent if no plugin is enabled. */
+  readonly packages?: PluginRequests;
 }
 
-/** A request body that is not JSON. */
+/** Thrown for a request body that is not JSON; answered with 400. */
 class MalformedRequestError extends CodedError {
   readonly code = 'malformed_request';
 }
@@ -37,7 +40,7 @@
     bodyLimit: BODY_LIMIT,
     keepAliveTimeout: KEEP_ALIVE_MS,
     exposeHeadRoutes: false,
-    // A number in quotes is malformed, not a number.
+    // No type coercion: a number in quotes is rejected with 400, not read as a number.
     ajv: { customOptions: { coerceTypes: false, useDefaults: false, removeAdditional: false } },
   });
   app.server.maxConnections = options.maxConnections;
@@ -46,11 +49,11 @@
   serveJobs(app, options.jobs, { min: options.minInProgress, max: options.maxInProgress });
   serveHeartbeats(app, options.heartbeats);
   serveStatus(app, options);
-  if (options.packages !== undefined) servePackages(app, options.packages);
+  if (options.packages !== undefined) servePlugins(app, options.packages);
   return app;
 }
 
-/** Whatever content type a client names, its body is taken for JSON. */
+/** Parses every request body as JSON, whatever content type the client declares. An empty body is undefined. */
 function parseAllBodiesAsJson(app: FastifyInstance): void {
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'string' }, (_request, body, done) => {
--- a/src/io/users/job-messages.ts
+++ b/src/io/users/job-messages.ts
@@ -1,24 +1,24 @@
-/** Users' requests and answers: the protocol's field names, mapped to those of the core. */
+/** JSON bodies of users' requests and responses: maps the field names of the protocol to those of the core. */
 import { Type, type Static } from '@sinclair/typebox';
 import { jobId, teamName, typeName, zoneName, type JobId } from '../../core/model/ids.js';
 import type { JobKind, JobSpec, JobState, JobStatus, Priority } from '../../core/model/jobs.js';
 import { demandVector } from '../../core/model/resources.js';
 
-/** Job ids are part of keys, so that only this form is accepted. */
-const ID = '^wk-[A-Za-z0-9_.-]{1,100}$';
-const ID_PATTERN = new RegExp(ID);
-/** Longest list of dependencies in an answer. */
+/** The form of job ids. Ids become part of keys in the state service, hence no slashes or spaces. */
+const JOB_ID_PATTERN = '^wk-[A-Za-z0-9_.-]{1,100}$';
+const JOB_ID_REGEXP = new RegExp(JOB_ID_PATTERN);
+/** Maximum number of dependencies listed in the status of a job. */
 const MAX_LISTED_DEPENDENCIES = 100;
 
-/** Whether the text has the form of a job id. */
-export const isJobId = (text: string): boolean => ID_PATTERN.test(text);
+/** Tells whether a text has the form of a job id. */
+export const isJobId = (text: string): boolean => JOB_ID_REGEXP.test(text);
 
 const name = Type.String({ minLength: 1, maxLength: 200 });
 const amount = Type.Number({ minimum: 0, maximum: 1e9 });
 const flag = Type.Boolean();
-/** The body of a submission. */
-export const Submission = Type.Object({
-  nameId: Type.String({ pattern: ID }),
+/** JSON schema of the body of a submission. */
+export const SubmissionSchema = Type.Object({
+  nameId: Type.String({ pattern: JOB_ID_PATTERN }),
   workload: name,
   tenant: name,
   shape: Type.Union([Type.Literal('sweep'), Type.Literal('ensemble'), Type.Literal('daemon')]),
@@ -43,11 +43,11 @@
   snapshotEveryS: amount,
   snapshotS: amount,
   dueS: Type.Optional(Type.Union([Type.Null(), amount])),
-  awaits: Type.Optional(Type.Union([Type.Null(), Type.Array(Type.String({ pattern: ID }))])),
+  awaits: Type.Optional(Type.Union([Type.Null(), Type.Array(Type.String({ pattern: JOB_ID_PATTERN }))])),
 });
 
-/** A submission whose body has been checked against the schema. */
-export type SubmissionBody = Static<typeof Submission>;
+/** The body of a submission that has passed `SubmissionSchema`. */
+export type SubmissionBody = Static<typeof SubmissionSchema>;
 
 const KIND_FROM_WIRE: Record<SubmissionBody['shape'], JobKind> = {
   sweep: 'array',
@@ -73,7 +73,7 @@
   cancelled: 'withdrawn',
 };
 
-/** A submission as a job. */
+/** Converts the body of a submission to a job specification; duplicate dependencies are removed. */
 export function jobFromWire(body: SubmissionBody): JobSpec {
   const dependencies = [...new Set((body.awaits ?? []).map(jobId))];
   return {
@@ -99,15 +99,16 @@
   };
 }
 
-/** The answer to a submission or a cancellation. */
-export const acceptedToWire = (id: JobId, state: JobState) => ({
+/** The response body for an accepted submission or a completed cancellation. */
+export const jobStateToWire = (id: JobId, state: JobState) => ({
   nameId: id,
   standing: STATE_TO_WIRE[state],
 });
 
 /**
- * The answer to a lookup. Beside what the protocol asks for it shows what a job waits for, inherits, was cancelled with or
- * fails with.
+ * The response body for a job lookup. Beside the fields that the protocol requires it has, where they apply,
+ * the unfinished dependencies, the inherited priority and deadline, the job whose cancellation withdrew this
+ * one, and the latest failures.
  */
 export function statusToWire(id: JobId, job: JobStatus) {
   const { state, done, running, needs = [], because } = job;
