--- a/src/config/platform-settings.ts
+++ b/src/config/platform-settings.ts
@@ -1,6 +1,4 @@
-/**
- * The platform's settings file: unknown fields are ignored; a missing or invalid one is an error that names it.
- */
+/** The platform's settings file: unknown fields are ignored; a missing or invalid field is an error that names it. */
 import { Type, type Static, type TSchema } from '@sinclair/typebox';
 import { Ajv } from 'ajv';
 import { parse } from 'smol-toml';
@@ -12,10 +10,10 @@
 const text = Type.String({ minLength: 1, maxLength: 200 });
 const address = Type.String({ pattern: '^[0-9A-Za-z.-]+:[0-9]{1,5}$' });
 const positive = Type.Number({ exclusiveMinimum: 0 });
-const amount = Type.Number({ minimum: 0 });
-const whole = Type.Integer({ minimum: 1 });
+const nonNegative = Type.Number({ minimum: 0 });
+const positiveInteger = Type.Integer({ minimum: 1 });
 
-/** The platform's settings file; fields that are not named here are ignored. */
+/** JSON schema of the platform's settings file; fields that it does not define are ignored. */
 export const PlatformSettingsSchema = Type.Object({
   node: text,
   area: text,
@@ -24,19 +22,25 @@
   others: Type.Optional(Type.Array(Type.Object({ node: text, area: text, endpoint: address }))),
   outside: Type.Object({ cloud: address, state: address }),
   cluster: Type.Object({
-    count: whole,
+    count: positiveInteger,
     zones: Type.Array(text, { minItems: 1 }),
-    time_bound_ms: amount,
+    time_bound_ms: nonNegative,
     teams: Type.Array(
-      Type.Object({ name: text, cpus: amount, cpus_max: amount, gpus: amount, gpus_max: amount }),
+      Type.Object({
+        name: text,
+        cpus: nonNegative,
+        cpus_max: nonNegative,
+        gpus: nonNegative,
+        gpus_max: nonNegative,
+      }),
     ),
     objectives: Type.Optional(
       Type.Array(
         Type.Object({
           kind: text,
           class: Type.Optional(text),
-          within_s: Type.Optional(amount),
-          share: Type.Optional(amount),
+          within_s: Type.Optional(nonNegative),
+          share: Type.Optional(nonNegative),
         }),
       ),
     ),
@@ -51,30 +55,30 @@
       rps: positive,
       write_rps: positive,
       value_kb: positive,
-      txn_ops: whole,
-      /** Limits that will apply at some time without notice; those not named stay. */
+      txn_ops: positiveInteger,
+      /** Limits that replace those above at some time, without notice; a limit that is absent here does not change. */
       next: Type.Optional(
         Type.Object({
           rps: Type.Optional(positive),
           write_rps: Type.Optional(positive),
           value_kb: Type.Optional(positive),
-          txn_ops: Type.Optional(whole),
+          txn_ops: Type.Optional(positiveInteger),
         }),
       ),
     }),
-    cloud: Type.Object({ rps: positive, list_lag_s: amount }),
-    quota: Type.Object({ cpu: positive, ram_mb: positive, max_connections: whole }),
+    cloud: Type.Object({ rps: positive, list_lag_s: nonNegative }),
+    quota: Type.Object({ cpu: positive, ram_mb: positive, max_connections: positiveInteger }),
   }),
 });
-/** The platform's settings as they are written. */
+/** The content of the platform's settings file, under its own field names. */
 export type PlatformSettingsFile = Static<typeof PlatformSettingsSchema>;
 
-/** Settings that cannot be used; the message says what is wrong with them. */
+/** Thrown for settings that cannot be used; the message names the setting and says what is wrong with it. */
 export class SettingsError extends CodedError {
   readonly code = 'invalid_settings';
 }
 
-/** Fills in defaults; returns the first schema error as a line that names the field, or null. */
+/** Validates `value` and fills in its defaults. Returns the first error as `FIELD: REASON`; null if valid. */
 export function firstSchemaError(schema: TSchema, value: unknown): string | null {
   const validate = new Ajv({ useDefaults: true, strict: false }).compile(schema);
   if (validate(value)) return null;
@@ -88,7 +92,7 @@
   return `${field === '' ? 'the file' : field}: ${error?.message ?? 'invalid'}`;
 }
 
-/** Parses TOML. Throws `SettingsError`. */
+/** Parses TOML. Throws a `SettingsError` of one line, which starts with `path` if given. */
 export function parseToml(textOfFile: string, path?: string): unknown {
   try {
     return parse(textOfFile);
@@ -99,19 +103,24 @@
   }
 }
 
-/** The platform's settings as the program uses them. */
+/** The platform's settings under the names that the program uses. */
 export interface PlatformSettings {
   readonly node: ReturnType<typeof nodeName>;
   readonly zone: Zone;
+  /** Host and port to listen on for users, agents, operators and the load balancer. */
   readonly bind: string;
+  /** Host and port to listen on for other controllers. */
   readonly peerBind: string;
   readonly peers: readonly {
     readonly node: ReturnType<typeof nodeName>;
     readonly zone: Zone;
     readonly address: string;
   }[];
+  /** Host and port of the cloud. */
   readonly cloud: string;
+  /** Host and port of the state service. */
   readonly state: string;
+  /** Number of controllers, including this one. */
   readonly nodes: number;
   readonly zones: readonly Zone[];
   readonly teams: readonly Team[];
@@ -119,10 +128,11 @@
   readonly workers: PlatformSettingsFile['cluster']['workers'];
   readonly stateLimits: PlatformSettingsFile['cluster']['state'];
   readonly cloudLimits: PlatformSettingsFile['cluster']['cloud'];
+  /** Resource limits of this process. */
   readonly limits: PlatformSettingsFile['cluster']['quota'];
 }
 
-/** Reads the text of the platform's settings file. Throws `SettingsError`. */
+/** Parses the platform's settings file. Throws `SettingsError` if the text is not TOML or does not fit the schema. */
 export function readPlatformSettings(textOfFile: string): PlatformSettings {
   const raw = parseToml(textOfFile);
   const schemaError = firstSchemaError(PlatformSettingsSchema, raw);
@@ -152,7 +162,7 @@
   };
 }
 
-/** A limit of 0 in the file means that there is none. */
+/** Converts a team's settings; a limit of 0 in the file means no limit, which is null in `Team`. */
 function teamFromSettings(team: PlatformSettingsFile['cluster']['teams'][number]): Team {
   const limit = capacityVector(team.cpus_max, 0, team.gpus_max);
   return {
