--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -1,6 +1,7 @@
 /**
- * What a package may use of the service, and what the service asks of a package. Packages know this interface and types of
- * the core; nothing of the service knows a package.
+ * The interface between the service and its plugins. A plugin is built from a package under packages/ and
+ * enabled by a section `[packages.NAME]` of the operators' settings. Plugins depend on this interface and on
+ * types of the core; the service depends on no plugin.
  */
 import type { TSchema } from '@sinclair/typebox';
 import type { Logger } from 'pino';
@@ -21,80 +22,90 @@
 import type { MachineRecord } from '../core/model/machines.js';
 import type { ViewChanges } from '../core/state/view-changes.js';
 
-/** A shard as it is committed. */
+/** A shard's committed record. */
 export interface ShardFact {
   readonly name: NodeName;
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
-  /** The revision at which it got this holder: the fencing token of its machines. */
+  /** The revision at which the holder got the shard; it is the fencing token of the shard's machines. */
   readonly epoch: Version;
-  /** Whether the session of this life of the holder is there. */
+  /** Whether the holder has a session under this incarnation. */
   readonly hasSession: boolean;
 }
 
-/** A controller's session as it is committed. */
+/** The committed record of a controller's session. */
 export interface SessionFact {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
-  /** It gives up what it holds, and is given nothing. */
+  /** The controller gives up the shards that it holds and is assigned no others. */
   readonly isDraining: boolean;
 }
 
-/** What is committed, as this controller's view has it; to be read only. */
+/** Read access to the committed records in this controller's view. */
 export interface CommittedFacts {
-  /** The view holds a complete picture. */
+  /** Whether the view is complete. */
   readonly isReady: boolean;
   shards(): ShardFact[];
+  /** The shard of that name; null if it has no record. */
   shard(name: NodeName): ShardFact | null;
   sessions(): SessionFact[];
+  /** The machine of that name; null if it has no record. */
   machine(name: MachineName): MachineRecord | null;
   machinesOf(shard: NodeName): MachineRecord[];
   /** Whether the job is unfinished. */
   hasJob(job: JobId): boolean;
-  /** This process holds the shard, and its view has all that was committed before it acquired it. */
+  /**
+   * Whether this process holds the shard and its view contains everything that was committed before the acquisition.
+   */
   isHeldCompletely(shard: NodeName): boolean;
-  /** Nothing suggests that the state service is out of reach. */
+  /**
+   * Whether nothing since the state service's last answer indicates that it is unreachable, or that answer is recent.
+   */
   isStateReachable(withinMs: number): boolean;
+  /** Calls the listener after each change of the view. */
   subscribe(listener: (changes: ViewChanges) => void): void;
 }
 
-/** What became of an attempt to acquire or hand over a shard. */
+/** The outcome of an attempt to acquire or hand over shards. */
 export type ShardTransferOutcome =
   | { readonly kind: 'committed'; readonly revision: Revision }
-  /** Another controller has changed the shard or a session meanwhile. */
+  /** Another controller changed a shard or a session in the meantime. */
   | { readonly kind: 'overtaken' }
-  /** The state service did not answer, or this process has no session. The change may be applied yet. */
+  /** The state service did not answer, or this process has no session. The change may still be applied. */
   | { readonly kind: 'unavailable' };
 
-/** Changes the holders of shards, by guarded transactions only. */
+/** Changes the holders of shards, only in transactions that are guarded on the records as they were read. */
 export interface ShardControl {
-  /** Acquires the shard and ends the session of its holder in one transaction, unless something has changed meanwhile. */
+  /** Acquires the shard and ends its holder's session in one transaction; changes nothing if a record has changed. */
   failOver(shard: ShardFact): Promise<ShardTransferOutcome>;
-  /** Hands shards that this process holds over to a controller with a session, and acquires nothing for `drainForMs`. */
+  /**
+   * Hands shards that this process holds over to a controller that has a session, and acquires none for `drainForMs`.
+   */
   handOver(shards: readonly ShardFact[], to: NodeName, drainForMs: number): Promise<ShardTransferOutcome>;
 }
 
-/** Another controller. */
+/** Another controller of the cluster. */
 export interface PeerInfo {
   readonly node: NodeName;
   readonly zone: string;
-  /** Host and port of its link for controllers. */
+  /** Host and port at which it listens for other controllers. */
   readonly address: string;
 }
 
-/** Answers a question of another controller; null: not answered. `from` is the sender's IP address. */
+/** Handles another controller's request and returns the reply, null for none. `from` is the sender's IP address. */
 export type TopicHandler = (payload: Uint8Array, from: string) => Promise<Uint8Array | null>;
 
-/** Questions and answers between the packages of controllers. */
+/** Requests and replies between the plugins of different controllers. */
 export interface PeerChannel {
-  /** The answer, or null where none came in time or the peer does not know the topic. */
+  /** Sends a request. Returns the reply; null if none came in time or the peer has no handler for the topic. */
   ask(node: NodeName, topic: string, payload: Uint8Array, timeoutMs: number): Promise<Uint8Array | null>;
-  /** Whether the controller answers at all, of whatever version it is. */
+  /** Whether the controller answers within the time-out, also if its version has no such plugin. */
   isAnswering(node: NodeName, timeoutMs: number): Promise<boolean>;
+  /** Registers the handler for requests under a topic. */
   serve(topic: string, handler: TopicHandler): void;
 }
 
-/** What another controller has learned; it costs time where it is missing, and breaks nothing where it is wrong. */
+/** An observation of another controller. A missing hint costs time, and a wrong one breaks nothing. */
 export type Hint =
   | {
       readonly kind: 'agent';
@@ -114,78 +125,82 @@
     }
   | { readonly kind: 'task_ran'; readonly machine: MachineName; readonly run: TaskRun };
 
-/** The part of the service that a package may use. */
+/** The part of the service that a plugin may use. */
 export interface PluginServices {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
   readonly settings: PlatformSettings;
   readonly peers: readonly PeerInfo[];
   readonly clock: Clock;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniform in [0, 1). */
   readonly random: () => number;
   readonly log: Logger;
   readonly facts: CommittedFacts;
   readonly shardControl: ShardControl;
   readonly channel: PeerChannel;
-  /** Learns what another controller has learned. */
+  /** Applies an observation of another controller. */
   learn(hint: Hint): void;
+  /** Subscribes to the events of this controller. */
   onEvent(listener: EventListener): void;
-  /** Opens spans where a tracing package is enabled; see `Tracer`. */
+  /** Records spans through the tracing plugin; drops them if none is enabled. */
   readonly tracer: Tracer;
-  /** Makes this process's spans go to a tracing package. */
+  /** Sets the tracer to which the spans of this process are forwarded; called by a tracing plugin. */
   provideTracer(tracer: Tracer): void;
 }
 
-/** Where a span belongs, in the form of the W3C trace context; empty without tracing. */
+/** The context of a span as a W3C `traceparent` value; empty if there is no tracer. */
 export type TraceParent = string;
 
-/** Spans as packages record them: after the fact, with their times on the monotonic clock. */
+/** Records spans after they have ended, with times of the monotonic clock. */
 export interface Tracer {
   /** Records a span that has ended. */
   record(span: FinishedSpan): void;
-  /** A context for a span that is recorded later, so that others can name it as their parent before. */
+  /** Reserves a context for a span that is recorded later, so that others can refer to it as their parent before. */
   reserve(parent?: TraceParent): TraceParent;
 }
 
-/** A span with its times on the monotonic clock. */
+/** A span that has ended, with its times on the monotonic clock. */
 export interface FinishedSpan {
   readonly name: string;
   readonly startMs: number;
   readonly endMs: number;
   readonly parent?: TraceParent | undefined;
-  /** The context that was reserved for it, if one was. */
+  /** The context that `Tracer.reserve` returned for this span; absent if none was reserved. */
   readonly self?: TraceParent;
   readonly attributes?: Readonly<Record<string, string | number | boolean>>;
 }
 
-/** The answer to an operator's command. */
+/** The reply to an operator's command: HTTP status and JSON body. */
 export interface CommandReply {
   readonly status: 200 | 400 | 409 | 503;
   readonly body: object;
 }
 
-/** A package that runs. */
+/** A started plugin. */
 export interface RunningPlugin {
-  /** Runs until the process ends. */
+  /** Runs until the process ends; a rejection marks the plugin as failed. */
   run(): Promise<void>;
-  /** Its part of what `status` shows. */
+  /** Its section of the controller's status. */
   status?(): object;
   /** Operators' commands by name. */
   readonly commands?: Readonly<Record<string, (body: unknown) => Promise<CommandReply>>>;
-  /** Metrics in the text format of Prometheus. */
+  /** Its metrics in the Prometheus text format. */
   metrics?(): Promise<string>;
 }
 
-/** What the file of a package exports as `servicePackage`. */
+/** The definition that the file of a plugin exports under the name `servicePackage`. */
 export interface PluginDefinition<Options = unknown> {
-  /** What its section of the operators' file may hold, with defaults. */
+  /** JSON schema of its section in the operators' settings, with defaults. */
   readonly schema: TSchema;
-  /** The first thing wrong with options that fit the schema, with its path, or null. */
+  /**
+   * Checks options that fit the schema. Returns the first error, which starts with the option's path; null if valid.
+   */
   validate(options: Options, settings: PlatformSettings): string | null;
-  start(service: PluginServices, options: Options): RunningPlugin;
+  /** Creates the plugin; an exception marks it as failed. */
+  start(services: PluginServices, options: Options): RunningPlugin;
 }
 
-/** A package with its checked options. */
+/** A plugin with its validated options. */
 export interface LoadedPlugin {
   readonly name: string;
   readonly definition: PluginDefinition;
--- a/src/plugin-host/plugin-host.ts
+++ b/src/plugin-host/plugin-host.ts
@@ -1,4 +1,4 @@
-/** Runs packages: gives each its part of the service, and keeps a failing one from the others. */
+/** Runs plugins. A plugin that fails does not affect the controller or the other plugins. */
 import type { Logger } from 'pino';
 import { LOG_EVENT } from '../core/log-events.js';
 import type {
@@ -13,51 +13,52 @@
 
 const NO_CONTEXT: TraceParent = '';
 
-/** Forwards spans to a tracing package; without one they are dropped. */
+/** Forwards spans to the tracer of a tracing plugin; drops them if there is none. */
 export class ForwardingTracer implements Tracer {
   private target: Tracer | null = null;
 
-  /** Spans go to this tracer from now on. */
+  /** Sets the tracer that spans are forwarded to. */
   provide(target: Tracer): void {
     this.target = target;
   }
 
-  /** Forwards the span; without a tracer it is dropped. */
+  /** Forwards the span; drops it if there is no tracer. */
   record(span: FinishedSpan): void {
     this.target?.record(span);
   }
 
-  /** Forwards the request; without a tracer there is no context. */
+  /** Reserves a context with the tracer; returns an empty context if there is no tracer. */
   reserve(parent?: TraceParent): TraceParent {
     return this.target?.reserve(parent) ?? NO_CONTEXT;
   }
 }
 
-/** The packages of one controller. */
+/** The plugins of one controller. */
 export class PluginHost {
   private readonly running = new Map<string, RunningPlugin>();
-  private readonly failed = new Map<string, string>();
+  /** Error messages of failed plugins by name. */
+  private readonly failures = new Map<string, string>();
 
   constructor(
-    packages: readonly LoadedPlugin[],
-    service: (log: Logger) => PluginServices,
+    plugins: readonly LoadedPlugin[],
+    servicesFor: (log: Logger) => PluginServices,
     private readonly log: Logger,
   ) {
-    for (const { name, definition, options } of packages) {
+    for (const { name, definition, options } of plugins) {
       try {
-        this.running.set(name, definition.start(service(log.child({ package: name })), options));
+        this.running.set(name, definition.start(servicesFor(log.child({ package: name })), options));
       } catch (error) {
         this.recordFailure(name, error);
       }
     }
   }
 
-  /** Runs all packages; one that fails is named in `status` and the log, and the others go on. */
+  /** Runs all plugins. One that fails is logged and shown in `status`, and the others continue. */
   async run(): Promise<void> {
     await Promise.all(
-      [...this.running].map(async ([name, running]) => {
+      [...this.running].map(async ([name, plugin]) => {
         try {
-          await running.run();
+          await plugin.run();
         } catch (error) {
           this.recordFailure(name, error);
         }
@@ -66,29 +67,29 @@
   }
 
   private recordFailure(name: string, error: unknown): void {
-    this.failed.set(name, error instanceof Error ? error.message : String(error));
+    this.failures.set(name, error instanceof Error ? error.message : String(error));
     this.log.error({ err: error, package: name }, LOG_EVENT.packageFailed);
   }
 
-  /** The status of each package by name; `failed` holds the error of one that has ended. */
+  /** The status of each plugin by name; the field `failed` has the error message of a plugin that has failed. */
   status(): Record<string, object> {
     const statuses: Record<string, object> = {};
-    for (const [name, running] of this.running) statuses[name] = running.status?.() ?? {};
-    for (const [name, error] of this.failed) statuses[name] = { ...statuses[name], failed: error };
+    for (const [name, plugin] of this.running) statuses[name] = plugin.status?.() ?? {};
+    for (const [name, error] of this.failures) statuses[name] = { ...statuses[name], failed: error };
     return statuses;
   }
 
-  /** Runs an operator's command. Null: there is no such package or command. */
+  /** Runs an operator's command; null if the plugin or the command does not exist. */
   async command(name: string, command: string, body: unknown): Promise<CommandReply | null> {
     const commands = this.running.get(name)?.commands ?? {};
     const handler = Object.hasOwn(commands, command) ? commands[command] : undefined;
     return handler === undefined ? null : handler(body);
   }
 
-  /** The metrics of all packages in the text format of Prometheus. */
+  /** The metrics of all plugins in the Prometheus text format. */
   async metrics(): Promise<string> {
     const parts = await Promise.all(
-      [...this.running.values()].map(async (running) => (await running.metrics?.()) ?? ''),
+      [...this.running.values()].map(async (plugin) => (await plugin.metrics?.()) ?? ''),
     );
     return parts.join('');
   }
--- a/src/plugin-host/plugin-loader.ts
+++ b/src/plugin-host/plugin-loader.ts
@@ -1,6 +1,6 @@
 /**
- * Loads the packages that the operators' file enables. Each is a file of its own beside the program; without a section
- * `[packages.NAME]` nothing of it is read.
+ * Loads the plugins that the operators' settings enable. Each plugin is a separate file, which is read only
+ * if the settings have a section `[packages.NAME]` for it.
  */
 import { existsSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -8,24 +8,30 @@
 import { SettingsError, firstSchemaError, type PlatformSettings } from '../config/platform-settings.js';
 import type { LoadedPlugin, PluginDefinition } from './api.js';
 
-const PACKAGE_NAME = /^[a-z][a-z0-9_]*$/;
+const PLUGIN_NAME = /^[a-z][a-z0-9_]*$/;
 
-/** Where the build puts the packages. */
-export const PACKAGES_DIRECTORY = path.join(__dirname, 'packages');
+/** The folder into which the build writes the plugins. */
+export const PLUGIN_DIRECTORY = path.join(__dirname, 'packages');
 
-const isPackage = (value: unknown): value is PluginDefinition =>
+const isPluginDefinition = (value: unknown): value is PluginDefinition =>
   typeof value === 'object' && value !== null && 'schema' in value && 'start' in value;
 
-function definitionOf(name: string, directory: string): PluginDefinition {
+function loadDefinition(name: string, directory: string): PluginDefinition {
   const file = path.join(directory, `${name.replaceAll('_', '-')}.cjs`);
-  if (!PACKAGE_NAME.test(name) || !existsSync(file))
-    throw new SettingsError(`packages.${name}: there is no such package`);
+  if (!PLUGIN_NAME.test(name) || !existsSync(file))
+    throw new SettingsError(`packages.${name}: there is no such package in ${directory}`);
   const { servicePackage } = createRequire(file)(file) as { servicePackage?: unknown };
-  if (!isPackage(servicePackage)) throw new SettingsError(`packages.${name}: ${file} is not a package`);
+  if (!isPluginDefinition(servicePackage))
+    throw new SettingsError(
+      `packages.${name}: ${file} is not a package, expected an export servicePackage with schema and start`,
+    );
   return servicePackage;
 }
 
-/** Checks the options of one package, with its defaults filled in. Throws `SettingsError` with the path. */
+/**
+ * Validates the options of a plugin and fills in its defaults; `section` itself is not changed. Throws
+ * `SettingsError` with the path of the invalid option.
+ */
 export function configurePlugin(
   name: string,
   definition: PluginDefinition,
@@ -38,13 +44,16 @@
   return { name, definition, options };
 }
 
-/** Loads and checks all packages that have a section. Throws `SettingsError`. */
+/**
+ * Loads the plugin of each section and validates its options. Throws `SettingsError` if there is no such
+ * plugin or its options are invalid.
+ */
 export function loadPlugins(
   sections: Readonly<Record<string, unknown>>,
   settings: PlatformSettings,
-  directory = PACKAGES_DIRECTORY,
+  directory = PLUGIN_DIRECTORY,
 ): LoadedPlugin[] {
   return Object.entries(sections).map(([name, section]) =>
-    configurePlugin(name, definitionOf(name, directory), section, settings),
+    configurePlugin(name, loadDefinition(name, directory), section, settings),
   );
 }
--- a/src/plugin-host/topic-channel.ts
+++ b/src/plugin-host/topic-channel.ts
@@ -1,9 +1,9 @@
-/** Questions and answers between packages, over connections of their own to the other controllers. */
+/** Requests and replies between plugins, over connections to the other controllers that nothing else uses. */
 import type { NodeName } from '../core/model/ids.js';
 import type { Peer } from '../io/peers/peer.js';
 import type { PeerChannel, TopicHandler } from './api.js';
 
-/** Topics by name, and the links to ask on. */
+/** Sends requests over a link for each peer, and routes incoming requests to the handler of their topic. */
 export class TopicChannel implements PeerChannel {
   private readonly handlers = new Map<string, TopicHandler>();
 
@@ -25,12 +25,12 @@
     return contact != null;
   }
 
-  /** See `PeerChannel`; a later handler replaces the one before. */
+  /** See `PeerChannel`. A second handler for a topic replaces the first. */
   serve(topic: string, handler: TopicHandler): void {
     this.handlers.set(topic, handler);
   }
 
-  /** Answers another controller. */
+  /** Returns the reply to another controller's request; null if no handler is registered or it does not reply. */
   async answer(topic: string, payload: Uint8Array, from: string): Promise<Uint8Array | null> {
     return (await this.handlers.get(topic)?.(payload, from)) ?? null;
   }
