--- a/src/boot.ts
+++ b/src/boot.ts
@@ -1,6 +1,7 @@
 /**
- * Starts the program from a compile cache, so that a controller is back sooner on machines with a small part of a core.
- * Without a cache, or with one that another version of Node.js made, it starts the same way, only slower.
+ * Starts the program with a V8 code cache, which shortens the restart of a controller that has only a
+ * fraction of a CPU core. Without a cache, or with one written by another version of Node.js, the program
+ * starts more slowly but works the same.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -15,7 +16,7 @@
   dir: string,
 ) => void;
 
-const file = path.join(__dirname, 'app.cjs');
+const appFile = path.join(__dirname, 'app.cjs');
 const cacheFile = path.join(__dirname, 'app.cache');
 
 function readCache(): Buffer | undefined {
@@ -26,24 +27,25 @@
   }
 }
 
-const wrapper = '(function (exports, require, module, __filename, __dirname) {';
-const script = new vm.Script(`${wrapper}${readFileSync(file, 'utf8')}\n})`, {
-  filename: file,
+const wrapperHead = '(function (exports, require, module, __filename, __dirname) {';
+const script = new vm.Script(`${wrapperHead}${readFileSync(appFile, 'utf8')}\n})`, {
+  filename: appFile,
   cachedData: readCache(),
 });
 const appModule = { exports: {} };
 (script.runInThisContext() as ModuleFunction)(
   appModule.exports,
-  createRequire(file),
+  createRequire(appFile),
   appModule,
-  file,
+  appFile,
   __dirname,
 );
 
-// The build starts the program once for this time; what was compiled by then is written to the cache.
-const warmMs = Number(process.env['PEPPERBANK_WARM_MS'] ?? 0);
-if (warmMs > 0)
+// Set by the build only: after this time the code that has been compiled so far is written to the cache, and
+// the program exits.
+const warmUpMs = Number(process.env['PEPPERBANK_WARM_MS'] ?? 0);
+if (warmUpMs > 0)
   setTimeout(() => {
     writeFileSync(cacheFile, script.createCachedData());
     process.exit(0);
-  }, warmMs);
+  }, warmUpMs);
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,4 +1,6 @@
-/** The command line. `serve` is the default, so the platform can start the program with `--config PATH`. */
+/**
+ * The command line. `serve` is the default command, since the platform starts the program with `--config PATH` only.
+ */
 import { readFileSync, writeSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import pino from 'pino';
@@ -9,53 +11,55 @@
 import { loadPlugins } from '../plugin-host/plugin-loader.js';
 
 const VERSION = '0.1.0';
-/** Exit codes: 0 done, 1 the service said no or could not be reached, 2 wrong usage or settings. */
+/** Exit code if a controller refused or did not answer a request, or if the program failed; 0 means success. */
 const EXIT_FAILED = 1;
+/** Exit code for wrong usage, invalid settings and input files that cannot be read. */
 const EXIT_USAGE = 2;
 
-/** How long a command waits for its answer. */
+/** How long a command waits for the controller's answer. */
 const ANSWER_TIMEOUT_MS = 5000;
 
 const printOutput = (text: string) => writeSync(1, `${text}\n`);
 const printError = (text: string) => writeSync(2, `${text}\n`);
 
-interface Files {
+interface FileOptions {
   config: string;
   operator?: string[];
 }
 
-interface Loaded {
+interface LoadedSettings {
   readonly settings: PlatformSettings;
   readonly operator: OperatorSettings;
-  readonly packages: readonly LoadedPlugin[];
+  readonly plugins: readonly LoadedPlugin[];
 }
 
 function readText(path: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (cause) {
-    throw new SettingsError(`${path}: ${(cause as Error).message}`, { cause });
+    throw new SettingsError(`${path}: cannot read the settings file: ${(cause as Error).message}`, { cause });
   }
 }
 
-function load(files: Files): Loaded {
+function loadSettings(files: FileOptions): LoadedSettings {
   const text = readText(files.config);
-  const settings = inFile(files.config, () => readPlatformSettings(text));
+  const settings = withPathInErrors(files.config, () => readPlatformSettings(text));
   const fromEnvironment = process.env['PEPPERBANK_OPERATOR'];
-  const paths = files.operator ?? (fromEnvironment === undefined ? [] : [fromEnvironment]);
-  const operatorFiles = paths.map((path) => ({ path, text: readText(path) }));
+  const operatorPaths = files.operator ?? (fromEnvironment === undefined ? [] : [fromEnvironment]);
+  const operatorFiles = operatorPaths.map((path) => ({ path, text: readText(path) }));
   const operator = readOperatorSettingsFiles(operatorFiles);
-  if (Object.keys(operator.packages).length === 0) return { settings, operator, packages: [] };
-  // Where several files hold sections, the message names them all: the path in it says which section it is.
-  return inFile(paths.join(', '), () => ({
+  if (Object.keys(operator.packages).length === 0) return { settings, operator, plugins: [] };
+  // The files are merged by now, so that an error in a plugin's section names all of them; it also names the
+  // section.
+  return withPathInErrors(operatorPaths.join(', '), () => ({
     settings,
     operator,
-    packages: loadPlugins(operator.packages, settings),
+    plugins: loadPlugins(operator.packages, settings),
   }));
 }
 
-/** Puts the file's path before what is wrong with it. */
-function inFile<T>(path: string, read: () => T): T {
+/** Runs `read`; a `SettingsError` that it throws is thrown again with `path` before its message. */
+function withPathInErrors<T>(path: string, read: () => T): T {
   try {
     return read();
   } catch (cause) {
@@ -64,18 +68,20 @@
   }
 }
 
-async function serve(files: Files): Promise<void> {
-  const { settings, operator, packages } = load(files);
+async function serve(files: FileOptions): Promise<void> {
+  const { settings, operator, plugins } = loadSettings(files);
   const level = process.env['LOG_LEVEL'] ?? 'info';
   const log = pino(
     { level: ['error', 'info', 'debug'].includes(level) ? level : 'info', base: { node: settings.node } },
     pino.destination({ fd: 2, sync: true }),
   );
   const { serve: serveController } = await import('../controller/serve.js');
-  await serveController(settings, operator, log, packages);
+  await serveController(settings, operator, log, plugins);
 }
 
-/** Sends a request to a controller and prints its answer; the exit code tells success from failure. */
+/**
+ * Sends a request to a controller and prints its answer. The exit code is 1 if the request was refused or not answered.
+ */
 async function printAnswer(
   address: string,
   method: 'GET' | 'POST',
@@ -89,43 +95,48 @@
     const response = await client.request(method, path, body, timeoutMs);
     printOutput(JSON.stringify(response.body, null, indent));
     if (response.status >= 300) {
-      printError(`${address}: ${response.status}`);
+      printError(`${address}: ${method} ${path} was answered with status ${response.status}, expected 2xx`);
       process.exitCode = EXIT_FAILED;
     }
   } catch (error) {
-    printError(`${address}: no answer (${(error as Error).message})`);
+    printError(
+      `${address}: ${method} ${path} failed, expected a JSON answer within ${timeoutMs} ms: ${(error as Error).message}`,
+    );
     process.exitCode = EXIT_FAILED;
   } finally {
     await client.close();
   }
 }
 
-const withFiles = (command: Command) =>
+const addFileOptions = (command: Command) =>
   command
-    .requiredOption('--config <path>', "the platform's settings (TOML)")
+    .requiredOption('--config <path>', "the platform's settings file (TOML)")
     .option(
       '--operator <path>',
-      "the operators' own settings (TOML), several times where they are in several files; also PEPPERBANK_OPERATOR",
-      (path: string, before: string[] | undefined) => [...(before ?? []), path],
+      "an operators' settings file (TOML); may be given several times; default: the file named by PEPPERBANK_OPERATOR",
+      (path: string, previous: string[] | undefined) => [...(previous ?? []), path],
     );
 
-const withAddress = (command: Command) =>
-  command.requiredOption('--address <host:port>', "a controller's address", '127.0.0.1:8080');
+const addAddressOption = (command: Command) =>
+  command.requiredOption(
+    '--address <host:port>',
+    "the address of a controller's HTTP server",
+    '127.0.0.1:8080',
+  );
 
 interface AddressOption {
   readonly address: string;
 }
 
-/** Commands that run or check a controller. */
+/** Adds the commands that run a controller or check its settings. */
 function addControllerCommands(program: Command): void {
-  withFiles(
+  addFileOptions(
     program.command('serve', { isDefault: true }).description('run a controller (the default)'),
   ).action(serve);
-  withFiles(program.command('check-config').description('check the settings and end')).action(
-    (files: Files) => {
-      const { settings, packages } = load(files);
-      const enabled =
-        packages.length === 0 ? '' : `, packages: ${packages.map(({ name }) => name).join(', ')}`;
+  addFileOptions(program.command('check-config').description('check the settings files and exit')).action(
+    (files: FileOptions) => {
+      const { settings, plugins } = loadSettings(files);
+      const enabled = plugins.length === 0 ? '' : `, packages: ${plugins.map(({ name }) => name).join(', ')}`;
       printOutput(
         `ok: ${settings.node}, ${settings.teams.length} teams, ${settings.nodes} controllers${enabled}`,
       );
@@ -133,48 +144,50 @@
   );
 }
 
-/** Users' commands. */
+/** Adds users' commands. */
 function addJobCommands(program: Command): void {
-  withAddress(
-    program.command('submit').description('submit the job in a JSON file').argument('<file>'),
+  addAddressOption(
+    program.command('submit').description('submit the job that a JSON file describes').argument('<file>'),
   ).action(async (file: string, options: AddressOption) => {
     let body: unknown;
     try {
       body = JSON.parse(readFileSync(file, 'utf8'));
     } catch (cause) {
-      throw new SettingsError(`${file}: ${(cause as Error).message}`, { cause });
+      throw new SettingsError(`${file}: cannot read a job as JSON: ${(cause as Error).message}`, { cause });
     }
     await printAnswer(options.address, 'POST', paths.jobs, body);
   });
-  withAddress(program.command('show').description("show a job's state").argument('<id>')).action(
+  addAddressOption(program.command('show').description('show the status of a job').argument('<id>')).action(
     async (id: string, options: AddressOption) => {
       await printAnswer(options.address, 'GET', paths.job.replace(':id', encodeURIComponent(id)));
     },
   );
-  withAddress(program.command('cancel').description('cancel a job').argument('<id>')).action(
+  addAddressOption(program.command('cancel').description('cancel a job').argument('<id>')).action(
     async (id: string, options: AddressOption) => {
       await printAnswer(options.address, 'POST', paths.cancel.replace(':id', encodeURIComponent(id)));
     },
   );
 }
 
-/** A handover waits for logs to be drained and for the state service. */
+/**
+ * Longer than for other commands: a handover waits until the standbys have the whole log, and for the state service.
+ */
 const HANDOVER_TIMEOUT_MS = 30_000;
 
-/** Operators' commands. */
+/** Adds operators' commands. */
 function addOperatorCommands(program: Command): void {
-  withAddress(
+  addAddressOption(
     program
       .command('status')
-      .description('show teams, slices, machines and why jobs wait, as a controller sees them'),
+      .description('show teams, slices, machines and why jobs are pending, as the controller sees them'),
   ).action(async (options: AddressOption) => {
     await printAnswer(options.address, 'GET', paths.status, undefined, { indent: 2 });
   });
-  withAddress(
+  addAddressOption(
     program
       .command('handover')
-      .description('move what a controller holds to its warm standbys, before it is restarted')
-      .option('--to <node>', 'to this controller only'),
+      .description('hand over the slices of a controller to its warm standbys, before it is restarted')
+      .option('--to <node>', 'hand over to this controller only'),
   ).action(async (options: AddressOption & { to?: string }) => {
     const path = paths.packageCommand.replace(':name', 'warm_standby').replace(':command', 'handover');
     const body = options.to === undefined ? {} : { to: options.to };
@@ -182,7 +195,7 @@
   });
 }
 
-/** Runs the command line; the exit code is left in `process.exitCode`. */
+/** Runs the command that the arguments name. An error is printed and sets `process.exitCode`; nothing is thrown. */
 export async function run(argv: readonly string[]): Promise<void> {
   const program = new Command('pepperbank');
   program.description('A cluster scheduler').version(VERSION).exitOverride();
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** The program's entry. */
+/** Entry point of the program. */
 import { run } from './cli/cli.js';
 
 void run(process.argv);
