--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,7 +2,7 @@
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
-/** Exported declarations of these kinds have a doc comment. */
+/** Kinds of exported declarations that require a doc comment. */
 const documented = [
   'FunctionDeclaration',
   'ClassDeclaration',
@@ -11,14 +11,14 @@
   'VariableDeclaration',
 ];
 
-/** Limits on size and branching; there are no exceptions for single files. */
+/** Limits on file size, function size and branching, without exceptions for single files. */
 const LIMITS = {
   'max-lines': ['error', 400],
   'max-lines-per-function': ['error', 50],
   complexity: ['error', 12],
 };
 
-/** Folders and what they must not import; docs/architecture.md has the table. */
+/** Folders of src and the folders that each must not import from; docs/architecture.md has the table of layers. */
 const FORBIDDEN_IMPORTS = {
   'src/core/**': ['config', 'io', 'controller', 'plugin-host', 'cli'],
   'src/config/**': ['io', 'controller', 'plugin-host', 'cli'],
@@ -27,7 +27,7 @@
   'src/controller/**': ['cli'],
 };
 
-/** No folder of src imports a package: packages know the service, never the other way round. */
+/** Import rules by folder. No folder of src may import a plugin: plugins depend on the service, not vice versa. */
 const layerRules = Object.entries(FORBIDDEN_IMPORTS).map(([files, folders]) => ({
   files: [files],
   rules: {
@@ -35,8 +35,11 @@
       'error',
       {
         patterns: [
-          { regex: `^(\\.\\./)+(${folders.join('|')})/`, message: 'against the direction of the layers' },
-          { regex: '^(\\.\\./)+packages/', message: 'the service imports no package' },
+          {
+            regex: `^(\\.\\./)+(${folders.join('|')})/`,
+            message: 'import against the direction of the layers',
+          },
+          { regex: '^(\\.\\./)+packages/', message: 'the service must not import a plugin' },
         ],
       },
     ],
@@ -59,7 +62,8 @@
       ...LIMITS,
       '@typescript-eslint/no-non-null-assertion': 'off',
       '@typescript-eslint/no-dynamic-delete': 'off',
-      // Fields of the protocol are read by index: they are not names of this code.
+      // Fields of the wire protocol are read with brackets, which marks them as names that this code does not
+      // define.
       '@typescript-eslint/dot-notation': 'off',
       '@typescript-eslint/restrict-template-expressions': [
         'error',
@@ -80,7 +84,7 @@
         { selector: 'import', format: ['camelCase', 'PascalCase'] },
         { selector: 'variable', format: ['camelCase', 'UPPER_CASE', 'PascalCase'] },
         { selector: 'typeLike', format: ['PascalCase'] },
-        // Names of the protocol, of settings and of discriminated unions stay as they are given.
+        // Names of the wire protocol, of settings and of discriminated unions keep their own form.
         { selector: ['objectLiteralProperty', 'typeProperty', 'objectLiteralMethod'], format: null },
         { selector: 'variable', modifiers: ['destructured'], format: null },
       ],
@@ -109,7 +113,7 @@
     },
   },
   {
-    // A scenario is read from top to bottom: its steps stay together.
+    // Tests may be longer than other functions, so that the steps of a scenario need not be split up.
     files: ['test/**', 'packages/*/test/**'],
     rules: { 'max-lines-per-function': ['error', 60] },
   },
