--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -59,7 +59,8 @@
    */
   isHeldCompletely(shard: NodeName): boolean;
   /**
-   * Whether nothing since the state service's last answer indicates that it is unreachable, or that answer is recent.
+   * Whether the state service counts as reachable: nothing since its last answer indicates the contrary, or that
+   * answer is at most `withinMs` old.
    */
   isStateReachable(withinMs: number): boolean;
   /** Calls the listener after each change of the view. */
