--- a/src/core/scaling/demand-forecast.ts
+++ b/src/core/scaling/demand-forecast.ts
@@ -1,14 +1,14 @@
 /**
- * Forecasts how many tasks of each job class will run at once, so that capacity is there before it is needed: machines
- * take long to boot. Arrivals are counted over a window; the number of running tasks is taken as a compound Poisson sum,
- * whose mean and standard deviation follow from Little's law.
+ * Forecasts how many tasks of each job class will run at once, so that machines, which take long to boot, are rented
+ * before they are needed. Arrivals are counted over a sliding window; the number of running tasks is modelled as a
+ * compound Poisson sum, whose mean and standard deviation follow from Little's law.
  */
 import type { JobId } from '../model/ids.js';
 import type { JobSpec } from '../model/jobs.js';
 import type { MachineType } from '../model/machines.js';
 import type { Headroom } from './scaling-types.js';
 
-/** The shortest time that arrivals are averaged over, so that the first ones do not count as a high rate. */
+/** The shortest period that arrivals are averaged over, so that the first ones do not count as a high rate. */
 const MIN_WINDOW_S = 60;
 
 interface Arrival {
@@ -16,27 +16,27 @@
   readonly spec: JobSpec;
 }
 
-/** Over which time arrivals are counted, and how much headroom is kept. */
+/** The forecast's window and safety margins. */
 export interface DemandForecastOptions {
-  /** How long an arrival counts. */
+  /** How long an arrival is counted, in seconds. */
   readonly windowS: number;
-  /** How many standard deviations above the mean are kept. */
+  /** How many standard deviations of the number of running tasks are added to its mean. */
   readonly spread: number;
-  /** How long a task holds its resources beside its run and fetch time. */
+  /** Seconds that a task holds its resources in addition to its run time and the time to fetch its image. */
   readonly overheadS: number;
 }
 
-/** What the headroom is reckoned for. */
+/** The present state that headroom is computed for. */
 export interface HeadroomQuery {
-  /** The present time. */
+  /** The present time, in seconds on the clock of the recorded arrivals. */
   readonly nowS: number;
   /** Tasks that are pending or running now, by job class. */
   readonly unfinishedTasks: ReadonlyMap<string, number>;
-  /** The machine type that a job would run on; undefined where there is none. */
+  /** The machine type that a job would run on; undefined where there is none, and then its class gets no headroom. */
   readonly machineTypeFor: (spec: JobSpec) => MachineType | undefined;
 }
 
-/** Counts arrivals by job class and tells the headroom to keep for those to come. */
+/** Counts arrivals by job class and computes the headroom to keep for future ones. */
 export class DemandForecast {
   private readonly arrivalsByClass = new Map<string, Arrival[]>();
   private readonly recordedJobs = new Set<JobId>();
@@ -44,7 +44,7 @@
 
   constructor(private readonly options: DemandForecastOptions) {}
 
-  /** Counts the job's arrival, the first time that it is recorded. */
+  /** Counts the job's arrival at `atS`, in seconds; ignores a job whose arrival is already counted. */
   recordArrival(spec: JobSpec, atS: number): void {
     if (this.recordedJobs.has(spec.id)) return;
     this.recordedJobs.add(spec.id);
@@ -54,7 +54,10 @@
     else arrivals.push({ atS, spec });
   }
 
-  /** Headroom by job class, beside the tasks that are pending or running now. Drops arrivals older than the window. */
+  /**
+   * The headroom to keep for each job class in addition to its pending and running tasks, with the spec of its latest
+   * arrival. Drops arrivals older than the window.
+   */
   headroom(query: HeadroomQuery): Headroom[] {
     const headroom: Headroom[] = [];
     for (const [jobClass, all] of this.arrivalsByClass) {
@@ -65,7 +68,7 @@
       const type = query.machineTypeFor(latest.spec);
       if (type === undefined) continue;
       const expected = this.expectedTasks(arrivals, latest.spec, type, query.nowS);
-      // Services stay: those that run leave no capacity for those to come.
+      // Services do not end, so running ones free no capacity for later arrivals.
       const unfinished = isService(latest.spec) ? 0 : (query.unfinishedTasks.get(jobClass) ?? 0);
       const tasks = Math.round(expected - unfinished);
       if (tasks > 0) headroom.push({ spec: latest.spec, tasks });
@@ -79,7 +82,7 @@
     return arrivals.filter(({ atS }) => atS > startS);
   }
 
-  /** The mean number of tasks at once, and so many standard deviations above it as the options say. */
+  /** The mean number of tasks running at once, plus the configured number of standard deviations. */
   private expectedTasks(
     arrivals: readonly Arrival[],
     latest: JobSpec,
@@ -93,14 +96,17 @@
     return rate * holdS * meanTasks + this.options.spread * Math.sqrt(rate * holdS * meanSquare);
   }
 
-  /** Arrivals per second. Those within the same second count as one: a batch of submissions is no rate. */
+  /** Arrivals per second. Those within one second count as one: a batch of submissions does not indicate a rate. */
   private arrivalRate(arrivals: readonly Arrival[], nowS: number): number {
     const observedS = Math.min(this.options.windowS, nowS - (this.startS ?? nowS));
     const instants = new Set(arrivals.map(({ atS }) => Math.floor(atS))).size;
     return instants / Math.max(MIN_WINDOW_S, observedS);
   }
 
-  /** How long one arrival needs headroom: a service until a machine for the next has booted, other jobs until they end. */
+  /**
+   * How many seconds one arrival needs capacity: a service until a machine for the next one has booted, other jobs
+   * until they end.
+   */
   private holdTimeS(arrivals: readonly Arrival[], latest: JobSpec, type: MachineType): number {
     const { overheadS } = this.options;
     if (isService(latest)) return type.bootS + overheadS;
--- a/src/core/scaling/machine-reclaim.ts
+++ b/src/core/scaling/machine-reclaim.ts
@@ -1,6 +1,7 @@
 /**
- * Reclaims machines for work of higher priority: while the cloud has none, machines that run nothing but low-priority
- * arrays are moved to the shard that needs them. Only the owner of a machine may stop tasks on it.
+ * Reclaims machines for jobs of higher priority: while the cloud has no machines to rent, machines that run only
+ * low-priority arrays are moved to the shard that needs them. They are moved before their tasks are stopped because
+ * only the owner of a machine may stop tasks on it.
  */
 import { addToCount } from '../collections.js';
 import { allowsMachine } from '../jobs/feasibility.js';
@@ -11,10 +12,10 @@
 import { isUp } from './packing-bins.js';
 import type { BinMove, PackingBin, PendingDemand, ScalingInput, UnmetDemand } from './scaling-types.js';
 
-/** Bounds the changes that one plan makes in the state service; plans follow each other about every second. */
+/** Limits the changes that one plan makes in the state service; the leader plans about once a second. */
 const MAX_RECLAIMED_PER_PLAN = 6;
 
-/** The machines to move to the shards of unmet demands above normal priority. */
+/** The moves that reclaim machines for unmet demands above normal priority, at most `MAX_RECLAIMED_PER_PLAN`. */
 export function reclaimMachines(
   input: ScalingInput,
   bins: readonly PackingBin[],
@@ -28,7 +29,7 @@
   return reclaim.moves;
 }
 
-/** The machines that one plan reclaims. */
+/** Collects the machines that one plan reclaims. */
 class MachineReclaim {
   readonly moves: BinMove[] = [];
   private readonly types: ReadonlyMap<TypeName, MachineType>;
@@ -40,7 +41,7 @@
     this.types = new Map(input.types.map((type) => [type.name, type]));
   }
 
-  /** Reclaims machines for so many tasks of the demand, as far as there are any. */
+  /** Reclaims machines until `tasks` tasks of the demand fit, no machine is left, or the plan's limit is reached. */
   reclaimFor(demand: PendingDemand, tasks: number): void {
     const zone = demand.zone ?? (demand.spec.oneZone ? this.zoneWithMostPlaces(demand) : null);
     let left = tasks;
@@ -63,7 +64,7 @@
     return best;
   }
 
-  /** How many tasks of the demand the machine can take once its own are stopped; 0 where it can't be reclaimed. */
+  /** How many tasks of the demand fit on the machine once its own are stopped; 0 if it cannot be reclaimed. */
   private placesOn(bin: PackingBin, { spec, shard }: PendingDemand): number {
     if (bin.shard === shard || !isUp(bin) || !this.input.isMovable(bin.machine)) return 0;
     if (!runsOnlyLowPriorityArrays(bin.machine.placed) || this.isReclaimed(bin)) return 0;
--- a/src/core/scaling/packing-bins.ts
+++ b/src/core/scaling/packing-bins.ts
@@ -1,11 +1,11 @@
-/** The bins that the scaling plan packs tasks into: machines that exist, are being rented or are to be rented. */
+/** The bins that a scaling plan packs tasks into: machines that exist, are being rented or are to be rented. */
 import type { NodeName } from '../model/ids.js';
 import type { MachineRecord } from '../model/machines.js';
 import { fitsWithin, type ResourceVector } from '../model/resources.js';
 import type { RentalOption } from './rental-options.js';
 import type { PackingBin, ScalingInput } from './scaling-types.js';
 
-/** A bin whose machine exists. */
+/** A bin whose machine has a record. */
 export type MachineBin = PackingBin & { readonly machine: MachineRecord };
 
 /** Bins of all usable machines, followed by those of the machines that are being rented. */
@@ -23,7 +23,7 @@
   return bins;
 }
 
-/** The bin of a machine that is being rented, or is to be. */
+/** The bin of a machine that is being rented or is to be rented, with all its capacity free. */
 export function rentalBin({ type, zone, spot }: RentalOption, shard: NodeName): PackingBin {
   return {
     machine: null,
@@ -37,7 +37,10 @@
   };
 }
 
-/** Bins that can take one of the demands; empty ones are kept even if they cannot, since they may be released. */
+/**
+ * Bins that can take a task of at least one of the demands. Empty bins are kept even if they cannot, since their
+ * machines may be released.
+ */
 export function candidateBins(bins: readonly PackingBin[], demands: readonly ResourceVector[]): PackingBin[] {
   return bins.filter((bin) => bin.isEmpty || demands.some((demand) => fitsWithin(demand, bin.free)));
 }
--- a/src/core/scaling/packing-state.ts
+++ b/src/core/scaling/packing-state.ts
@@ -1,4 +1,4 @@
-/** The working state of a scaling plan: bins that are filled with pending tasks, and the moves and rentals that this takes. */
+/** The working state of a scaling plan: bins filled with pending tasks, and the moves and rentals this requires. */
 import { addToCount } from '../collections.js';
 import { allowsMachine, maxTasksPerZone, zoneChoices } from '../jobs/feasibility.js';
 import type { Zone } from '../model/ids.js';
@@ -18,37 +18,38 @@
   UnmetDemand,
 } from './scaling-types.js';
 
-/** Parts of a bin's score, by how much they weigh: each is more than those below it together. */
+/** The parts of a bin's score: each is more than the sum of those below it. */
 const SCORE_MATCHING_BILLING_KIND = 16;
 const SCORE_IN_USE = 8;
 const SCORE_UP = 4;
 const SCORE_BOOTING = 2;
 
-/** Whether a bin may be used at all; the constraints of the job are checked beside it. */
+/** Whether a bin may be used; the job's constraints are checked separately. */
 type BinFilter = (bin: PackingBin) => boolean;
 
-/** The zone where a gang lacks the fewest places; `zone` is null for a gang that may be spread over all zones. */
+/** The zone in which the fewest tasks of a gang are left without a machine. */
 export interface GangZone {
+  /** Null for a gang whose tasks may run in different zones. */
   readonly zone: Zone | null;
-  /** Tasks of the gang for which there is no place yet. */
+  /** Number of the gang's tasks that do not fit on the machines considered. */
   readonly missingTasks: number;
 }
 
-/** Packs tasks into bins and records the moves, rentals and unmet demands that follow. */
+/** Packs tasks into bins and records the moves, rentals and unmet demands that result. */
 export class PackingState {
-  /** All bins that exist before the plan. */
+  /** The bins of all usable machines and of the rentals under way, without those that the plan rents. */
   readonly bins: readonly PackingBin[];
-  /** Tasks that neither the fleet nor the cloud has machines for. */
+  /** Tasks for which neither the fleet nor the cloud has machines. */
   readonly unmet: UnmetDemand[] = [];
   /** Bins that can take tasks of the demands, followed by those that the plan rents. */
   private readonly candidates: PackingBin[];
-  /** Zones in which some machine type is offered. */
+  /** Zones in which the cloud offers at least one machine type. */
   private readonly zones: readonly Zone[];
   private readonly machinesPerZone = new Map<Zone, number>();
   private readonly moves: MachineMove[] = [];
   private readonly rentals: RentalRequest[] = [];
 
-  /** Starts from the usable machines and the rentals under way; `demands` are those that will be packed. */
+  /** Starts from usable machines and rentals under way; `demands` holds what one task of each job needs. */
   constructor(
     private readonly input: ScalingInput,
     demands: readonly ResourceVector[],
@@ -59,19 +60,20 @@
     this.zones = [...new Set(input.types.flatMap((type) => type.zones))];
   }
 
-  /** Packs up to `maxTasks` of the demand on machines of its own shard that are up; returns how many. */
+  /** Packs up to `maxTasks` tasks of the demand on its shard's machines that are up; returns the number packed. */
   fillOwnMachines(demand: PendingDemand, maxTasks: number): number {
     return this.fill(demand, maxTasks, (bin) => bin.shard === demand.shard && isUp(bin));
   }
 
-  /** Packs as many of the demand's tasks as fit on machines of any shard; returns how many. */
+  /** Packs as many of the demand's tasks as fit into the bins of all shards; returns the number packed. */
   fillAnyMachines(demand: PendingDemand): number {
     return this.fill(demand, demand.tasks, () => true);
   }
 
   /**
-   * Packs the demand's tasks on machines of its shard, then on spare machines of other shards, which it takes over, then
-   * on booting ones, and rents machines for the rest. What cannot be rented is recorded as unmet.
+   * Packs the demand's tasks on machines of its shard that are up, then on spare machines of other shards, which are
+   * moved to its shard, then on its shard's booting machines and rentals under way, and rents machines for the rest.
+   * Tasks for which no machine can be rented are recorded as unmet.
    */
   fillOrRent(demand: PendingDemand): void {
     const { shard } = demand;
@@ -88,28 +90,34 @@
     if (left > 0) this.rent(demand, left);
   }
 
-  /** The zone for a gang among the machines of its shard that are up, whatever is missing there. */
+  /**
+   * The best zone for a gang among the machines of its shard that are up, however many tasks do not fit there; null for
+   * a gang bound to one zone if the cloud offers no machine type in any.
+   */
   ownGangZone({ spec, shard }: PendingDemand): GangZone | null {
     return this.gangZone(spec, (bin) => bin.shard === shard && isUp(bin), { mustRentMissing: false });
   }
 
-  /** The zone for a gang with machines of its own and spare ones; null where the rest of it cannot be rented anywhere. */
+  /**
+   * The best zone for a gang among the machines of its shard and spare ones of other shards; null if there is no zone
+   * in which machines can be rented for the tasks that do not fit.
+   */
   rentableGangZone({ spec, shard }: PendingDemand): GangZone | null {
     return this.gangZone(spec, (bin) => bin.shard === shard || this.isSpare(bin), { mustRentMissing: true });
   }
 
-  /** Records that the machine changes its shard. */
+  /** Records the move of the bin's machine to another shard. */
   moveMachine({ bin, to }: BinMove): void {
     bin.shard = to;
     this.moves.push({ machine: bin.machine!, to });
   }
 
-  /** The plan so far, with the release of idle machines that it has no tasks for. */
+  /** The plan as packed so far; idle machines for which it has no tasks are released. */
   result(): ScalingPlan {
     return { moves: this.moves, rentals: this.rentals, releases: this.machinesToRelease() };
   }
 
-  /** Rents machines for so many tasks of the demand, one by one, and packs the tasks on them. */
+  /** Rents machines for `tasks` tasks of the demand, one by one, and packs the tasks; records the rest as unmet. */
   private rent(demand: PendingDemand, tasks: number): void {
     const { spec, shard } = demand;
     const options = rentalOptions(spec, this.input);
@@ -129,8 +137,8 @@
   }
 
   /**
-   * Packs up to `maxTasks` of the demand on the bins that the filter admits, those with the highest score first. Calls
-   * `onUse` with each bin before it is used. Returns the number of tasks packed.
+   * Packs up to `maxTasks` tasks of the demand into the bins that the filter admits, in descending order of score.
+   * Calls `onUse` with each bin before tasks are packed into it. Returns the number of tasks packed.
    */
   private fill(
     demand: PendingDemand,
@@ -179,7 +187,7 @@
     return best;
   }
 
-  /** Tasks of the gang that do not fit on the bins that the filter admits in the zone. */
+  /** Number of the gang's tasks that do not fit into the admitted bins of the zone; null stands for all zones. */
   private missingTasks(spec: JobSpec, zone: Zone | null, isAdmitted: BinFilter): number {
     let missing = spec.tasks;
     for (const bin of this.candidates) {
@@ -193,7 +201,7 @@
     return rentalOptions(spec, this.input).some((option) => zone === null || option.zone === zone);
   }
 
-  /** The machine is up and its shard does not need it for tasks of this plan. */
+  /** Whether the machine is up, may be moved and is not needed by its shard for tasks of this plan. */
   private isSpare(bin: PackingBin): boolean {
     return isUp(bin) && bin.plannedTasks === 0 && this.input.isMovable(bin.machine);
   }
@@ -207,7 +215,7 @@
   }
 }
 
-/** How many tasks of the job the bin can take in the zone; `zone` null admits every zone. */
+/** How many tasks of the job fit into the bin; 0 if the bin is outside `zone`, where null admits every zone. */
 function placesOn(bin: PackingBin, spec: JobSpec, zone: Zone | null): number {
   if (!allowsMachine(spec, bin)) return 0;
   if (zone !== null && zone !== bin.zone) return 0;
@@ -223,7 +231,10 @@
   return demand.leavesWholeMachinesToGangs && bin.machine !== null && bin.isEmpty && !bin.spot;
 }
 
-/** Bins with a higher score are filled first: of the job's billing kind, in use already, up rather than booting. */
+/**
+ * The bin's score for the job; bins with a higher score are filled first. It prefers bins of the job's billing kind,
+ * then bins in use, then machines that are up, then booting machines over rentals.
+ */
 function scoreOf(bin: PackingBin, spec: JobSpec): number {
   let score = 0;
   if (bin.spot === spec.spot) score += SCORE_MATCHING_BILLING_KIND;
@@ -238,6 +249,6 @@
   bin.free = addResources(bin.free, spec.demand, -tasks);
   bin.plannedTasks += tasks;
   addToCount(tasksPerZone, bin.zone, tasks);
-  // The first task of a job whose tasks must share a zone decides which one.
+  // The zone of the first packed task binds all further tasks of a job whose tasks must share a zone.
   if (spec.oneZone) demand.zone ??= bin.zone;
 }
--- a/src/core/scaling/pending-demand.ts
+++ b/src/core/scaling/pending-demand.ts
@@ -1,4 +1,4 @@
-/** What pending jobs still need: tasks that could start now, within the quotas of their teams. */
+/** The demands that a scaling plan packs, of pending jobs and of headroom, and the quotas that limit them. */
 import { TASK_WINDOW } from '../jobs/done-tasks.js';
 import { requiredZone } from '../jobs/feasibility.js';
 import type { NodeName, TeamName, Zone } from '../model/ids.js';
@@ -22,7 +22,7 @@
   };
 }
 
-/** The demand of headroom for a shard: tasks without allocations that may use whole machines. */
+/** The demand of a shard's headroom, whose tasks may go to any zone and to empty on-demand machines. */
 export function demandOfHeadroom({ spec, tasks }: Headroom, shard: NodeName): PendingDemand {
   return {
     spec,
@@ -34,18 +34,21 @@
   };
 }
 
-/** Quotas of the teams, with the tasks counted that the plan has accepted so far. */
+/** The quotas of the teams, less the tasks that the plan has accepted so far. */
 export class PlannedQuota {
   private readonly acceptedByTeam = new Map<TeamName, ResourceVector>();
 
   constructor(private readonly totals: AllocationTotals) {}
 
-  /** How many tasks of this shape the team's quota allows beside what it uses and what the plan has accepted. */
+  /**
+   * How many further tasks of the job its team's quota allows in addition to what the team uses and what the plan
+   * has accepted; may be infinite.
+   */
   tasksWithinQuota({ team, demand }: JobSpec): number {
     return this.totals.tasksWithinQuota(team, demand, this.acceptedBy(team));
   }
 
-  /** Counts tasks of this shape as used by the team. */
+  /** Counts the job's tasks against its team's quota. */
   accept({ team, demand }: JobSpec, tasks: number): void {
     this.acceptedByTeam.set(team, addResources(this.acceptedBy(team), demand, tasks));
   }
@@ -55,7 +58,10 @@
   }
 }
 
-/** Tasks that could start now, as far as the job itself tells; of a job that fails everywhere, one at a time. */
+/**
+ * Number of tasks that could start now: those in the job's task window that are neither done nor allocated. A job
+ * that fails on every machine has one task at a time. Quotas are not considered.
+ */
 function startableTasks(job: JobRecord, allocations: JobAllocations | undefined): number {
   const { spec, done, failing } = job;
   const allocated = allocations?.tasks.size ?? 0;
--- a/src/core/scaling/rental-options.ts
+++ b/src/core/scaling/rental-options.ts
@@ -16,7 +16,7 @@
   readonly spot: boolean;
 }
 
-/** What the cloud has available now for the job, by price per task from the cheapest up. */
+/** The options for the job that the cloud has available now, in ascending order of price per task. */
 export function rentalOptions(spec: JobSpec, input: ScalingInput): RentalOption[] {
   const options: (RentalOption & { cost: number })[] = [];
   const billingKinds = spec.spot ? [true, false] : [false];
@@ -35,8 +35,9 @@
 }
 
 /**
- * The first of the options, given in order of cost, that the demand's zone rules allow. Among options of the same price,
- * the one in the zone with the fewest machines, so that the fleet is spread over the zones.
+ * The cheapest option that the demand's zone rules allow; null where they allow none. `options` are in ascending
+ * order of price per task. A later option whose machine costs no more is preferred if its zone has fewer machines, so
+ * that the fleet is spread over the zones.
  */
 export function chooseRentalOption(
   options: readonly RentalOption[],
--- a/src/core/scaling/scaling-plan.ts
+++ b/src/core/scaling/scaling-plan.ts
@@ -1,6 +1,7 @@
 /**
- * The leader's scaling plan: which machines change their shard, which are rented and which are released. It packs pending
- * tasks roughly as the shard controllers will place them; where it errs, the next plan starts from what really happened.
+ * The leader's scaling plan: which machines change their shard, which are rented and which are released. It packs
+ * pending tasks roughly as the shard controllers will place them; where they place tasks differently, the next plan
+ * corrects it, since it starts from the actual state.
  */
 import { compareJobs } from '../jobs/job-order.js';
 import type { NodeName } from '../model/ids.js';
@@ -11,17 +12,17 @@
 import type { BinMove, PendingDemand, ScalingInput, ScalingPlan } from './scaling-types.js';
 import { rebalanceShards } from './shard-rebalancing.js';
 
-/** Plans moves, rentals and releases. Pure: each plan is made from the present state alone. */
+/** Plans moves, rentals and releases. The plan depends on `input` alone; nothing is kept between plans. */
 export function planScaling(input: ScalingInput): ScalingPlan {
   return new ScalingPass(input).plan();
 }
 
-/** One making of the plan. */
+/** Makes one plan. */
 class ScalingPass {
   private readonly pendingJobs: readonly JobRecord[];
   private readonly packing: PackingState;
   private readonly quota: PlannedQuota;
-  /** Demands that machines of their own shard cannot take now. */
+  /** Demands with tasks that do not fit on machines of their own shard now. */
   private readonly unplaced: PendingDemand[] = [];
   /** Gangs for which their shard controller reserves machines; at most one for each shard. */
   private readonly reservingGangs = new Set<PendingDemand>();
@@ -38,8 +39,8 @@
   }
 
   /**
-   * Each shard first packs what its own machines can take, so that none loses a machine that it needs; the rest takes
-   * spare machines of other shards, then booting and rented ones. Headroom comes last.
+   * Packs the tasks of each shard on its own machines first, so that no shard loses a machine that it needs; then the
+   * remaining tasks on spare machines of other shards, on booting machines and on rentals. Headroom is packed last.
    */
   plan(): ScalingPlan {
     for (const job of this.pendingJobs) this.packOnOwnShard(job);
@@ -81,14 +82,14 @@
     this.unplaced.push(demand);
   }
 
-  /** Packs the machines that the shard controller reserves for the gang: they are neither moved nor released. */
+  /** Packs the gang on the machines that its shard controller reserves: these are then neither moved nor released. */
   private packReservation(demand: PendingDemand): void {
     this.shardsWithReservation.add(demand.shard);
     this.reservingGangs.add(demand);
     demand.tasks -= this.packing.fillOwnMachines(demand, demand.spec.tasks);
   }
 
-  /** Spare machines go to higher priorities first, then to the team with the lowest share, as within a shard. */
+  /** The order in which demands get spare machines: by priority, then by the team's dominant share, lowest first. */
   private sortUnplaced(): void {
     const { totals } = this.input;
     this.unplaced.sort(
@@ -110,7 +111,7 @@
     this.packing.fillOrRent(demand);
   }
 
-  /** Headroom on machines of any shard serves: they change their shard when they are needed. */
+  /** Packs headroom on machines of any shard, since a machine changes its shard when it is needed. */
   private packHeadroom(): void {
     for (const headroom of this.input.headroom) {
       const shard = this.input.shardByTeam.get(headroom.spec.team);
@@ -121,7 +122,10 @@
     }
   }
 
-  /** Machines in use that change their shard while the cloud has none: for higher priorities first, then to level shares. */
+  /**
+   * The moves of machines in use while neither the fleet nor the cloud has machines for all tasks: machines reclaimed
+   * for higher priorities, or those that rebalance shards if there is nothing to reclaim.
+   */
   private movesDuringShortage(): BinMove[] {
     const { bins, unmet } = this.packing;
     if (unmet.length === 0) return [];
--- a/src/core/scaling/scaling-types.ts
+++ b/src/core/scaling/scaling-types.ts
@@ -1,4 +1,4 @@
-/** Input, result and working records of the leader's scaling plan. */
+/** Input, result and intermediate types of the leader's scaling plan. */
 import type { MachineTraits } from '../jobs/feasibility.js';
 import type { JobOrderContext } from '../jobs/job-order.js';
 import type { TypeName, Zone, NodeName, TeamName } from '../model/ids.js';
@@ -12,7 +12,7 @@
   readonly shard: NodeName;
 }
 
-/** What the plan is made from. */
+/** The state from which a scaling plan is made. */
 export interface ScalingInput {
   /** Jobs that may be given machines; those that are not active, or whose team has no shard, are skipped. */
   readonly jobs: Iterable<JobRecord>;
@@ -26,28 +26,28 @@
   readonly types: readonly MachineType[];
   /** The shard that schedules each team. */
   readonly shardByTeam: ReadonlyMap<TeamName, NodeName>;
-  /** What the order of jobs depends on, except what the totals tell. */
+  /** What the order of jobs depends on, except `hasTasks`, which follows from the totals. */
   readonly order: Omit<JobOrderContext, 'hasTasks'>;
-  /** The machine can take tasks: it is up, reachable and not draining, or it is booting and not overdue. */
+  /** Whether the machine can take tasks: it is up, reachable and not draining, or it is booting and not overdue. */
   readonly isUsable: (machine: MachineRecord) => boolean;
   /**
-   * The machine has confirmed its owner's fencing token. One that cannot hear its owner must not be moved from shard to
-   * shard, where each new owner would judge it anew.
+   * Whether the machine has confirmed its owner's fencing token. A machine that cannot reach its owner must not be
+   * moved from shard to shard, since each new owner would start over in determining whether it has failed.
    */
   readonly isMovable: (machine: MachineRecord) => boolean;
-  /** The job must leave empty on-demand machines to the gangs that wait for them. */
+  /** Whether the job must leave empty on-demand machines to gangs that wait for them. */
   readonly leavesWholeMachinesToGangs: (job: JobRecord) => boolean;
-  /** The gang has waited so long that its shard controller reserves machines for it. */
+  /** Whether the gang has waited so long that its shard controller reserves machines for it. */
   readonly mayReserve: (job: JobRecord) => boolean;
-  /** Capacity to keep free beside the pending jobs. */
+  /** Capacity to keep free in addition to what the pending jobs need. */
   readonly headroom: readonly Headroom[];
   /** False while the cloud refuses machines of this type, zone and billing kind. */
   readonly isAvailable: (type: TypeName, zone: Zone, spot: boolean) => boolean;
-  /** The machine has been empty long enough to be released. */
+  /** Whether the machine has been empty long enough to be released. */
   readonly isIdle: (machine: MachineRecord) => boolean;
 }
 
-/** Capacity to keep free for a number of tasks of one shape. */
+/** Capacity to keep free: for `tasks` tasks of the kind that `spec` describes. */
 export interface Headroom {
   readonly spec: JobSpec;
   readonly tasks: number;
@@ -59,43 +59,43 @@
   readonly to: NodeName;
 }
 
-/** What the leader is to do now. */
+/** The actions that the leader is to take: machines to move, to rent and to release. */
 export interface ScalingPlan {
   readonly moves: readonly MachineMove[];
   readonly rentals: readonly RentalRequest[];
   readonly releases: readonly MachineRecord[];
 }
 
-/** Tasks of one job that need machines. */
+/** Tasks of one job, or of headroom, that need machines. */
 export interface PendingDemand {
   readonly spec: JobSpec;
   /** The shard that schedules the job's team. */
   readonly shard: NodeName;
-  /** Tasks that are not packed yet. */
+  /** Number of tasks that are not packed yet. */
   tasks: number;
-  /** The only zone that they may go to; null if they may go to any. */
+  /** The only zone that the tasks may go to; null if they may go to any. */
   zone: Zone | null;
-  /** Tasks of the job by zone: those allocated and those packed by this plan. */
+  /** Number of the job's tasks in each zone: those allocated and those packed by this plan. */
   readonly tasksPerZone: Map<Zone, number>;
-  /** Empty on-demand machines are left to gangs. */
+  /** Whether empty on-demand machines are left to gangs. */
   readonly leavesWholeMachinesToGangs: boolean;
 }
 
 /** A machine that exists, is being rented or is to be rented, with the resources that the plan leaves free on it. */
 export interface PackingBin extends MachineTraits {
-  /** The machine's record; null for a machine that is not rented yet. */
+  /** The machine's record; null for a machine that is being rented or is to be rented. */
   readonly machine: MachineRecord | null;
-  /** The machine has a record and nothing is allocated on it. */
+  /** Whether the machine has a record and nothing is allocated on it. */
   readonly isEmpty: boolean;
   /** The shard that the machine belongs to once the plan is carried out. */
   shard: NodeName;
   /** Resources left free by the allocated tasks and by those that the plan packs. */
   free: ResourceVector;
-  /** Number of tasks that the plan packs on it. */
+  /** Number of tasks that the plan packs into the bin. */
   plannedTasks: number;
 }
 
-/** A machine in use that is to change its shard. */
+/** The move of a bin's machine to another shard. */
 export interface BinMove {
   readonly bin: PackingBin;
   readonly to: NodeName;
--- a/src/core/scaling/shard-rebalancing.ts
+++ b/src/core/scaling/shard-rebalancing.ts
@@ -1,7 +1,7 @@
 /**
- * Rebalances shards while there are not machines for all: without it, a shard that has more than its teams' weights give
- * them keeps its machines busy with its own pending work for as long as it has any. What counts is the capacity that
- * shards have, since the use by their teams follows only as tasks end.
+ * Rebalances shards while there are not enough machines for all tasks. Otherwise a shard that has more capacity than
+ * its teams' weights entitle it to would keep its machines busy for as long as it has pending tasks of its own.
+ * Shards are compared by the capacity that they have, since what their teams use changes only as tasks end.
  */
 import { addToCount } from '../collections.js';
 import { allowsMachine } from '../jobs/feasibility.js';
@@ -11,12 +11,12 @@
 import { isUp, type MachineBin } from './packing-bins.js';
 import type { BinMove, PackingBin, PendingDemand, ScalingInput } from './scaling-types.js';
 
-/** Bounds the changes that one plan makes in the state service; plans follow each other about every second. */
+/** Limits the changes that one plan makes in the state service; the leader plans about once a second. */
 const MAX_REBALANCED_PER_PLAN = 2;
-/** Differences up to so many average machines are left as they are. */
+/** A surplus or deficit of up to this many machines of average size is not rebalanced. */
 const TOLERANCE_MACHINES = 1.5;
 
-/** The machines to move to the shards of unplaced array jobs; their `shard` is changed. */
+/** Moves up to `MAX_REBALANCED_PER_PLAN` machines to the shards of unplaced array jobs; changes the bins' `shard`. */
 export function rebalanceShards(
   input: ScalingInput,
   bins: readonly PackingBin[],
@@ -26,14 +26,14 @@
   if (machines.length === 0) return [];
   const shares = new CapacityShares(input, machines);
   const entitlements = entitledShares(input, shares.total, wantedShares(input, unplaced));
-  // With capacity left over everyone gets what they want, and nothing has to be rebalanced.
+  // If capacity is left over, all teams can get what they ask for and nothing has to be rebalanced.
   if (entitlements.left > 0) return [];
   const rebalancing = new Rebalancing(input, machines, shares, entitlements.byShard);
   for (const demand of unplaced) if (demand.spec.kind === 'array') rebalancing.moveMachinesTo(demand);
   return rebalancing.moves;
 }
 
-/** The capacity that each shard has, as a dominant share of the fleet. */
+/** The capacity of each shard's machines, as a dominant share of the fleet. */
 class CapacityShares {
   readonly total: number;
   private readonly byShard = new Map<NodeName, number>();
@@ -50,12 +50,12 @@
     this.total = total;
   }
 
-  /** The capacity of a shard's machines, as a share of the fleet. */
+  /** The capacity of the shard's machines, as a share of the fleet. */
   ofShard(shard: NodeName): number {
     return this.byShard.get(shard) ?? 0;
   }
 
-  /** Gives the machine and its share to another shard. */
+  /** Moves the machine and its share to another shard. */
   move(bin: MachineBin, to: NodeName): void {
     const share = this.shareOf(bin);
     addToCount(this.byShard, bin.shard, -share);
@@ -93,11 +93,14 @@
     }
   }
 
-  /** The machine's shard can give it away, and the demand's tasks can use it once the tasks on it have ended. */
+  /**
+   * Whether the machine may be moved, its shard has a surplus, and the demand's tasks can use the machine once the
+   * tasks on it have ended.
+   */
   private canMove(bin: MachineBin, { spec, shard }: PendingDemand): boolean {
     if (bin.shard === shard || this.surplusOf(bin.shard) < this.tolerance) return false;
     if (!this.input.isMovable(bin.machine) || !allowsMachine(spec, bin)) return false;
-    // Only arrays end by themselves, task by task.
+    // Only the tasks of arrays end on their own, one by one.
     if (bin.machine.placed.some((allocation) => allocation.kind !== 'array')) return false;
     return !this.moves.some((move) => move.bin === bin);
   }
@@ -111,7 +114,7 @@
   return dominantShare(resources, totals.fleetCapacity);
 }
 
-/** What each team uses and what its unplaced tasks would use, as dominant shares. */
+/** The dominant share that each team asks for: what it uses plus what its unplaced tasks would use. */
 function wantedShares(input: ScalingInput, unplaced: readonly PendingDemand[]): Map<TeamName, number> {
   const { totals, shardByTeam } = input;
   const wanted = new Map<TeamName, number>();
@@ -123,8 +126,9 @@
 }
 
 /**
- * Weighted max-min fairness: teams that want less than their part leave the rest to the others. Returns what the teams of
- * each shard are entitled to, and what nobody wants.
+ * Divides the total by weighted max-min fairness: teams that ask for less than their part leave the rest to the
+ * others. Returns the sum of what the teams of each shard are entitled to, and what is left once all teams have got
+ * what they ask for.
  */
 function entitledShares(
   { totals, shardByTeam }: ScalingInput,
