--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,7 +1,8 @@
 /**
- * Whether jobs that depend on others may start. Everything follows from the records: which jobs are unfinished, and
- * the final states of those that are over. Nothing is remembered between two calls, so that any controller that takes
- * over comes to the same result. That a job has left the view proves nothing: only its final state does.
+ * Decides whether jobs that depend on others may start. The result follows from the records alone: which jobs are
+ * unfinished, and the final states of the finished ones. No state is kept between calls, so that any controller that
+ * takes over comes to the same result. A job's absence from the view proves nothing: only its final state tells how
+ * it ended.
  */
 import type { JobId } from '../model/ids.js';
 import type { FinalRecord, JobRecord } from '../model/jobs.js';
@@ -11,48 +12,53 @@
 
 /** Whether a job that depends on others may start. */
 export type DependencyStatus =
-  /** All dependencies are done; since when, as far as their final states tell. */
+  /** All dependencies are done; `since` is when the last of them was, as far as their final states have been read. */
   | { readonly kind: 'ready'; readonly since: WallClockMs }
-  /** Some are unfinished; of the others, those whose final states are not read yet may have been cancelled. */
+  /**
+   * The dependencies in `by` are unfinished. Those in `unread` may have been cancelled: their final states have not
+   * been read yet.
+   */
   | { readonly kind: 'blocked'; readonly by: readonly JobId[]; readonly unread: readonly JobId[] }
-  /** All are over, and the final states of some are not read yet. */
+  /** No dependency is unfinished, but the final states of those in `unread` have not been read yet. */
   | { readonly kind: 'unknown'; readonly unread: readonly JobId[] }
-  /** A job that it depends on, directly or through others, was cancelled: that one. */
+  /** The job `because`, a direct or transitive dependency, was cancelled. */
   | { readonly kind: 'withdrawn'; readonly because: JobId };
 
-/** What follows from the records for all unfinished jobs. */
+/** The dependencies of all unfinished jobs, as resolved from the records. */
 export interface DependencyGraph {
-  /** Status by job; a job without dependencies is not in it. */
+  /** Status of each job that has dependencies; other jobs are not in the map. */
   readonly byJob: ReadonlyMap<JobId, DependencyStatus>;
-  /** What jobs inherit from those that depend on them. */
+  /** The urgency that jobs inherit from those that depend on them. */
   readonly inherited: ReadonlyMap<JobId, EffectiveUrgency>;
-  /** Unfinished jobs that may start, as they are to be scheduled: with what they inherit. */
+  /** Unfinished jobs that may start, with the urgency and times that they are scheduled with; see `withUrgency`. */
   readonly startable: readonly JobRecord[];
 }
 
-/** The records, and what is known beside them. */
+/** The records and lookups from which dependencies are resolved. */
 export interface DependencyInput {
   /** All unfinished jobs. */
   readonly jobs: ReadonlyMap<JobId, JobRecord>;
-  /** Undefined where the final state is not read yet. */
+  /** The final state of a finished job; undefined if it has not been read yet. */
   readonly finalState: (id: JobId) => FinalRecord | undefined;
-  /** Whether the job has tasks on machines: its dependencies were found done before, and stay so. */
+  /** Whether the job has tasks on machines. Its dependencies were done before these started, and stay done. */
   readonly hasStarted: (job: JobRecord) => boolean;
-  /** How long a task of the job takes, in milliseconds: the least time between its deadline and its dependencies'. */
+  /** How long a task of the job takes, in milliseconds: its dependencies are due at least this long before it. */
   readonly runMs: (job: JobRecord) => number;
 }
 
-/** What the dependencies of one job amount to. */
+/** The states of one job's direct dependencies, from which its own status follows. */
 interface DependencySummary {
-  /** The cancelled job that withdraws this one; the other fields are incomplete where there is one. */
+  /** The cancelled job that withdraws this one; null for none. Where it is set, the other fields are incomplete. */
   readonly cancelled: JobId | null;
-  /** When the last dependency was done, as far as known; at least the job's submission. */
+  /** When the last dependency was done, as far as known; never before the job's submission. */
   readonly since: WallClockMs;
+  /** Dependencies that are unfinished. */
   readonly unfinished: readonly JobId[];
+  /** Dependencies that are not unfinished and whose final states have not been read yet. */
   readonly unread: readonly JobId[];
 }
 
-/** Resolves the dependencies of all unfinished jobs, as far as their final states are read. */
+/** Resolves the dependencies of all unfinished jobs, as far as the final states of finished ones have been read. */
 export function resolveDependencies(input: DependencyInput): DependencyGraph {
   const { jobs } = input;
   const ordered = topologicalOrder(jobs.values(), jobs);
@@ -72,13 +78,13 @@
   return { byJob, inherited, startable };
 }
 
-/** Resolves the dependencies of one job; undefined where it has none. */
+/** Resolves the dependencies of one job, as far as final states have been read; undefined if the job has none. */
 export function resolveDependency(job: JobRecord, input: DependencyInput): DependencyStatus | undefined {
   const involved = transitiveDependencies(job, input.jobs);
   return resolveInOrder(topologicalOrder(involved, input.jobs), input).get(job.spec.id);
 }
 
-/** Dependencies that are over and whose final states have to be read to decide about the job. */
+/** The dependencies whose final states have to be read to decide whether the job may start. */
 export const unreadFinalStates = (status: DependencyStatus): readonly JobId[] =>
   status.kind === 'blocked' || status.kind === 'unknown' ? status.unread : [];
 
--- a/src/core/jobs/dependency-order.ts
+++ b/src/core/jobs/dependency-order.ts
@@ -4,12 +4,12 @@
 
 const NO_DEPENDENCIES: readonly JobId[] = [];
 
-/** The jobs that a job names as its dependencies. */
+/** The direct dependencies of a job. */
 export const dependenciesOf = (job: JobRecord): readonly JobId[] => job.spec.needs ?? NO_DEPENDENCIES;
 
 /**
- * The jobs that have dependencies, each after those of its dependencies that are unfinished and have some, too. Nothing
- * recurses, so that a chain may have any length.
+ * The candidates that have dependencies, each after those of its unfinished dependencies that have dependencies
+ * themselves. Works without recursion, so that a chain of any length does not overflow the stack.
  */
 export function topologicalOrder(
   candidates: Iterable<JobRecord>,
@@ -25,7 +25,7 @@
     if (earlier.length === 0) ordered.push(job);
     else missingCounts.set(job.spec.id, earlier.length);
   }
-  // The list grows while it is iterated over.
+  // `ordered` grows while it is iterated over.
   for (const { spec } of ordered)
     for (const dependent of dependents.get(spec.id) ?? []) {
       const missing = missingCounts.get(dependent.spec.id)! - 1;
@@ -35,13 +35,13 @@
   return ordered;
 }
 
-/** The job and the unfinished ones that it depends on, directly or through others. */
+/** The job and the unfinished jobs that it depends on, directly or transitively. */
 export function transitiveDependencies(
   job: JobRecord,
   unfinished: ReadonlyMap<JobId, JobRecord>,
 ): ReadonlySet<JobRecord> {
   const found = new Set<JobRecord>([job]);
-  // A set is iterated over in the order of insertion, including what is added meanwhile.
+  // Iteration over a set includes the elements that are added to it meanwhile.
   for (const dependent of found)
     for (const id of dependenciesOf(dependent)) {
       const dependency = unfinished.get(id);
--- a/src/core/jobs/feasibility.ts
+++ b/src/core/jobs/feasibility.ts
@@ -10,7 +10,7 @@
   return spec.types === null || spec.types.includes(type);
 }
 
-/** What a job's constraints are checked against: a machine, a packing bin or a kind of machine to rent. */
+/** The properties of a machine, a packing bin or a rental option that a job's constraints are checked against. */
 export interface MachineTraits {
   readonly type: TypeName;
   readonly zone: Zone;
@@ -24,12 +24,12 @@
   return spec.zone === null || spec.zone === machine.zone;
 }
 
-/** The zones to try one after the other, in a stable order; null stands for all of them together. */
+/** The zones to try for the job one after the other, in a stable order; null stands for all of them together. */
 export function zoneChoices(spec: JobSpec, zones: Iterable<Zone>): (Zone | null)[] {
   return spec.oneZone ? [...new Set(zones)].sort() : [null];
 }
 
-/** The zone that the job's further tasks must share with those already allocated; null if they are free to choose. */
+/** The zone that the job's further tasks must share with those already allocated; null if they may go to any zone. */
 export function requiredZone(spec: JobSpec, tasksPerZone: ReadonlyMap<Zone, number>): Zone | null {
   if (!spec.oneZone) return null;
   for (const [zone, tasks] of tasksPerZone) if (tasks > 0) return zone;
@@ -39,7 +39,7 @@
 /** Whether a job could ever run, or why not. */
 export type Feasibility = 'ok' | 'unknown_team' | 'fits_no_type' | 'over_limit';
 
-/** Whether the job could ever run. The caller must know the machine types before it asks. */
+/** Whether the job could ever run, or why not. `types` must have been loaded: no job fits an empty list. */
 export function checkFeasibility(
   spec: JobSpec,
   teams: ReadonlyMap<TeamName, Team>,
@@ -64,7 +64,7 @@
 
 const exceedsLimit = (amount: number, limit: number | null): boolean => limit !== null && amount > limit;
 
-/** At most this many tasks of a spread job may be in one zone. */
+/** How many tasks of the job may be in one zone: half of them, rounded up, for a spread job, otherwise all. */
 export function maxTasksPerZone(spec: JobSpec): number {
   return spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks;
 }
--- a/src/core/jobs/job-order.ts
+++ b/src/core/jobs/job-order.ts
@@ -1,24 +1,26 @@
-/** The order in which the jobs of a team are served. */
+/** The order in which the jobs of a team are scheduled. */
 import type { JobId } from '../model/ids.js';
 import { PRIORITY_RANK, type JobRecord } from '../model/jobs.js';
 import type { WallClockMs } from '../model/time.js';
 
-/** What the order depends on beside the jobs themselves. */
+/** What the order depends on, apart from the jobs themselves. */
 export interface JobOrderContext {
+  /** The present time. */
   readonly wallClock: WallClockMs;
-  /** Whether some task of the job is on a machine. */
+  /** Whether at least one task of the job is on a machine. */
   readonly hasTasks: (id: JobId) => boolean;
-  /** A job without tasks on machines for so long goes before arrays that are overdue. */
+  /** An array without tasks on machines this long after its submission goes before overdue arrays that have some. */
   readonly starvationMs: number;
 }
 
-/** How much later an array counts as due for each unfinished task. */
+/** How much later an array counts as due for each task that is not done. */
 const DELAY_PER_TASK_MS = 800;
+/** The longest delay that an array gets for its size, so that large arrays do not starve. */
 const MAX_DELAY_MS = 80_000;
-/** When a job without a deadline counts as due, from its submission on. */
+/** The time after its submission at which a job without a deadline counts as due. */
 const DEFAULT_DEADLINE_S = 60;
 
-/** Compares jobs of a team: by priority, then by the time at which their turn comes. */
+/** Compares jobs of a team: by priority, then by the ordering time, then by when they count as due, then by id. */
 export function compareJobs(context: JobOrderContext): (a: JobRecord, b: JobRecord) => number {
   return (a, b) => {
     const rank = PRIORITY_RANK[a.spec.priority] - PRIORITY_RANK[b.spec.priority];
@@ -35,8 +37,9 @@
   job.submitted + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000 + delayMs(job);
 
 /**
- * How much later a job counts as due than it is. By due time alone a backlog makes all arrays of a team late, the small
- * ones behind the large; so arrays with fewer tasks left go first, within a bound that keeps large ones from starving.
+ * How much later a job counts as due than its deadline. If only the deadline counted, a backlog would make all arrays
+ * of a team late, the small ones behind the large; so arrays with fewer tasks left go first, within a bound that
+ * keeps large ones from starving.
  */
 function delayMs({ spec, done }: JobRecord): number {
   if (spec.kind !== 'array') return 0;
@@ -44,8 +47,9 @@
 }
 
 /**
- * Wall-clock milliseconds at which the job's turn comes. An array that is overdue and has tasks on machines gives way to
- * arrays that have waited for long without any: a large one would else keep the small jobs of its team from starting.
+ * The job's ordering time, in wall-clock milliseconds. An array that is overdue and has tasks on machines is ordered
+ * after arrays that have waited longer than `starvationMs` without any; otherwise a large array would keep the small
+ * jobs of its team from starting.
  */
 function turnAt(
   { spec, submitted }: JobRecord,
--- a/src/core/jobs/job-urgency.ts
+++ b/src/core/jobs/job-urgency.ts
@@ -1,19 +1,21 @@
-/** How urgent jobs are, with what they inherit from the jobs that depend on them. */
+/** Urgency of jobs: their own priority and deadline, combined with those inherited from jobs that depend on them. */
 import type { JobId } from '../model/ids.js';
 import { PRIORITY_RANK, type JobRecord, type Priority } from '../model/jobs.js';
 import type { WallClockMs } from '../model/time.js';
 import { dependenciesOf } from './dependency-order.js';
 
-/** How urgent a job is, those that depend on it included. */
+/** A job's urgency, including that of the jobs that depend on it. */
 export interface EffectiveUrgency {
+  /** The highest priority among the job and those that depend on it. */
   readonly priority: Priority;
-  /** Wall-clock time by which it must be done, so that those that depend on it can be in time; null without deadline. */
+  /** Wall-clock milliseconds by which the job must be done for all of them to meet their deadlines; null for none. */
   readonly dueMs: number | null;
 }
 
 /**
- * What jobs inherit from those that depend on them: the highest of their priorities, and a deadline early enough for
- * each of them, since users set both on the last job of a pipeline only.
+ * The urgency that jobs inherit from those that depend on them: the highest of their priorities, and a deadline early
+ * enough for each of them, since users set both on the last job of a pipeline only. Jobs that inherit nothing are not
+ * in the map.
  *
  * @param dependents active jobs with dependencies, in topological order
  * @param unfinished all unfinished jobs
@@ -35,7 +37,7 @@
   return inherited;
 }
 
-/** The job as it is scheduled: its times count from `since`, but for its deadline, which stays where it is. */
+/** The job as it is scheduled: submitted at `since`, with its effective urgency, whose due time stays where it is. */
 export function withUrgency(
   job: JobRecord,
   since: WallClockMs,
