--- a/src/core/jobs/dependency-order.ts
+++ b/src/core/jobs/dependency-order.ts
@@ -15,22 +15,22 @@
   candidates: Iterable<JobRecord>,
   unfinished: ReadonlyMap<JobId, JobRecord>,
 ): JobRecord[] {
-  const missingCounts = new Map<JobId, number>();
+  const inDegrees = new Map<JobId, number>();
   const dependents = new Map<JobId, JobRecord[]>();
   const ordered: JobRecord[] = [];
   for (const job of candidates) {
     if (!hasDependencies(job)) continue;
-    const earlier = dependenciesOf(job).filter((id) => hasDependencies(unfinished.get(id)));
-    for (const id of earlier) addDependent(dependents, id, job);
-    if (earlier.length === 0) ordered.push(job);
-    else missingCounts.set(job.spec.id, earlier.length);
+    const predecessors = dependenciesOf(job).filter((id) => hasDependencies(unfinished.get(id)));
+    for (const id of predecessors) addDependent(dependents, id, job);
+    if (predecessors.length === 0) ordered.push(job);
+    else inDegrees.set(job.spec.id, predecessors.length);
   }
   // `ordered` grows while it is iterated over.
   for (const { spec } of ordered)
     for (const dependent of dependents.get(spec.id) ?? []) {
-      const missing = missingCounts.get(dependent.spec.id)! - 1;
-      missingCounts.set(dependent.spec.id, missing);
-      if (missing === 0) ordered.push(dependent);
+      const inDegree = inDegrees.get(dependent.spec.id)! - 1;
+      inDegrees.set(dependent.spec.id, inDegree);
+      if (inDegree === 0) ordered.push(dependent);
     }
   return ordered;
 }
--- a/src/core/jobs/done-tasks.ts
+++ b/src/core/jobs/done-tasks.ts
@@ -39,7 +39,7 @@
     bitmap[position >> 3]! |= 1 << (position & 7);
     count++;
   }
-  return trimmed(set.base, bitmap, count);
+  return trimmedDoneSet(set.base, bitmap, count);
 }
 
 /** The tasks within the job's window that are not done, in order; some of them may be on machines already. */
@@ -55,7 +55,7 @@
 }
 
 /** The set with a trimmed bitmap: full bytes at its start move the base, empty bytes at its end are cut off. */
-function trimmed(base: number, bitmap: Buffer, count: number): DoneSet {
+function trimmedDoneSet(base: number, bitmap: Buffer, count: number): DoneSet {
   let start = 0;
   while (start < bitmap.length && bitmap[start] === 0xff) start++;
   let end = bitmap.length;
--- a/src/core/jobs/job-order.ts
+++ b/src/core/jobs/job-order.ts
@@ -14,36 +14,36 @@
 }
 
 /** How much later an array counts as due for each task that is not done. */
-const DELAY_PER_TASK_MS = 800;
+const DUE_DELAY_PER_TASK_MS = 800;
 /** The longest delay that an array gets for its size, so that large arrays do not starve. */
-const MAX_DELAY_MS = 80_000;
+const MAX_DUE_DELAY_MS = 80_000;
 /** The time after its submission at which a job without a deadline counts as due. */
 const DEFAULT_DEADLINE_S = 60;
 
 /** Compares jobs of a team: by priority, then by the ordering time, then by when they count as due, then by id. */
 export function compareJobs(context: JobOrderContext): (a: JobRecord, b: JobRecord) => number {
   return (a, b) => {
-    const rank = PRIORITY_RANK[a.spec.priority] - PRIORITY_RANK[b.spec.priority];
-    if (rank !== 0) return rank;
+    const byPriority = PRIORITY_RANK[a.spec.priority] - PRIORITY_RANK[b.spec.priority];
+    if (byPriority !== 0) return byPriority;
     const dueA = effectiveDueAt(a);
     const dueB = effectiveDueAt(b);
-    const turn = turnAt(a, dueA, context) - turnAt(b, dueB, context);
-    return turn || dueA - dueB || (a.spec.id < b.spec.id ? -1 : 1);
+    const byOrderingTime = orderingTimeOf(a, dueA, context) - orderingTimeOf(b, dueB, context);
+    return byOrderingTime || dueA - dueB || (a.spec.id < b.spec.id ? -1 : 1);
   };
 }
 
 /** Wall-clock milliseconds at which the job counts as due. */
 const effectiveDueAt = (job: JobRecord): number =>
-  job.submitted + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000 + delayMs(job);
+  job.submitted + (job.spec.deadlineS ?? DEFAULT_DEADLINE_S) * 1000 + dueDelayMs(job);
 
 /**
  * How much later a job counts as due than its deadline. If only the deadline counted, a backlog would make all arrays
  * of a team late, the small ones behind the large; so arrays with fewer tasks left go first, within a bound that
  * keeps large ones from starving.
  */
-function delayMs({ spec, done }: JobRecord): number {
+function dueDelayMs({ spec, done }: JobRecord): number {
   if (spec.kind !== 'array') return 0;
-  return Math.min(MAX_DELAY_MS, (spec.tasks - done.count) * DELAY_PER_TASK_MS);
+  return Math.min(MAX_DUE_DELAY_MS, (spec.tasks - done.count) * DUE_DELAY_PER_TASK_MS);
 }
 
 /**
@@ -51,7 +51,7 @@
  * after arrays that have waited longer than `starvationMs` without any; otherwise a large array would keep the small
  * jobs of its team from starting.
  */
-function turnAt(
+function orderingTimeOf(
   { spec, submitted }: JobRecord,
   due: number,
   { wallClock, hasTasks, starvationMs }: JobOrderContext,
--- a/src/core/scaling/demand-forecast.ts
+++ b/src/core/scaling/demand-forecast.ts
@@ -60,17 +60,17 @@
    */
   headroom(query: HeadroomQuery): Headroom[] {
     const headroom: Headroom[] = [];
-    for (const [jobClass, all] of this.arrivalsByClass) {
-      const arrivals = this.arrivalsInWindow(all, query.nowS);
+    for (const [jobClass, recorded] of this.arrivalsByClass) {
+      const arrivals = this.arrivalsInWindow(recorded, query.nowS);
       this.arrivalsByClass.set(jobClass, arrivals);
       const latest = arrivals.at(-1);
       if (latest === undefined) continue;
       const type = query.machineTypeFor(latest.spec);
       if (type === undefined) continue;
-      const expected = this.expectedTasks(arrivals, latest.spec, type, query.nowS);
+      const target = this.targetTasks(arrivals, latest.spec, type, query.nowS);
       // Services do not end, so running ones free no capacity for later arrivals.
       const unfinished = isService(latest.spec) ? 0 : (query.unfinishedTasks.get(jobClass) ?? 0);
-      const tasks = Math.round(expected - unfinished);
+      const tasks = Math.round(target - unfinished);
       if (tasks > 0) headroom.push({ spec: latest.spec, tasks });
     }
     return headroom;
@@ -83,7 +83,7 @@
   }
 
   /** The mean number of tasks running at once, plus the configured number of standard deviations. */
-  private expectedTasks(
+  private targetTasks(
     arrivals: readonly Arrival[],
     latest: JobSpec,
     type: MachineType,
--- a/src/core/scaling/machine-reclaim.ts
+++ b/src/core/scaling/machine-reclaim.ts
@@ -43,29 +43,29 @@
 
   /** Reclaims machines until `tasks` tasks of the demand fit, no machine is left, or the plan's limit is reached. */
   reclaimFor(demand: PendingDemand, tasks: number): void {
-    const zone = demand.zone ?? (demand.spec.oneZone ? this.zoneWithMostPlaces(demand) : null);
+    const zone = demand.zone ?? (demand.spec.oneZone ? this.zoneWithMostCapacity(demand) : null);
     let left = tasks;
     for (const bin of this.bins) {
       if (left <= 0 || this.moves.length >= MAX_RECLAIMED_PER_PLAN) return;
       if (zone !== null && bin.zone !== zone) continue;
-      const places = this.placesOn(bin, demand);
-      if (places === 0) continue;
+      const taskCapacity = this.taskCapacityOf(bin, demand);
+      if (taskCapacity === 0) continue;
       this.moves.push({ bin, to: demand.shard });
-      left -= places;
+      left -= taskCapacity;
     }
   }
 
-  private zoneWithMostPlaces(demand: PendingDemand): Zone | null {
-    const placesPerZone = new Map<Zone, number>();
-    for (const bin of this.bins) addToCount(placesPerZone, bin.zone, this.placesOn(bin, demand));
+  private zoneWithMostCapacity(demand: PendingDemand): Zone | null {
+    const taskCapacityPerZone = new Map<Zone, number>();
+    for (const bin of this.bins) addToCount(taskCapacityPerZone, bin.zone, this.taskCapacityOf(bin, demand));
     let best: Zone | null = null;
-    for (const [zone, places] of placesPerZone)
-      if (best === null || places > placesPerZone.get(best)!) best = zone;
+    for (const [zone, taskCapacity] of taskCapacityPerZone)
+      if (best === null || taskCapacity > taskCapacityPerZone.get(best)!) best = zone;
     return best;
   }
 
   /** How many tasks of the demand fit on the machine once its own are stopped; 0 if it cannot be reclaimed. */
-  private placesOn(bin: PackingBin, { spec, shard }: PendingDemand): number {
+  private taskCapacityOf(bin: PackingBin, { spec, shard }: PendingDemand): number {
     if (bin.shard === shard || !isUp(bin) || !this.input.isMovable(bin.machine)) return 0;
     if (!runsOnlyLowPriorityArrays(bin.machine.placed) || this.isReclaimed(bin)) return 0;
     if (!allowsMachine(spec, bin)) return 0;
--- a/src/core/scaling/packing-state.ts
+++ b/src/core/scaling/packing-state.ts
@@ -152,7 +152,7 @@
       if (left === 0) break;
       const tasks = Math.min(
         left,
-        placesOn(bin, demand.spec, demand.zone),
+        taskCapacityOf(bin, demand.spec, demand.zone),
         tasksAllowedInZone(demand, bin.zone),
       );
       if (tasks <= 0) continue;
@@ -166,7 +166,7 @@
   private binsByScore(demand: PendingDemand, isAdmitted: BinFilter): PackingBin[] {
     const { spec, zone } = demand;
     const bins = this.candidates.filter(
-      (bin) => isAdmitted(bin) && !isLeftToGangs(bin, demand) && placesOn(bin, spec, zone) > 0,
+      (bin) => isAdmitted(bin) && !isLeftToGangs(bin, demand) && taskCapacityOf(bin, spec, zone) > 0,
     );
     if (bins.length <= 1) return bins;
     const scores = new Map(bins.map((bin) => [bin, scoreOf(bin, spec)]));
@@ -192,7 +192,7 @@
     let missing = spec.tasks;
     for (const bin of this.candidates) {
       if (missing <= 0) break;
-      if (isAdmitted(bin)) missing -= placesOn(bin, spec, zone);
+      if (isAdmitted(bin)) missing -= taskCapacityOf(bin, spec, zone);
     }
     return Math.max(0, missing);
   }
@@ -216,7 +216,7 @@
 }
 
 /** How many tasks of the job fit into the bin; 0 if the bin is outside `zone`, where null admits every zone. */
-function placesOn(bin: PackingBin, spec: JobSpec, zone: Zone | null): number {
+function taskCapacityOf(bin: PackingBin, spec: JobSpec, zone: Zone | null): number {
   if (!allowsMachine(spec, bin)) return 0;
   if (zone !== null && zone !== bin.zone) return 0;
   return tasksThatFit(spec.demand, bin.free);
