--- a/test/sim/agent-network.ts
+++ b/test/sim/agent-network.ts
@@ -1,4 +1,4 @@
-/** The network between agents and controllers: it delays, duplicates and holds back heartbeats. */
+/** The simulated network between agents and controllers, which delays, duplicates and holds back heartbeats. */
 import assert from 'node:assert/strict';
 import type { Controller } from '../../src/controller/controller.js';
 import { commandsToWire, heartbeatFromWire, redirectToWire } from '../../src/io/agents/agent-messages.js';
@@ -7,23 +7,23 @@
 import type { Simulation } from './simulation.js';
 import { LIMITS, type Json } from './sizes.js';
 
-/** Packets that a partition holds back are tried anew after this time. */
+/** Interval at which a message that a partition holds back is sent again. */
 export const PARTITION_RETRY_MS = 900;
-/** The share of messages that are slow, nearly as slow as an agent waits for an answer. */
+/** Share of messages that are slow: they may take nearly as long as an agent waits for an answer. */
 const SLOW_MESSAGE_PROBABILITY = 0.08;
 const SLOW_DELAY_MS = { min: 200, max: 3800 };
 const DELAY_MS = { min: 1, max: 5 };
-/** A duplicate arrives after up to this many leases. */
+/** Maximum delay of a duplicated heartbeat, as a multiple of the agents' lease. */
 const MAX_DUPLICATE_AGE_LEASES = 2.5;
 
-/** Carries heartbeats to controllers, and answers back. */
+/** Carries heartbeats to controllers and their answers to agents. */
 export class AgentNetwork {
-  /** Zones that reach only their own controllers, with all machines that boot there meanwhile. */
+  /** Zones across whose boundary no agent, even one that boots meanwhile, and no controller reach each other. */
   readonly partitionedZones = new Set<string>();
 
   constructor(private readonly simulation: Simulation) {}
 
-  /** Whether an agent and a controller do not reach each other. */
+  /** Whether a partition separates an agent from a controller in both directions. */
   isPartitioned(agent: SimulatedAgent, node: string): boolean {
     const { zone } = this.simulation.controllers.get(node)!;
     const isZonePartitioned =
@@ -31,7 +31,7 @@
     return isZonePartitioned || agent.partitionedFrom.has(node);
   }
 
-  /** Delivers a heartbeat; `done` gets the answer unless it is lost. */
+  /** Delivers a heartbeat; `done` receives the answer unless the answer is lost. */
   sendHeartbeat(
     agent: SimulatedAgent,
     node: string,
@@ -69,7 +69,7 @@
       const response = answerOf(controller, heartbeat);
       simulation.observe(node, `agent ${agent.name}`, response);
       simulation.time.after(this.delayMs(), () => {
-        if (!clock.dead && this.hasInboundPath(agent, node)) done(response);
+        if (!clock.isDead && this.hasInboundPath(agent, node)) done(response);
       });
     });
   }
@@ -88,7 +88,10 @@
     );
   }
 
-  /** Delivers a copy up to several leases later, whichever process runs there by then; nobody gets the answer. */
+  /**
+   * Delivers a copy of a heartbeat up to several leases later, to whichever process the controller runs by then, and drops
+   * the answer.
+   */
   private deliverDuplicateLater(node: string, body: Json): void {
     const { time } = this.simulation;
     time.after(time.int(1000, LIMITS.leaseS * 1000 * MAX_DUPLICATE_AGE_LEASES), () => {
@@ -107,7 +110,7 @@
   }
 }
 
-/** A controller's answer to a heartbeat, as it goes over the wire. */
+/** Has a controller answer a heartbeat; returns the answer in its wire format. */
 function answerOf(controller: Controller, body: Json): HttpResponse {
   const heartbeat = heartbeatFromWire(body);
   assert.ok(heartbeat !== null);
--- a/test/sim/change-log.ts
+++ b/test/sim/change-log.ts
@@ -1,9 +1,9 @@
-/** The committed changes that the simulated state service keeps for watches. */
+/** The log of committed changes from which the simulated state service answers watches. */
 
-/** Older changes are compacted away. */
+/** Number of changes that the log keeps; older ones are compacted away. */
 const MAX_CHANGES = 10_000;
 
-/** One change; `value` is undefined for a removal. */
+/** A committed change of one key; `value` is undefined for a removal. */
 export interface Change {
   readonly key: string;
   readonly revision: number;
@@ -25,12 +25,12 @@
     for (const listener of [...this.listeners]) listener();
   }
 
-  /** Whether changes after this revision may have been compacted away. */
+  /** Whether changes after the revision may have been compacted away. */
   isCompacted(revision: number): boolean {
     return this.changes.length >= MAX_CHANGES && revision < this.changes[0]!.revision;
   }
 
-  /** Changes after a revision, of keys with the prefix. */
+  /** Changes after the revision of keys that start with the prefix. */
   since(revision: number, prefix: string): Change[] {
     return this.changes.filter((change) => change.revision > revision && change.key.startsWith(prefix));
   }
--- a/test/sim/controller-connections.ts
+++ b/test/sim/controller-connections.ts
@@ -1,4 +1,4 @@
-/** What connects a simulated controller with the state service, the cloud, agents and other controllers. */
+/** Simulated connections of a controller to the state service, the cloud, agents and other controllers. */
 import type { Controller, ControllerDependencies } from '../../src/controller/controller.js';
 import { jobId } from '../../src/core/model/ids.js';
 import type { AgentGateway } from '../../src/io/agents/agent-client.js';
@@ -11,25 +11,25 @@
 import { NODES, type Json } from './sizes.js';
 import type { ProcessClock } from './virtual-time.js';
 
-/** Requests to the state service that a partition holds back are tried anew after this time. */
+/** Interval at which a request to the state service that a partition holds back is sent again. */
 const STATE_RETRY_MS = 700;
-/** Requests are lost or slow by themselves up to this time, so that everything can finish afterwards. */
+/** Simulated time after which no request to the state service is randomly lost or slow, so that all jobs can finish. */
 const UNRELIABLE_UNTIL_MS = 90_000;
 const LOSS_PROBABILITY = 0.002;
 const SLOW_PROBABILITY = 0.01;
 const DIRECT_COMMANDS_TIMEOUT_MS = 1500;
 const CLOUD_SLOW_PROBABILITY = 0.03;
 const CLOUD_LOSS_PROBABILITY = 0.3;
-/** A controller counts as connected where the state service answered within this time. */
+/** A controller has contact with the state service if that answered within this time. */
 const STATE_CONTACT_MS = 1500;
 const CANCEL_DELAY_MS = 3;
 
-/** The address at which the other controllers know a controller. */
+/** Address of a controller as seen by the other controllers. */
 export function addressOf(node: string): string {
   return `10.0.0.${NODES.indexOf(node)}`;
 }
 
-/** The connections of one process; they end with its clock. */
+/** The connections of one controller process; no answer arrives once the process's clock is dead. */
 export class ControllerConnections {
   constructor(
     private readonly simulation: Simulation,
@@ -37,7 +37,7 @@
     private readonly clock: ProcessClock,
   ) {}
 
-  all(): ControllerDependencies {
+  dependencies(): ControllerDependencies {
     const { time } = this.simulation;
     return {
       clock: this.clock,
@@ -54,9 +54,9 @@
 
   private requestState(...[method, path, body, timeoutMs]: Parameters<Transport['request']>) {
     const { state } = this.simulation;
-    return this.respond(timeoutMs, (respond) => {
+    return this.withTimeout(timeoutMs, (respond) => {
       this.simulation.observe(this.node.name, 'state', { method, path, body });
-      const request = this.asSent(body);
+      const request = this.bodyAsSent(body);
       const apply = () => state.handle(method, path, request);
       const answer = () => {
         this.respondFromState(0, respond, this.node.isRefusedByState ? { status: 503, body: null } : apply());
@@ -67,7 +67,7 @@
 
   private watchState(...[method, path, body, timeoutMs]: Parameters<Transport['request']>) {
     const { time, state } = this.simulation;
-    return this.respond(timeoutMs, (respond) => {
+    return this.withTimeout(timeoutMs, (respond) => {
       this.simulation.observe(this.node.name, 'state watch', { method, path, body });
       const answer = () => {
         state.follow(path, (response) => {
@@ -80,14 +80,14 @@
     });
   }
 
-  /** A promise that the process's clock times out. */
-  private respond(
+  /** Resolves with the response that `start` passes on; rejects after `timeoutMs` on the process's clock. */
+  private withTimeout(
     timeoutMs: number,
     start: (respond: (response: HttpResponse) => void) => void,
   ): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       this.clock.after(timeoutMs, () => {
-        reject(new Error('no answer'));
+        reject(new Error(`no answer within ${timeoutMs} ms`));
       });
       start(resolve);
     });
@@ -107,15 +107,15 @@
     });
   }
 
-  /** A request's body as the running version sends it. */
-  private asSent(body: unknown): unknown {
+  /** Copies a request's body, in the format of the version that the controller runs. */
+  private bodyAsSent(body: unknown): unknown {
     if (body === undefined) return undefined;
     const copy = structuredClone(body) as { readonly then?: readonly Json[] };
     if (this.node.runsPreviousVersion) for (const change of copy.then ?? []) toPreviousVersion(change);
     return copy;
   }
 
-  /** Delivers a request that a partition holds back when the partition ends, even if nobody waits any more. */
+  /** Delivers a request once no partition holds it back, even if its sender no longer waits for the answer. */
   private whenStateReachable(deliver: () => void): void {
     if (!this.node.unreachable.has('state')) deliver();
     else
@@ -124,7 +124,7 @@
       });
   }
 
-  /** Sends a request that may be lost, slow, or applied without an answer. */
+  /** Sends a request to the state service; the request may be lost, slow, or applied without an answer. */
   private sendToState(answer: () => void, apply: () => void, body: unknown): void {
     const { simulation } = this;
     const { time } = simulation;
@@ -134,7 +134,7 @@
     const isUnreliable = !simulation.isSmooth && time.now < UNRELIABLE_UNTIL_MS;
     if (isUnreliable && time.happens(LOSS_PROBABILITY)) return;
     if (hasChanges(body) && time.happens(simulation.lateWriteProbability)) {
-      // The answer is lost, and the change is applied after newer ones of the same process.
+      // The answer is lost, and the transaction is applied late, possibly after newer ones of the same process.
       time.after(time.int(2000, 12_000), () => {
         simulation.lateWritesApplied++;
         apply();
@@ -142,7 +142,7 @@
     } else if (simulation.maxStateDelayMs > 0) {
       time.after(time.int(0, simulation.maxStateDelayMs), arrive);
     } else {
-      // Some of the slow requests arrive after their sender gave up.
+      // A slow request may arrive after its sender has given up.
       const isSlow = isUnreliable && time.happens(SLOW_PROBABILITY);
       time.after(isSlow ? time.int(200, 6000) : time.int(1, 12), arrive);
     }
@@ -151,7 +151,7 @@
   private requestCloud(...[method, path, body, timeoutMs]: Parameters<Transport['request']>) {
     const { time, cluster } = this.simulation;
     this.simulation.observe(this.node.name, 'cloud', { method, path, body });
-    return this.respond(timeoutMs, (respond) => {
+    return this.withTimeout(timeoutMs, (respond) => {
       const isSlow = time.happens(CLOUD_SLOW_PROBABILITY);
       if (isSlow && time.happens(CLOUD_LOSS_PROBABILITY)) return;
       time.after(isSlow ? time.int(4000, 12_000) : time.int(20, 200), () => {
@@ -228,7 +228,7 @@
     };
   }
 
-  /** Asks another controller; null where no answer comes in time. */
+  /** Asks another controller; null where no answer comes within `timeoutMs`. */
   private askPeer<T>(
     request: { readonly name: string; readonly timeoutMs: number; readonly delayMs: number },
     ask: (peer: Controller) => Promise<T>,
@@ -240,7 +240,7 @@
       this.simulation.time.after(request.delayMs, () => {
         const peer = this.simulation.controllers.get(request.name)!;
         const { controller } = peer;
-        if (!this.reaches(peer) || controller === null) return;
+        if (!this.canReach(peer) || controller === null) return;
         peer.clock.run(() => {
           ask(controller)
             .then((answer) => {
@@ -254,7 +254,8 @@
     });
   }
 
-  private reaches(peer: SimulatedController): boolean {
+  /** Whether no partition separates the controller from another one. */
+  private canReach(peer: SimulatedController): boolean {
     const { node } = this;
     return (
       !node.unreachable.has('peers') &&
@@ -269,7 +270,7 @@
   return ((body as { readonly then?: readonly unknown[] } | undefined)?.then?.length ?? 0) > 0;
 }
 
-/** The previous version wrote final states without their time. */
+/** Removes from a change what the previous version did not write: the time of a job's final state. */
 function toPreviousVersion(change: Json): void {
   if (String(change['write']).startsWith('f/')) delete (change['value'] as Json)['at'];
 }
--- a/test/sim/lease-table.ts
+++ b/test/sim/lease-table.ts
@@ -1,21 +1,22 @@
 /** Leases of the simulated state service. */
 import type { VirtualTime } from './virtual-time.js';
 
-/** A lease may live for so much longer than was asked for. */
-const MAX_EXTRA_MS = 100;
+/** Maximum time by which a lease outlives its requested time to live. */
+const MAX_EXTRA_TTL_MS = 100;
 
 interface Lease {
   readonly ttlMs: number;
   expiresAt: number;
 }
 
-/** Grants and renews leases; the owner of the table removes the rows of those that have ended. */
+/** Grants, renews and expires leases; the state service removes the rows that are bound to an ended lease. */
 export class LeaseTable {
   private readonly leases = new Map<number, Lease>();
   private nextId = 1;
 
   constructor(private readonly time: VirtualTime) {}
 
+  /** Grants a lease and returns its id. */
   grant(ttlMs: number): number {
     const id = this.nextId++;
     this.leases.set(id, { ttlMs, expiresAt: this.expiryOf(ttlMs) });
@@ -35,16 +36,17 @@
     this.leases.delete(id);
   }
 
+  /** Ids of the leases that have run out and are not deleted yet. */
   expired(): number[] {
     return [...this.leases].filter(([, lease]) => lease.expiresAt < this.time.now).map(([id]) => id);
   }
 
-  /** Gives every lease its full time anew, as the service does after an outage. */
+  /** Restarts the time to live of every lease, as the state service does after an outage. */
   extendAll(): void {
     for (const lease of this.leases.values()) lease.expiresAt = this.time.now + lease.ttlMs;
   }
 
   private expiryOf(ttlMs: number): number {
-    return this.time.now + ttlMs + this.time.int(0, MAX_EXTRA_MS);
+    return this.time.now + ttlMs + this.time.int(0, MAX_EXTRA_TTL_MS);
   }
 }
--- a/test/sim/random-jobs.ts
+++ b/test/sim/random-jobs.ts
@@ -1,16 +1,17 @@
-/** Random jobs of simulated users. One seed gives one sequence of jobs, so the order of the draws must stay as it is. */
+/** Random jobs of simulated users. The order of the random draws must not change, or a seed gives other jobs. */
 import { submission } from '../samples.js';
 import { TEAMS, ZONES, type JobOverrides, type Json } from './sizes.js';
 import { newJob, type SubmittedJob } from './submitted-job.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** A job, and when its user requests its cancellation, if at all. */
+/** A random job and its planned cancellation. */
 export interface RandomJob {
   readonly job: SubmittedJob;
+  /** Simulated time at which the user requests the job's cancellation; null for never. */
   readonly cancelAt: number | null;
 }
 
-/** A valid job of up to so many tasks; what is not given is random. */
+/** Draws a valid job of at most `maxTasks` tasks; `overrides` replace what would be random. */
 export function randomJob(
   time: VirtualTime,
   id: string,
@@ -32,7 +33,7 @@
   return { job, cancelAt: randomCancellation(time, job, overrides) };
 }
 
-/** A job with a mistake that makes it impossible on every machine. */
+/** Draws a job that can never run: it is too large, or its team, machine type or zone does not exist. */
 export function randomInvalidJob(time: VirtualTime, id: string): Json {
   return submission({
     nameId: id,
@@ -50,7 +51,7 @@
   });
 }
 
-/** Services and jobs that always fail are cancelled at some time, of the others a few. */
+/** Draws a job's cancellation time: always for services and jobs that always fail, for a few others; null for never. */
 function randomCancellation(time: VirtualTime, job: SubmittedJob, overrides: JobOverrides): number | null {
   if (overrides.isNeverCancelled === true) return null;
   const isCancelled = job.kind === 'daemon' || job.alwaysFails || time.happens(0.15);
--- a/test/sim/request-bucket.ts
+++ b/test/sim/request-bucket.ts
@@ -1,20 +1,20 @@
-/** Token buckets of the simulated state service: each holds at most one second's worth of its rate. */
+/** Token buckets of the simulated state service; each holds at most the tokens of one second. */
 import type { VirtualTime } from './virtual-time.js';
 
-/** What the state service allows. */
+/** Request limits of the state service. */
 export interface Budget {
-  /** Requests per second. */
+  /** Maximum number of requests per second. */
   readonly rps: number;
-  /** Changes per second. */
+  /** Maximum number of changes per second. */
   readonly writeRps: number;
-  /** Changes in one transaction. */
+  /** Maximum number of changes in one transaction. */
   readonly txnOps: number;
 }
 
 /** Limits the rate of requests and of changes, and counts both. */
 export class RequestBucket {
-  /** All requests, the changes that were admitted, and the requests that were refused. */
-  readonly counts = { requests: 0, writes: 0, limited: 0 };
+  /** Totals: requests, whether admitted or refused; changes in admitted requests; refused requests. */
+  readonly counts = { requests: 0, writes: 0, refused: 0 };
   private requestTokens: number;
   private writeTokens: number;
   private refilledAt = 0;
@@ -27,12 +27,12 @@
     this.writeTokens = budget.writeRps;
   }
 
-  /** Takes one request with so many changes; false where a bucket is empty. */
+  /** Takes the tokens of a request with `writes` changes; false, and none are taken, where a bucket has too few. */
   take(budget: Budget, writes: number): boolean {
     this.refill(budget);
     this.counts.requests++;
     if (this.requestTokens < 1 || this.writeTokens < writes) {
-      this.counts.limited++;
+      this.counts.refused++;
       return false;
     }
     this.requestTokens -= 1;
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -1,20 +1,23 @@
-/** A rolling upgrade from the previous version, after which the limits of the state service fall. */
+/** A rolling upgrade from the previous version, followed by lower limits of the state service. */
 import type { Simulation } from './simulation.js';
 import { NODES } from './sizes.js';
 
-/** Between the restarts of two controllers. */
+/** Time between the restarts of two controllers. */
 const RESTART_INTERVAL_MS = 4000;
-/** How long a controller is away. */
+/** Time for which a controller is down during its restart. */
 const RESTART_MS = 700;
-/** From the last restart's turn to the lower limits. */
+/** Time from the end of the last restart interval until the lower limits apply. */
 const LIMITS_DELAY_MS = 3000;
 const LOWER_VALUE_KB = 2;
+/** Lowered write budget as a share of the original one. */
 const LOWER_WRITE_SHARE = 0.75;
+/** Lower bound of the lowered number of changes in one transaction. */
 const MIN_TXN_OPS = 3;
 
 /**
- * Restarts the controllers one after the other from the given time on, each with the new version; then users submit
- * pipelines, and soon the limits of the state service fall.
+ * Restarts the controllers one after the other with the new version, the first after `fromMs`. Once the last has
+ * restarted users submit pipelines too. Then the lower limits of the state service apply, which the new version's
+ * settings announce.
  */
 export function scheduleRollingUpgrade(simulation: Simulation, fromMs: number): void {
   const { time, size, state } = simulation;
--- a/test/sim/simulated-agent.ts
+++ b/test/sim/simulated-agent.ts
@@ -1,47 +1,49 @@
-/** A simulated agent, written from PROTOCOL: it sends heartbeats, executes commands and runs tasks. */
+/** A simulated agent, written from the protocol specification: sends heartbeats, executes commands, runs tasks. */
 import assert from 'node:assert/strict';
 import type { HttpResponse } from '../../src/io/http-client.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 import { attemptKey, taskName, type SimulatedTask } from './simulated-task.js';
 import type { Json } from './sizes.js';
 
-/** An agent gives a controller up after this time without an answer. */
+/** Time without an answer after which an agent turns to the next controller. */
 const ANSWER_TIMEOUT_MS = 4000;
-/** Wait before the next controller is tried. */
+/** Delay before the next controller is tried. */
 const RETRY_MS = 1000;
-/** The least time between two heartbeats when something has changed. */
+/** Minimum time between two heartbeats of which the second reports a change. */
 const MIN_HEARTBEAT_INTERVAL_MS = 500;
-/** How long pulling an image takes. */
+/** Duration of an image pull. */
 const PULL_MS = { min: 200, max: 3000 };
-/** A hung agent's task looks this often whether it may end. */
+/** Interval at which a finished task on a hung agent checks whether the agent has resumed. */
 const HUNG_RETRY_MS = 500;
 
-/** One agent, from its machine's boot until the machine is terminated. */
+/** The agent of one machine, from the machine's boot until its termination. */
 export class SimulatedAgent {
-  /** The highest fencing token seen. */
+  /** Highest fencing token that the agent has seen. */
   token = 0;
+  /** Epoch of the agent; a new one begins whenever the lease runs out. */
   agentEpoch = 1;
+  /** Sequence number of the latest heartbeat. */
   sequence = 0;
-  /** Its tasks by `attemptKey`, those that ended until a controller confirms their exit. */
+  /** Tasks of the agent by `attemptKey`; ended tasks are listed until a controller confirms their exit. */
   readonly tasks = new Map<string, SimulatedTask>();
-  /** The controller to which it sends heartbeats now. */
+  /** Controller to which the agent sends its heartbeats now. */
   controller: string;
-  /** The agent does nothing; its tasks do not end. */
+  /** Whether the agent hangs: it sends and handles nothing, and its tasks do not end. */
   isHung = false;
-  /** Its heartbeats arrive, but answers and commands do not reach it. */
+  /** Whether answers and direct commands do not reach the agent, while its heartbeats arrive. */
   isInboundPartitioned = false;
-  /** It reaches no controller, while direct commands reach it. */
+  /** Whether the agent reaches no controller, while direct commands reach it. */
   isOutboundPartitioned = false;
   isTerminated = false;
-  /** Controllers that it does not reach, and that do not reach it. */
+  /** Controllers from which the agent is partitioned in both directions. */
   readonly partitionedFrom = new Set<string>();
-  /** When the last heartbeat that was answered had been sent; the lease counts from there. */
+  /** Send time of the latest answered heartbeat, from which the lease counts. */
   private leaseStartedAt: number;
-  /** The number of the heartbeat that waits for an answer or a retry; 0: none. */
-  private inFlight = 0;
+  /** Number of the heartbeat that waits for an answer or for the delay before a retry; 0 for none. */
+  private pendingHeartbeat = 0;
   private hasChanged = false;
   private lastSentAt = 0;
-  private heldCommands: (() => void)[] = [];
+  private deferredCommands: (() => void)[] = [];
 
   constructor(
     readonly cluster: SimulatedCluster,
@@ -55,11 +57,14 @@
     this.runLeaseLoop();
   }
 
-  /** Takes commands that a controller sends by itself; a hung agent takes them once it resumes. */
+  /**
+   * Executes commands that a controller sends directly, not in the answer to a heartbeat, and passes a heartbeat to `done`.
+   * Ignores commands with an old token or of another epoch. A hung agent handles the request when it resumes.
+   */
   handleDirectCommands(body: Json, done: (heartbeat: Json) => void): void {
     if (this.isTerminated) return;
     if (this.isHung) {
-      this.heldCommands.push(() => {
+      this.deferredCommands.push(() => {
         this.handleDirectCommands(body, done);
       });
       return;
@@ -73,16 +78,16 @@
     done(this.heartbeat());
   }
 
-  /** Ends a hang: the lease is checked first, then what came in meanwhile is handled. */
+  /** Ends a hang: checks the lease first, then handles the direct commands that arrived during the hang. */
   resume(): void {
     this.isHung = false;
     this.checkLease();
-    const held = this.heldCommands;
-    this.heldCommands = [];
-    for (const handle of held) handle();
+    const deferred = this.deferredCommands;
+    this.deferredCommands = [];
+    for (const handle of deferred) handle();
   }
 
-  /** Starts a pulled task, or a gang's task once the whole gang is ready. */
+  /** Runs a task whose image is pulled; a gang's task only once the whole gang is ready. */
   runTask(task: SimulatedTask): void {
     task.state = 'running';
     this.hasChanged = true;
@@ -96,7 +101,7 @@
     time.after(task.job.runMs + task.job.staggerMs * task.index, finish);
   }
 
-  /** Ends a task; it stays listed until a controller confirms its exit. */
+  /** Ends a task, which stays listed until a controller confirms its exit. */
   endTask(task: SimulatedTask, exitCause: string): void {
     task.state = 'ended';
     task.exitCause = exitCause;
@@ -104,7 +109,7 @@
     this.hasChanged = true;
   }
 
-  /** The machine is gone, with all of its tasks. */
+  /** Ends the agent with its machine and all of its tasks. */
   terminate(): void {
     this.isTerminated = true;
     for (const task of [...this.tasks.values()]) this.cluster.recordTaskExit(this, task, 'gone');
@@ -119,7 +124,7 @@
     });
   }
 
-  /** Kills all tasks and begins a new epoch when the lease has run out. */
+  /** Kills all tasks and begins a new epoch if the lease has run out. */
   private checkLease(): void {
     if (this.isHung || this.isTerminated) return;
     const { time, limits } = this.cluster;
@@ -135,7 +140,7 @@
   private runHeartbeatLoop(): void {
     if (this.isTerminated) return;
     const { time } = this.cluster;
-    if (!this.isHung && this.inFlight === 0 && this.isHeartbeatDue()) this.sendHeartbeat();
+    if (!this.isHung && this.pendingHeartbeat === 0 && this.isHeartbeatDue()) this.sendHeartbeat();
     time.after(this.cluster.agentTickMs * time.real(0.9, 1.1), () => {
       this.runHeartbeatLoop();
     });
@@ -153,34 +158,34 @@
     const { time } = this.cluster;
     this.lastSentAt = time.now;
     this.hasChanged = false;
-    const number = ++this.inFlight;
+    const number = ++this.pendingHeartbeat;
     const sentAt = time.now;
     const epoch = this.agentEpoch;
     const target = this.controller;
-    let isOver = false;
-    const tryNext = (node: string, delayMs: number) => {
-      isOver = true;
-      this.controller = node;
+    let isSettled = false;
+    const retryAt = (controller: string, delayMs: number) => {
+      isSettled = true;
+      this.controller = controller;
       time.after(delayMs, () => {
-        if (this.inFlight === number) this.inFlight = 0;
+        if (this.pendingHeartbeat === number) this.pendingHeartbeat = 0;
         this.hasChanged = true;
         this.lastSentAt = 0;
       });
     };
     time.after(ANSWER_TIMEOUT_MS, () => {
-      if (!isOver) tryNext(this.controllerAfter(target), RETRY_MS);
+      if (!isSettled) retryAt(this.controllerAfter(target), RETRY_MS);
     });
     this.cluster.sendToController(this, target, this.heartbeat(), (response) => {
-      if (isOver || this.isTerminated || this.isHung) return;
+      if (isSettled || this.isTerminated || this.isHung) return;
       if (response.status === 200) {
-        isOver = true;
-        this.inFlight = 0;
+        isSettled = true;
+        this.pendingHeartbeat = 0;
         this.handleAnswer(response.body as Json, sentAt, epoch);
         return;
       }
       const owner = this.redirectTarget(response, target);
-      if (owner === null) tryNext(this.controllerAfter(target), RETRY_MS);
-      else tryNext(owner, time.int(0, 500));
+      if (owner === null) retryAt(this.controllerAfter(target), RETRY_MS);
+      else retryAt(owner, time.int(0, 500));
     });
   }
 
@@ -189,7 +194,7 @@
     return nodes[(nodes.indexOf(node) + 1) % nodes.length]!;
   }
 
-  /** The other controller that a redirect names; null where the answer is no usable redirect. */
+  /** The other controller that a redirect names; null where the answer is no redirect or names no other controller. */
   private redirectTarget(response: HttpResponse, from: string): string | null {
     if (response.status !== 421) return null;
     const owner = (response.body as Json)['answersTo'] as string | undefined;
@@ -197,7 +202,7 @@
     return owner;
   }
 
-  /** Answers with an old token, or to a heartbeat of an earlier epoch, are void. */
+  /** Handles the answer to a heartbeat; ignores an answer with an old token or to a heartbeat of an earlier epoch. */
   private handleAnswer(body: Json, sentAt: number, epoch: number): void {
     const token = Number(body['mandate'] ?? -1);
     if (token < this.token || epoch !== this.agentEpoch) return;
@@ -244,7 +249,7 @@
     const separator = name.lastIndexOf('/');
     const id = name.slice(0, separator);
     const job = this.cluster.submitted.get(id);
-    assert.ok(job !== undefined, `${id} was never submitted and is started`);
+    assert.ok(job !== undefined, `a run command names ${name}, but no user submitted job ${id}`);
     const index = Number(name.slice(separator + 1));
     const task: SimulatedTask = { job, id, index, attempt, state: 'pulling', exitCause: null };
     this.tasks.set(attemptKey(task), task);
@@ -268,7 +273,7 @@
     );
   }
 
-  /** The image is there: the task runs, or waits for the rest of its gang. */
+  /** Continues after the image pull: the task runs, waits for the rest of its gang, or fails. */
   private finishPull(task: SimulatedTask): void {
     if (task.job.alwaysFails) this.endTask(task, 'error');
     else if (task.job.kind === 'ensemble') this.waitForGang(task);
@@ -293,7 +298,7 @@
     this.endTask(task, 'done');
   }
 
-  /** Whether the task is still listed here: a lease that ran out drops it. */
+  /** Whether the agent still lists the task; tasks are dropped when the lease runs out or the machine is terminated. */
   private holds(task: SimulatedTask): boolean {
     return this.tasks.get(attemptKey(task)) === task;
   }
--- a/test/sim/simulated-cloud.ts
+++ b/test/sim/simulated-cloud.ts
@@ -1,14 +1,15 @@
-/** A simulated cloud, written from PROTOCOL: it rents machines, boots an agent on each, and lists them with a lag. */
+/** A simulated cloud, written from the protocol specification: rents out machines and lists them with a lag. */
 import type { HttpResponse } from '../../src/io/http-client.js';
 import type { SimulatedAgent } from './simulated-agent.js';
 import { MACHINE_CAPACITY } from './simulated-task.js';
 import type { Json } from './sizes.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** How long a machine boots, and the share of machines that never come up. */
+/** Boot time of a machine. */
 const BOOT_MS = { min: 500, max: 6000 };
+/** Share of machines that never finish booting. */
 const BOOT_FAILURE_PROBABILITY = 0.1;
-/** Listings show the machines as they were so long ago. */
+/** Age of the state that a listing shows. */
 const LIST_LAG_MS = { min: 1000, max: 4000 };
 
 const MACHINE_TYPE = {
@@ -24,16 +25,16 @@
 
 /** A rented machine. */
 export interface SimulatedMachine {
-  /** Null until the machine has booted. */
+  /** The machine's agent; null until the machine has booted. */
   agent: SimulatedAgent | null;
   readonly zone: string;
   readonly isSpot: boolean;
   readonly rentedAt: number;
-  /** Infinite where the machine never comes up. */
+  /** Simulated time at which the machine has booted; infinite where it never does. */
   bootedAt: number;
 }
 
-/** What the cloud is given. */
+/** Dependencies and size of a simulated cloud. */
 export interface SimulatedCloudOptions {
   readonly time: VirtualTime;
   readonly machinesPerZone: number;
@@ -42,13 +43,14 @@
 
 export class SimulatedCloud {
   readonly machines = new Map<string, SimulatedMachine>();
-  /** Machines that were returned with tasks on them. */
+  /** Number of machines that were released while tasks were on them. */
   busyMachinesReturned = 0;
-  private readonly rentals = new Map<string, string[]>();
-  private lastNumber = 0;
+  private readonly namesByRental = new Map<string, string[]>();
+  private machinesRented = 0;
 
   constructor(private readonly options: SimulatedCloudOptions) {}
 
+  /** Answers a request of a controller. */
   handle(url: string, body: unknown): HttpResponse {
     const [path = ''] = url.split('?');
     if (path === '/machine_types') return { status: 200, body: { flavors: [MACHINE_TYPE] } };
@@ -84,11 +86,11 @@
     return { status: 200, body: { tellers, hasNext: false } };
   }
 
-  /** Repeating a rental returns the same machines. */
+  /** Rents out machines; a repeated request with the same rental id gets the same machines. */
   private rent(body: Json): HttpResponse {
     const { time, machinesPerZone } = this.options;
     const rental = String(body['rental']);
-    const known = this.rentals.get(rental);
+    const known = this.namesByRental.get(rental);
     if (known !== undefined) return { status: 200, body: { tellers: known } };
     const zone = String(body['vault']);
     const used = [...this.machines.values()].filter((machine) => machine.zone === zone).length;
@@ -97,13 +99,13 @@
     const names: string[] = [];
     for (let i = 0; i < count; i++)
       names.push(this.bootMachine(zone, body['loaner'] === true, time.int(BOOT_MS.min, BOOT_MS.max)));
-    this.rentals.set(rental, names);
+    this.namesByRental.set(rental, names);
     return { status: 200, body: { tellers: names } };
   }
 
   private bootMachine(zone: string, isSpot: boolean, bootMs: number): string {
     const { time, startAgent } = this.options;
-    const name = `n-${String(++this.lastNumber).padStart(6, '0')}`;
+    const name = `n-${String(++this.machinesRented).padStart(6, '0')}`;
     const machine: SimulatedMachine = {
       agent: null,
       zone,
--- a/test/sim/simulated-cluster.ts
+++ b/test/sim/simulated-cluster.ts
@@ -1,20 +1,20 @@
-/** The simulated machines of a run: the cloud that rents them, their agents, and the invariants of what runs on them. */
+/** The simulated machines of a run: the cloud that rents them out, their agents, and the invariants of their tasks. */
 import type { HttpResponse } from '../../src/io/http-client.js';
 import { checkNoCancelledTaskRuns, checkTaskStart } from './placement-invariants.js';
 import { SimulatedAgent } from './simulated-agent.js';
 import { SimulatedCloud, type SimulatedMachine } from './simulated-cloud.js';
 import type { SimulatedTask } from './simulated-task.js';
-import type { Json, Limits } from './sizes.js';
+import type { AgentTimings, Json } from './sizes.js';
 import { starvedJobs } from './starved-jobs.js';
 import type { SubmittedJob } from './submitted-job.js';
 import { TaskPlacements } from './task-placements.js';
 import type { VirtualTime } from './virtual-time.js';
 
 const DEFAULT_AGENT_TICK_MS = 100;
-/** Agents notice the loss of a gang's task at the earliest after so long. */
+/** Minimum time after which the other tasks of a gang end when one of its tasks is lost. */
 const MIN_GANG_NOTICE_S = 0.2;
 
-/** Carries a heartbeat to a controller, and its answer back. */
+/** Sends a heartbeat to a controller; `done` receives the answer. */
 export type SendToController = (
   agent: SimulatedAgent,
   node: string,
@@ -22,26 +22,26 @@
   done: (response: HttpResponse) => void,
 ) => void;
 
-/** What a cluster is made of. */
+/** Dependencies and size of a simulated cluster. */
 export interface SimulatedClusterOptions {
   readonly time: VirtualTime;
-  /** The controllers that agents may talk to. */
+  /** Controllers to which agents may send heartbeats. */
   readonly nodes: readonly string[];
-  readonly limits: Limits;
-  /** GPUs that each team may use at once. */
+  readonly limits: AgentTimings;
+  /** Number of GPUs that each team may use at once. */
   readonly quota: ReadonlyMap<string, number>;
   readonly machinesPerZone: number;
   readonly sendToController: SendToController;
-  /** Where a machine's agent takes direct commands; by default the machine's name. */
+  /** Address at which a machine's agent accepts direct commands; by default the machine's name. */
   readonly endpointOf?: (name: string) => string;
-  /** How often an agent looks whether it has something to do. */
+  /** Interval of an agent's check for a due heartbeat. Leases are checked half as often. */
   readonly agentTickMs?: number | undefined;
 }
 
 export class SimulatedCluster {
   readonly time: VirtualTime;
   readonly nodes: readonly string[];
-  readonly limits: Limits;
+  readonly limits: AgentTimings;
   readonly quota: ReadonlyMap<string, number>;
   readonly sendToController: SendToController;
   readonly endpointOf: (name: string) => string;
@@ -50,11 +50,11 @@
   /** All jobs that users have submitted, accepted or not. */
   readonly submitted = new Map<string, SubmittedJob>();
   readonly placements = new TaskPlacements();
-  /** Tasks started so far. */
+  /** Number of tasks started so far. */
   starts = 0;
-  /** Tasks killed because a lease ran out. */
+  /** Number of tasks killed because an agent's lease ran out. */
   tasksLostToLeaseExpiry = 0;
-  /** Called at the moment at which a job's last task ends. */
+  /** Called when a job's last task has ended successfully, before any controller knows of it. */
   onLastTaskDone: (id: string) => void = () => undefined;
 
   constructor(options: SimulatedClusterOptions) {
@@ -72,7 +72,7 @@
     });
   }
 
-  /** The machines that the cloud has rented out. */
+  /** Machines that the cloud has rented out, by name. */
   get machines(): Map<string, SimulatedMachine> {
     return this.cloud.machines;
   }
@@ -83,18 +83,18 @@
     );
   }
 
-  /** Accepted jobs of which nothing runs though there is room. */
+  /** Ids of accepted jobs of which no task runs although a machine has room and the team's quota allows it. */
   starvedJobs(): string[] {
     return starvedJobs(this, this.liveAgents());
   }
 
-  /** Checks the invariants of a start and records it. */
+  /** Checks the invariants of a task's start and records the start. */
   recordTaskStart(agent: SimulatedAgent, task: SimulatedTask): void {
     this.starts++;
     checkTaskStart(this, agent, task);
   }
 
-  /** Removes a task from its machine; a gang ends as a whole. */
+  /** Removes a task from its machine; the exit of a gang's task ends the rest of the gang. */
   recordTaskExit(agent: SimulatedAgent, task: SimulatedTask, exitCause: string): void {
     if (!this.placements.remove(agent, task) || task.job.kind !== 'ensemble') return;
     if (exitCause === 'done') this.endRunningGang(task, 'done');
@@ -104,25 +104,25 @@
       });
   }
 
-  /** Runs the gang of a task once all of its tasks wait. */
+  /** Runs the gang of a task if all tasks of the gang are waiting. */
   startGangIfComplete(task: SimulatedTask): void {
     const waiting = this.placements.gangOf(task).filter(([, member]) => member.state === 'waiting');
     if (waiting.length < task.job.tasks) return;
     for (const [agent, member] of waiting) agent.runTask(member);
   }
 
-  /** Fails where a task still runs though its job's cancellation was reported. */
+  /** Fails if a task is on a machine longer than `cancelS` after its job's cancellation was reported to the user. */
   checkNoCancelledTaskRuns(): void {
     checkNoCancelledTaskRuns(this.placements, this.time.now, this.limits.cancelS * 1000);
   }
 
-  /** When the cancellation of the job, or of one that it depends on, was first reported; infinite where none was. */
+  /** Earliest time at which the job or one that it depends on was reported as cancelled; infinite where none was. */
   cancelledFrom(id: string): number {
     const times = this.withDependencies(id).map((job) => job.observedCancelledAt ?? Number.POSITIVE_INFINITY);
     return Math.min(...times);
   }
 
-  /** Whether the user of the job, or of one that it depends on, has asked for its cancellation. */
+  /** Whether a user has requested the cancellation of the job or of one that it depends on. */
   isCancellationRequested(id: string): boolean {
     return this.withDependencies(id).some((job) => job.isCancellationRequested);
   }
@@ -132,7 +132,7 @@
       if (member.state === 'running' && !agent.isTerminated) agent.endTask(member, exitCause);
   }
 
-  /** The job and all that it depends on, directly or through others. */
+  /** The job and all of its direct and transitive dependencies. */
   private withDependencies(id: string): SubmittedJob[] {
     const ids = new Set([id]);
     for (const reached of ids) for (const needed of this.submitted.get(reached)!.needs) ids.add(needed);
--- a/test/sim/simulated-controller.ts
+++ b/test/sim/simulated-controller.ts
@@ -1,4 +1,4 @@
-/** A controller of a seeded run: it can crash, restart, pause, be partitioned, and run the previous version. */
+/** A controller of a seeded run, which can crash, restart, pause, be partitioned, or run the previous version. */
 import { pino } from 'pino';
 import { readOperatorSettings } from '../../src/config/operator-settings.js';
 import type { PlatformSettings } from '../../src/config/platform-settings.js';
@@ -10,7 +10,7 @@
 import { LIMITS, NODES, TEAMS, ZONES } from './sizes.js';
 import { ProcessClock } from './virtual-time.js';
 
-/** The operators' file of seeded runs: intervals are shorter than in production. */
+/** The operators' file of seeded runs, with shorter intervals than in production. */
 const OPERATOR_FILE = `
 [placement]
 behind_s = 20
@@ -24,34 +24,39 @@
 settled_s = 2
 `;
 
-/** Drift of a process's monotonic clock, and offset of its wall clock. */
+/** Maximum speed of a process's monotonic clock, relative to simulated time. */
 const MAX_CLOCK_RATE = 1.0005;
+/** Maximum error of a process's wall clock, in both directions. */
 const MAX_WALL_CLOCK_OFFSET_MS = 100;
 
-/** What a controller may be cut off from. */
+/** What a controller may be unable to reach; `workers` are the agents. */
 export type Dependency = 'state' | 'workers' | 'peers';
 
+/** Returns an error as it is, and wraps any other thrown value. */
 export const asError = (error: unknown): Error =>
-  error instanceof Error ? error : new Error('failed', { cause: error });
+  error instanceof Error ? error : new Error('a value other than an Error was thrown', { cause: error });
 
 export class SimulatedController {
-  /** Null while the process is down. */
+  /** The controller of the current process; null while the process is down. */
   controller: Controller | null = null;
-  /** The clock of the current process, or of the last one. */
+  /** Clock of the current process, or of the last one while the process is down. */
   clock: ProcessClock;
-  /** Processes started so far. */
+  /** Number of processes started so far. */
   starts = 0;
-  /** The packages that the node runs, made anew with each start. */
+  /** Creates the packages that the controller runs; called at each start. */
   packages: (settings: PlatformSettings) => readonly LoadedPlugin[] = () => [];
-  /** Controllers that it does not reach, and that do not reach it. */
+  /** Controllers from which the controller is partitioned in both directions. */
   readonly partitionedFrom = new Set<string>();
-  /** What the node cannot reach now. */
+  /** Dependencies that the controller cannot reach now. */
   readonly unreachable = new Set<Dependency>();
-  /** The state service refuses this node's requests, other than watches. */
+  /** Whether the state service refuses the controller's requests, other than watch requests. */
   isRefusedByState = false;
-  /** How much later than usual the watch delivers changes to this node. */
+  /** Additional delay of the watch's answers to the controller. */
   watchLagMs = 0;
-  /** It runs the version before pipelines, which ignores lower limits and writes final states without their time. */
+  /**
+   * Whether the controller runs the version before pipelines, which ignores announced lower limits and writes final
+   * states without their time.
+   */
   runsPreviousVersion = false;
 
   constructor(
@@ -62,7 +67,7 @@
     this.clock = new ProcessClock(simulation.time, 1, 0);
   }
 
-  /** Starts a new process, with a clock of its own. */
+  /** Starts a new process with a new clock. */
   start(): void {
     const { simulation } = this;
     const { time } = simulation;
@@ -77,7 +82,7 @@
       settings,
       operator: readOperatorSettings(OPERATOR_FILE),
       log: pino({ level: 'silent' }),
-      dependencies: new ControllerConnections(simulation, this, this.clock).all(),
+      dependencies: new ControllerConnections(simulation, this, this.clock).dependencies(),
       packages: this.packages(settings),
     });
     this.controller.run().catch((error: unknown) => {
@@ -85,9 +90,9 @@
     });
   }
 
-  /** Ends the process at once; nothing of it happens any more. */
+  /** Ends the process at once; none of its pending callbacks run. */
   crash(): void {
-    this.clock.dead = true;
+    this.clock.isDead = true;
     this.controller = null;
   }
 
@@ -109,9 +114,9 @@
       zones: ZONES.map(zoneName),
       teams: [...TEAMS].map(([name, gpus]) => ({
         name: teamName(name),
-        guarantee: [0, 0, size.times * 6_000_000],
+        guarantee: [0, 0, size.quotaFactor * 6_000_000],
         limitCpu: null,
-        limitGpu: gpus * size.times * 1_000_000,
+        limitGpu: gpus * size.quotaFactor * 1_000_000,
       })),
       objectives: [],
       workers: {
--- a/test/sim/simulated-task.ts
+++ b/test/sim/simulated-task.ts
@@ -1,7 +1,7 @@
-/** Tasks as the simulated agents run them. */
+/** Tasks that simulated agents run. */
 import type { SubmittedJob } from './submitted-job.js';
 
-/** One attempt at a task of a job, on one machine. */
+/** One attempt of a job's task on one machine; `id` is the job's. */
 export interface SimulatedTask {
   readonly job: SubmittedJob;
   readonly id: string;
@@ -14,17 +14,17 @@
 /** Resources of every simulated machine. */
 export const MACHINE_CAPACITY = { vcpus: 16, cards: 4, memoryGb: 64 };
 
-/** The task's name on the wire, which all of its attempts share. */
+/** Name of a task on the wire, which all attempts of the task share. */
 export function taskName(task: Pick<SimulatedTask, 'id' | 'index'>): string {
   return `${task.id}/${task.index}`;
 }
 
-/** Identifies one attempt within its agent. */
+/** Key of one attempt of a task, unique within its agent. */
 export function attemptKey(task: SimulatedTask): string {
   return `${taskName(task)}@${task.attempt}`;
 }
 
-/** The team that a task's job belongs to. */
+/** Name of the team that submitted a job. */
 export function teamOf(job: SubmittedJob): string {
   return String(job.body['tenant']);
 }
--- a/test/sim/simulated-users.ts
+++ b/test/sim/simulated-users.ts
@@ -1,4 +1,4 @@
-/** The users of a run: they submit jobs and pipelines, poll, cancel and retry, and every answer is checked. */
+/** The simulated users of a run, who submit jobs and pipelines, poll, cancel and retry. Every answer is checked. */
 import assert from 'node:assert/strict';
 import type { Controller } from '../../src/controller/controller.js';
 import { UnavailableError } from '../../src/core/errors.js';
@@ -9,25 +9,25 @@
 import { NODES, type JobOverrides, type Json } from './sizes.js';
 import type { SubmittedJob } from './submitted-job.js';
 
-/** Users submit jobs by themselves up to this time. */
+/** Simulated time until which users submit random jobs. */
 const SUBMIT_UNTIL_MS = 75_000;
 const PIPELINE_PROBABILITY = 0.3;
-/** A user waits for an answer for so long and asks again later. */
+/** Time for which a user waits for an answer before asking again. */
 const ANSWER_TIMEOUT_MS = 5000;
 const RETRY_MS = 500;
 const POLL_MS = { min: 300, max: 2500 };
 const CANCEL_RETRY_MS = { min: 100, max: 600 };
-/** The share of polls that are followed by a retry of the submission. */
+/** Share of polls that are followed by a retry of the submission. */
 const RESUBMIT_PROBABILITY = 0.05;
 
 type SubmissionResult = Awaited<ReturnType<Controller['jobs']['submit']>>;
 
-/** Submits jobs to whichever controller, and checks what each answers. */
+/** Sends the users' requests to random controllers and checks the answers. */
 export class SimulatedUsers {
-  /** Invalid jobs that were refused. */
+  /** Number of invalid jobs that were rejected. */
   invalidJobsRejected = 0;
-  private jobs = 0;
-  private invalidJobs = 0;
+  private jobsSubmitted = 0;
+  private invalidJobsSubmitted = 0;
 
   constructor(private readonly simulation: Simulation) {}
 
@@ -43,22 +43,22 @@
     });
   }
 
-  /** Submits a job until it is accepted, then polls it for ever; what is not given is random. */
+  /** Submits a job until it is accepted, then polls it until the run ends; `overrides` replace what would be random. */
   submit(overrides: JobOverrides = {}): string {
     const { time, size, cluster } = this.simulation;
-    const id = `wk-${String(++this.jobs).padStart(6, '0')}`;
-    const { job, cancelAt } = randomJob(time, id, size.mostTasks, overrides);
+    const id = `wk-${String(++this.jobsSubmitted).padStart(6, '0')}`;
+    const { job, cancelAt } = randomJob(time, id, size.maxTasks, overrides);
     cluster.submitted.set(id, job);
     this.simulation.runInBackground(this.submitAndPoll(id, job, cancelAt));
     return id;
   }
 
-  /** Requests a job's cancellation until its final state is the answer. */
+  /** Requests a job's cancellation until the answer is the job's final state. */
   cancel(id: string): void {
     this.simulation.runInBackground(this.cancelUntilFinal(id));
   }
 
-  /** Asks for a job's state and submits it anew at the same time, each at whichever controller. */
+  /** Asks for a job's state and submits the job again at the same time, each at a random controller. */
   retrySubmission(id: string): void {
     const { simulation } = this;
     const job = simulation.cluster.submitted.get(id)!;
@@ -74,23 +74,24 @@
       this.submitToAny(job.body).then((result) => {
         assert.ok(
           result?.kind !== 'accepted' && result?.kind !== 'impossible',
-          `a retry of ${id} was ${result?.kind}`,
+          `a retry of the submission of ${id} was answered ${result?.kind}, expected known`,
         );
         if (result?.kind === 'known') record(result.state);
       }),
     );
   }
 
-  /** Submits a job that can never run, then asks for it: it must not have been accepted. */
+  /** Submits a job that can never run, then queries it: the job must be rejected and unknown. */
   submitInvalidJob(): void {
-    const id = `wk-odd-${++this.invalidJobs}`;
+    const id = `wk-odd-${++this.invalidJobsSubmitted}`;
     const body = randomInvalidJob(this.simulation.time, id);
     this.simulation.runInBackground(this.expectRejection(id, body));
   }
 
   /**
-   * Submits a pipeline stage by stage, each as soon as those that it needs are accepted; sometimes the last stage only when
-   * the others have finished, and sometimes a stage is cancelled.
+   * Submits a pipeline stage by stage, each stage once the jobs that it depends on are accepted. Sometimes the last stage
+   * is submitted only when the jobs of the middle stage have finished, and sometimes a job is cancelled. Each submitted
+   * job's id is appended to the list that is returned.
    */
   submitPipeline(
     width = this.simulation.time.int(1, 3),
@@ -109,7 +110,11 @@
       const askedAt = time.now;
       const result = await this.submitToAny(job.body);
       if (result !== null && result.kind !== 'later') {
-        assert.notEqual(result.kind, 'impossible', `forgotten: ${id} is possible and was refused`);
+        assert.notEqual(
+          result.kind,
+          'impossible',
+          `forgotten: ${id} is a valid job, but its submission was rejected`,
+        );
         job.accepted = true;
         if (result.kind !== 'impossible') observedStates.record(id, job, result.state, askedAt);
       } else await time.sleep(RETRY_MS);
@@ -129,10 +134,14 @@
     }
   }
 
-  /** A retry of the submission must be known at any later time. */
+  /** Checks that a retry of an accepted submission is answered as known, at any later time. */
   private checkRetry(id: string, job: SubmittedJob, result: SubmissionResult | null): void {
     if (result === null || result.kind === 'later') return;
-    assert.equal(result.kind, 'known', `a retry of ${id} was ${result.kind}`);
+    assert.equal(
+      result.kind,
+      'known',
+      `a retry of the submission of ${id} was answered ${result.kind}, expected known`,
+    );
     this.simulation.observedStates.record(id, job, result.state);
   }
 
@@ -157,7 +166,11 @@
     for (;;) {
       const result = await this.submitToAny(body);
       if (result !== null && result.kind !== 'later') {
-        assert.equal(result.kind, 'impossible', `${id} was ${result.kind}: ${JSON.stringify(body)}`);
+        assert.equal(
+          result.kind,
+          'impossible',
+          `${id} was answered ${result.kind}, expected impossible: ${JSON.stringify(body)}`,
+        );
         this.invalidJobsRejected++;
         break;
       }
@@ -228,7 +241,7 @@
     return this.askController((controller) => controller.jobs.submit(jobFromWire(body as never)));
   }
 
-  /** Asks a random controller; null where it is down, can't answer, or does not answer in time. */
+  /** Asks a random controller; null where the controller is down, unavailable, or does not answer in time. */
   private async askController<T>(ask: (controller: Controller) => Promise<T>): Promise<T | null> {
     const { time, controllers } = this.simulation;
     const { controller, clock, name } = controllers.get(time.pick(NODES))!;
--- a/test/sim/simulation.ts
+++ b/test/sim/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded run: real controllers among simulated users, agents, cloud and state service, with injected faults. The invariants
- * are checked at each step; a violation fails the run with an error that names the invariant.
+ * A seeded run: real controllers with simulated users, agents, cloud and state service, and injected faults. Invariants
+ * are checked after each step; a violation fails the run with an error that names the invariant.
  */
 import { key } from '../../src/core/records/keys.js';
 import { AgentNetwork } from './agent-network.js';
@@ -15,21 +15,21 @@
 
 export { FLEET, GROWN, HUGE, LIMITS, SMALL, type SimulationSize } from './sizes.js';
 
-/** Gets all that controllers send: requests, and answers to agents and users. */
+/** Receives every message that a controller sends: requests, and answers to agents and users. */
 export type Observer = (from: string, to: string, message: unknown) => void;
 
 export interface SimulationOptions {
   readonly seed: number;
   /** `SMALL` by default. */
   readonly size?: SimulationSize;
-  /** The controllers begin with the previous version. */
+  /** Whether the controllers start in the previous version. */
   readonly startsWithPreviousVersion?: boolean;
-  /** The packages of each controller, made anew with each of its starts. */
+  /** Creates the packages of a controller; called at each start of each controller. */
   readonly packages?: SimulatedController['packages'] | undefined;
   readonly observe?: Observer;
 }
 
-/** Limits of the state service that will hold from some moment on, as the platform's settings state them. */
+/** Announced lower limits of the state service, as in the section `next` of the platform's settings. */
 export interface UpcomingLimits {
   readonly value_kb: number;
   readonly txn_ops: number;
@@ -47,25 +47,26 @@
   readonly observedStates: ObservedStates;
   readonly network: AgentNetwork;
   readonly starvation: StarvationCheck;
-  /** The first violated invariant, or unexpected error. */
-  failed: Error | null = null;
+  /** The first violated invariant or unexpected error; null while there is none. */
+  failure: Error | null = null;
 
-  /** Null where the limits stay as they are. */
+  /** Lower limits of the state service that the settings announce; null where the limits do not change. */
   upcomingLimits: UpcomingLimits | null = null;
-  /** Users submit pipelines too. */
+  /** Whether users also submit pipelines. */
   submitsPipelines = false;
-  /** Nothing is slow or lost by itself, for tests of a single fault. */
+  /** Turns off random losses and long delays of heartbeats and state requests, for tests of a single fault. */
   isSmooth = false;
-  /** The share of transactions that get no answer and are applied seconds later. */
+  /** Share of transactions that get no answer and are applied seconds later. */
   lateWriteProbability = 0;
+  /** Transactions that were applied late so far. */
   lateWritesApplied = 0;
-  /** The longest time that the state service takes for a request; 0: its usual few milliseconds. */
+  /** Upper bound of the delay of a request to the state service; 0 for the usual delay of a few milliseconds. */
   maxStateDelayMs = 0;
-  /** Partitions reset connections; otherwise they hold packets back. */
+  /** Whether partitions reset agents' connections; otherwise they hold packets back until the partition ends. */
   partitionsResetConnections = false;
-  /** The share of heartbeats that arrive a second time, later. */
+  /** Share of heartbeats of which a duplicate arrives later. */
   duplicateHeartbeatProbability = 0.03;
-  /** The share of jobs that are cancelled, asked for and submitted anew at the moment at which they end. */
+  /** Share of jobs that users cancel, query and submit again at the moment at which the last task ends. */
   cancelAtEndProbability = 0;
 
   constructor(options: SimulationOptions) {
@@ -87,29 +88,29 @@
     this.users.run();
   }
 
-  /** Fails the run at the next step; the first error counts. */
+  /** Fails the run at the next step; errors after the first are ignored. */
   fail(error: unknown): void {
-    this.failed ??= asError(error);
+    this.failure ??= asError(error);
   }
 
-  /** Lets a task of a user go on by itself; its error fails the run. */
+  /** Does not wait for a simulated user's actions; their rejection fails the run. */
   runInBackground(task: Promise<void>): void {
     task.catch((error: unknown) => {
       this.fail(error);
     });
   }
 
-  /** A user submits a job; what is not given is random. */
+  /** Submits a job as a user and returns its id; whatever `overrides` leaves open is random. */
   submit(overrides: JobOverrides = {}): string {
     return this.users.submit(overrides);
   }
 
-  /** A user requests a job's cancellation until its final state is the answer. */
+  /** Requests a job's cancellation as a user, again and again until the answer is the job's final state. */
   cancel(id: string): void {
     this.users.cancel(id);
   }
 
-  /** Accepted jobs with tasks on machines whose cancellation nobody has requested; those with most tasks first. */
+  /** Ids of accepted jobs that have tasks on machines and no requested cancellation, in descending order of tasks. */
   runningJobs(): string[] {
     const tasksByJob = new Map<string, number>();
     for (const agent of this.cluster.liveAgents())
@@ -125,7 +126,7 @@
       .map(([id]) => id);
   }
 
-  /** The controller that leads now, as the state service has it. */
+  /** The current leader according to the state service; undefined where there is none. */
   leader(): SimulatedController | undefined {
     const record = this.state.rows.get(key.leader)?.value as { node: string } | undefined;
     return record === undefined ? undefined : this.controllers.get(record.node);
@@ -137,8 +138,8 @@
       time: this.time,
       nodes: NODES,
       limits: LIMITS,
-      quota: new Map([...TEAMS].map(([team, gpus]) => [team, gpus * size.times])),
-      machinesPerZone: size.perZone,
+      quota: new Map([...TEAMS].map(([team, gpus]) => [team, gpus * size.quotaFactor])),
+      machinesPerZone: size.machinesPerZone,
       agentTickMs: size.agentTickMs,
       sendToController: (agent, node, heartbeat, done) => {
         this.network.sendHeartbeat(agent, node, heartbeat, done);
@@ -163,16 +164,16 @@
   }
 
   private checkAfterEachStep(): void {
-    const checkEvery = this.size.checkEvery ?? 1;
+    const checkEverySteps = this.size.checkEverySteps ?? 1;
     let steps = 0;
     this.time.check = () => {
-      if (this.failed !== null) throw this.failed;
-      if (++steps % checkEvery === 0) this.cluster.checkNoCancelledTaskRuns();
+      if (this.failure !== null) throw this.failure;
+      if (++steps % checkEverySteps === 0) this.cluster.checkNoCancelledTaskRuns();
     };
   }
 }
 
-/** A run up to the given time in which nothing goes wrong by itself, for tests of a single fault. */
+/** Runs a simulation up to `ms` without random losses, long delays and duplicates, for tests of a single fault. */
 export async function runWithoutFaults(
   seed: number,
   size: SimulationSize,
--- a/test/sim/sizes.ts
+++ b/test/sim/sizes.ts
@@ -1,11 +1,11 @@
-/** Limits, names and sizes of seeded runs. */
+/** Agent timings, names and sizes of seeded runs, and what tests may set of a job. */
 import type { Budget } from './request-bucket.js';
 
-/** JSON as it goes over the wire. */
+/** A JSON object in its wire format. */
 export type Json = Record<string, unknown>;
 
-/** What the platform's settings say of agents. */
-export interface Limits {
+/** Intervals and timeouts of agents, in seconds, as in the section `workers` of the platform's settings. */
+export interface AgentTimings {
   readonly leaseS: number;
   readonly reportS: number;
   readonly gangWaitS: number;
@@ -13,54 +13,54 @@
   readonly cancelS: number;
 }
 
-/** A cancellation is reported only once no task of the job is left, so next to no time is allowed for it. */
-export const LIMITS: Limits = { leaseS: 8, reportS: 1.5, gangWaitS: 20, gangPeerS: 3, cancelS: 0.5 };
-/** The controllers. */
+/** `cancelS` is short since a cancellation is reported only once no task of the job is left. */
+export const LIMITS: AgentTimings = { leaseS: 8, reportS: 1.5, gangWaitS: 20, gangPeerS: 3, cancelS: 0.5 };
+/** Names of the controllers. */
 export const NODES = ['c-0', 'c-1', 'c-2'];
-/** The zones; the controllers are in them in turn. */
+/** Names of the zones; controllers are assigned to them round-robin. */
 export const ZONES = ['a', 'b'];
-/** The teams, and the GPUs that each may use at once, times the size. */
+/** GPU quota of each team, before it is multiplied by `SimulationSize.quotaFactor`. */
 export const TEAMS = new Map([
   ['red', 16],
   ['blue', 12],
   ['green', 20],
 ]);
 
-/** How large a run is; the teams' limits grow with it. */
+/** Size of a run, and the limits of its state service. */
 export interface SimulationSize extends Budget {
-  /** Multiplies the quotas of the teams. */
-  readonly times: number;
-  /** Machines that the cloud has in each zone. */
-  readonly perZone: number;
-  /** Users submit a job about this often. */
+  /** Factor by which the GPU quotas of the teams are multiplied. */
+  readonly quotaFactor: number;
+  /** Number of machines that the cloud can rent out in each zone. */
+  readonly machinesPerZone: number;
+  /** Mean time between two submissions of users. */
   readonly everyMs: number;
-  /** The most tasks of a random job. */
-  readonly mostTasks: number;
-  /** How often an agent looks whether it has something to do; slower for thousands of them. */
+  /** Maximum number of tasks of a random job. */
+  readonly maxTasks: number;
+  /** Interval of an agent's check for a due heartbeat; longer for thousands of agents. Leases are checked half as often. */
   readonly agentTickMs?: number;
-  /** Rows in a page of a listing. */
+  /** Maximum number of rows in a page of a listing by the state service. */
   readonly pageRows?: number;
-  /** The invariants are checked after every so many steps. */
-  readonly checkEvery?: number;
+  /** Number of steps between two checks of the invariants; 1 by default. */
+  readonly checkEverySteps?: number;
 }
 
-/** Two zones of six machines. */
+/** Up to 12 machines. */
 export const SMALL: SimulationSize = {
-  times: 1,
-  perZone: 6,
+  quotaFactor: 1,
+  machinesPerZone: 6,
   everyMs: 1900,
-  mostTasks: 9,
+  maxTasks: 9,
   rps: 300,
   writeRps: 200,
   txnOps: 8,
 };
 
-/** Moves, rentals and starts take several transactions each, and the write budget is often exhausted. */
+/** Up to 96 machines. Moves, rentals and starts take several transactions each; the write budget is often exhausted. */
 export const GROWN: SimulationSize = {
-  times: 8,
-  perZone: 48,
+  quotaFactor: 8,
+  machinesPerZone: 48,
   everyMs: 1900,
-  mostTasks: 60,
+  maxTasks: 60,
   rps: 120,
   writeRps: 20,
   txnOps: 4,
@@ -68,10 +68,10 @@
 
 /** Up to 900 machines; the write budget is exhausted for most of the run, and still lets it finish in time. */
 export const FLEET: SimulationSize = {
-  times: 70,
-  perZone: 450,
+  quotaFactor: 70,
+  machinesPerZone: 450,
   everyMs: 900,
-  mostTasks: 150,
+  maxTasks: 150,
   rps: 300,
   writeRps: 80,
   txnOps: 8,
@@ -79,30 +79,32 @@
 
 /** Up to 4,400 machines. */
 export const HUGE: SimulationSize = {
-  times: 2000,
-  perZone: 2200,
+  quotaFactor: 2000,
+  machinesPerZone: 2200,
   everyMs: 4000,
-  mostTasks: 20,
+  maxTasks: 20,
   rps: 600,
   writeRps: 500,
   txnOps: 32,
   agentTickMs: 500,
   pageRows: 500,
-  checkEvery: 2000,
+  checkEverySteps: 2000,
 };
 
-/** What a test sets of a job; the rest is random. */
+/** Properties of a job that a test sets; the others are random. */
 export interface JobOverrides {
   readonly kind?: 'sweep' | 'ensemble' | 'daemon';
   readonly tasks?: number;
-  /** How long each task runs. */
+  /** Run time of each task. */
   readonly runMs?: number;
-  /** How much longer each task runs than the one before it. */
+  /** Additional run time of each task over the task with the next lower index. */
   readonly staggerMs?: number;
+  /** Fields of the submitted job, in their wire format. */
   readonly fields?: Json;
+  /** Ids of the jobs that the job depends on. */
   readonly needs?: readonly string[];
-  /** It has a mistake and fails on every machine. */
+  /** Whether every task of the job fails on every machine. */
   readonly alwaysFails?: boolean;
-  /** Its user does not cancel it at random. */
+  /** Excludes the job from random cancellations by its user. */
   readonly isNeverCancelled?: boolean;
 }
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -1,4 +1,4 @@
-/** A simulated state service, written from PROTOCOL: rows, transactions, leases and watches. */
+/** A simulated state service, written from the protocol specification: rows, transactions, leases and watches. */
 import type { HttpResponse } from '../../src/io/http-client.js';
 import { ChangeLog, type Change } from './change-log.js';
 import { LeaseTable } from './lease-table.js';
@@ -6,10 +6,10 @@
 import type { Json } from './sizes.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** How often expired leases are removed. */
+/** Interval at which expired leases are removed. */
 const LEASE_CHECK_MS = 50;
 const DEFAULT_LIST_ROWS = 1000;
-/** A transaction takes so many guards per change that the budget allows. */
+/** Maximum number of guards in a transaction, as a multiple of the maximum number of changes. */
 const GUARDS_PER_CHANGE = 4;
 const LEASE_PATH = /^\/grants\/(\d+)(\/touch)?$/;
 
@@ -24,25 +24,25 @@
   readonly entryRev: number;
 }
 
-/** Answers the requests of controllers; during an outage it refuses all of them and lets no lease expire. */
+/** Answers requests of controllers. During an outage the service refuses all requests, and no lease expires. */
 export class StateService {
   readonly rows = new Map<string, Row>();
-  /** The revision of the latest change. */
+  /** Revision of the latest change. */
   revision = 10;
-  /** The most rows in a page of a listing; small, so that listings have several pages. */
+  /** Maximum number of rows in a page of a listing; small by default, so that listings have several pages. */
   pageRows = 7;
-  /** The largest value that it takes, in bytes. */
+  /** Maximum size of a value in bytes of JSON. */
   valueBytes = 8192;
-  /** Transactions that were refused because they exceed a limit. */
+  /** Number of transactions that were refused because they exceeded a limit. */
   oversizedTransactions = 0;
-  private isOut = false;
+  private hasOutage = false;
   private readonly leases: LeaseTable;
-  private readonly log = new ChangeLog();
+  private readonly changeLog = new ChangeLog();
   private readonly bucket: RequestBucket;
 
   constructor(
     private readonly time: VirtualTime,
-    /** May change at any time. */
+    /** The current limits; tests and upgrades may replace them during a run. */
     public budget: Budget,
   ) {
     this.leases = new LeaseTable(time);
@@ -54,26 +54,27 @@
     checkLeases();
   }
 
-  /** Whether it refuses everybody now. */
+  /** Whether the service has an outage now. */
   get outage(): boolean {
-    return this.isOut;
+    return this.hasOutage;
   }
 
-  /** Requests and changes so far. */
+  /** Totals of requests and changes so far. */
   get counts(): Readonly<RequestBucket['counts']> {
     return this.bucket.counts;
   }
 
-  setOutage(isOut: boolean): void {
-    if (this.isOut && !isOut) this.leases.extendAll();
-    this.isOut = isOut;
+  /** Begins or ends an outage; at the end of one every lease gets its full time to live again. */
+  setOutage(hasOutage: boolean): void {
+    if (this.hasOutage && !hasOutage) this.leases.extendAll();
+    this.hasOutage = hasOutage;
   }
 
-  /** Answers a request other than a watch. */
+  /** Answers a request other than a watch request. */
   handle(method: string, url: string, body: unknown): HttpResponse {
-    if (this.isOut) return { status: 503, body: null };
+    if (this.hasOutage) return { status: 503, body: null };
     this.expireLeases();
-    if (!this.bucket.take(this.budget, changesIn(body))) return { status: 429, body: null };
+    if (!this.bucket.take(this.budget, countChanges(body))) return { status: 429, body: null };
     const [path = '', query = ''] = url.split('?');
     if (path === '/kv') return this.list(new URLSearchParams(query));
     if (path.startsWith('/kv/')) return this.read(path.slice('/kv/'.length));
@@ -87,48 +88,51 @@
     return { status: 400, body: null };
   }
 
-  /** Answers a watch once: at the first change after its revision, or empty when its time is over. */
-  follow(url: string, done: (response: HttpResponse) => void): void {
+  /**
+   * Answers one watch request: with the first changes after its revision, or with none once its time is over. A request
+   * whose time ends during an outage gets no changes, and its own revision in place of the latest.
+   */
+  follow(url: string, respond: (response: HttpResponse) => void): void {
     const query = new URLSearchParams(url.split('?')[1]);
     const prefix = query.get('starts') ?? '';
     const from = Number(query.get('from'));
     const until = this.time.now + Number(query.get('blockMs') ?? 0);
-    if (this.isOut) {
-      done({ status: 503, body: null });
+    if (this.hasOutage) {
+      respond({ status: 503, body: null });
       return;
     }
-    if (this.log.isCompacted(from)) {
-      done({ status: 410, body: null });
+    if (this.changeLog.isCompacted(from)) {
+      respond({ status: 410, body: null });
       return;
     }
     const answerIfDue = (isTimeOver: boolean): boolean => {
-      if (this.isOut && !isTimeOver) return false;
-      const changes = this.log.since(from, prefix);
+      if (this.hasOutage && !isTimeOver) return false;
+      const changes = this.changeLog.since(from, prefix);
       if (changes.length === 0 && !isTimeOver) return false;
-      this.log.removeListener(onChange);
-      done({
+      this.changeLog.removeListener(onChange);
+      respond({
         status: 200,
         body: {
-          ledgerRev: this.isOut ? from : this.revision,
-          events: (this.isOut ? [] : changes).map(changeToWire),
+          ledgerRev: this.hasOutage ? from : this.revision,
+          events: (this.hasOutage ? [] : changes).map(changeToWire),
         },
       });
       return true;
     };
     const onChange = () => void answerIfDue(false);
     if (answerIfDue(false)) return;
-    this.log.addListener(onChange);
+    this.changeLog.addListener(onChange);
     this.time.at(until, () => {
-      if (this.log.hasListener(onChange)) answerIfDue(true);
+      if (this.changeLog.hasListener(onChange)) answerIfDue(true);
     });
   }
 
   private expireLeases(): void {
-    if (this.isOut) return;
+    if (this.hasOutage) return;
     for (const id of this.leases.expired()) this.endLease(id);
   }
 
-  /** Removes the lease and, in one revision, all rows bound to it. */
+  /** Ends a lease and removes, in one revision, all rows that are bound to it. */
   private endLease(id: number): void {
     this.leases.delete(id);
     const keys = [...this.rows].filter(([, row]) => row.lease === id).map(([key]) => key);
@@ -136,9 +140,9 @@
     this.revision++;
     for (const key of keys) {
       this.rows.delete(key);
-      this.log.append({ key, revision: this.revision, value: undefined });
+      this.changeLog.append({ key, revision: this.revision, value: undefined });
     }
-    this.log.notify();
+    this.changeLog.notify();
   }
 
   private updateLease(method: string, id: number): HttpResponse {
@@ -176,7 +180,7 @@
     return { status: 200, body: { ledgerRev: this.revision } };
   }
 
-  /** Why the transaction can't be taken at all, or null. */
+  /** Why a transaction is invalid; null where it is valid. */
   private validate(guards: readonly Guard[], changes: readonly Json[]): string | null {
     for (const change of changes) {
       if (Buffer.byteLength(JSON.stringify(change['value'] ?? null)) > this.valueBytes) {
@@ -191,15 +195,16 @@
     return 'too many';
   }
 
-  /** Applies all changes in one revision; removals of absent rows leave no trace. */
+  /** Applies all changes in one revision; the removal of an absent row is not logged. */
   private apply(changes: readonly Json[]): void {
     this.revision++;
     for (const change of changes) {
       const key = String(change['write'] ?? change['remove']);
       if (change['write'] !== undefined) this.write(key, change);
-      else if (this.rows.delete(key)) this.log.append({ key, revision: this.revision, value: undefined });
+      else if (this.rows.delete(key))
+        this.changeLog.append({ key, revision: this.revision, value: undefined });
     }
-    this.log.notify();
+    this.changeLog.notify();
   }
 
   private write(key: string, change: Json): void {
@@ -208,11 +213,11 @@
       revision: this.revision,
       lease: change['hold'] as number | undefined,
     });
-    this.log.append({ key, revision: this.revision, value: change['value'] });
+    this.changeLog.append({ key, revision: this.revision, value: change['value'] });
   }
 }
 
-function changesIn(body: unknown): number {
+function countChanges(body: unknown): number {
   return ((body as Json | undefined)?.['then'] as unknown[] | undefined)?.length ?? 0;
 }
 
--- a/test/sim/submitted-job.ts
+++ b/test/sim/submitted-job.ts
@@ -1,34 +1,35 @@
-/** Jobs of simulated users: what was submitted, and what has been observed of it. */
+/** Jobs of simulated users: their submissions, and what users and machines have observed of them since. */
 
-/** A job as its user knows it. */
+/** A submitted job and its observed progress. */
 export interface SubmittedJob {
+  /** The submission, in its wire format. */
   readonly body: Readonly<Record<string, unknown>>;
   readonly kind: string;
   readonly tasks: number;
   readonly runMs: number;
-  /** How much longer each task runs than the one before it. */
+  /** Additional run time of each task over the task with the next lower index. */
   readonly staggerMs: number;
-  /** Fails on every machine. */
+  /** Whether every task of the job fails on every machine. */
   readonly alwaysFails: boolean;
-  /** Indexes of the tasks that ended successfully. */
+  /** Indexes of the tasks that have ended successfully. */
   readonly doneTasks: Set<number>;
-  /** When its user was first answered that it is cancelled. */
+  /** Time of the first answer that reported the job as cancelled; null before it. */
   observedCancelledAt: number | null;
-  /** The final state that its user was answered; it must never change. */
+  /** Final state that was reported to the user, which must never change; null before it. */
   observedFinalState: string | null;
-  /** When its user last got an answer about it. */
+  /** Time of the latest answer to the user's polls of the job; null before the first. */
   answeredAt: number | null;
   accepted: boolean;
-  /** Its user has requested its cancellation. */
+  /** Whether the user has requested the job's cancellation. */
   isCancellationRequested: boolean;
-  /** The jobs that it depends on. */
+  /** Ids of the jobs that the job depends on. */
   readonly needs: readonly string[];
 }
 
 type Submission = Pick<SubmittedJob, 'body' | 'kind' | 'tasks' | 'runMs'> &
   Partial<Pick<SubmittedJob, 'staggerMs' | 'alwaysFails' | 'needs'>>;
 
-/** A job of which nothing has been observed yet. */
+/** Creates the record of a job of which nothing has been observed yet. */
 export function newJob(submitted: Submission): SubmittedJob {
   return {
     staggerMs: 0,
--- a/test/sim/virtual-time.ts
+++ b/test/sim/virtual-time.ts
@@ -1,9 +1,9 @@
-/** Simulated time and random draws. One seed gives one run. */
+/** Simulated time, seeded random draws and process clocks. Equal seeds give equal runs. */
 import { unsafeUniformIntDistribution, xoroshiro128plus, type RandomGenerator } from 'pure-rand';
 import type { Clock } from '../../src/core/model/clock.js';
 import { monotonicMs, wallClockMs, type MonotonicMs, type WallClockMs } from '../../src/core/model/time.js';
 
-/** Resolution of `real`. */
+/** Number of equal steps into which `real` divides its range. */
 const REAL_STEPS = 1_000_000;
 /** Wall-clock time at the start of a run. */
 const WALL_CLOCK_START_MS = 1_700_000_000_000;
@@ -15,30 +15,32 @@
   readonly run: () => void;
 }
 
-/** An event loop over simulated time, and the run's random generator. */
+/** The event loop of a run over simulated time, with the run's random generator. */
 export class VirtualTime {
-  /** Milliseconds since the start of the run. */
+  /** Current simulated time, in milliseconds since the start of the run. */
   now = 0;
-  /** Called after each event, when everything that follows from it has happened. */
+  /** Called after each event, once the promises that the event settled have run their continuations. */
   check: () => void = () => undefined;
   private readonly random: RandomGenerator;
-  /** A binary heap, the next event first. */
+  /** Pending events as a binary heap; the next event is the first element. */
   private readonly heap: ScheduledEvent[] = [];
-  private scheduled = 0;
+  private scheduledCount = 0;
 
   constructor(readonly seed: number) {
     this.random = xoroshiro128plus(seed);
   }
 
-  /** A random integer between both bounds, inclusive. */
+  /** Draws a random integer between both bounds, inclusive. */
   int(from: number, to: number): number {
     return unsafeUniformIntDistribution(from, to, this.random);
   }
 
+  /** Draws a random number between both bounds. */
   real(from: number, to: number): number {
     return from + ((to - from) * this.int(0, REAL_STEPS)) / REAL_STEPS;
   }
 
+  /** Draws whether an event of the given probability occurs. */
   happens(probability: number): boolean {
     return this.real(0, 1) < probability;
   }
@@ -47,9 +49,9 @@
     return list[this.int(0, list.length - 1)]!;
   }
 
-  /** Schedules something at a time, or as soon as possible where the time has passed. */
+  /** Schedules a callback at a simulated time; a time in the past counts as now. */
   at(time: number, run: () => void): void {
-    this.push({ at: Math.max(time, this.now), order: this.scheduled++, run });
+    this.push({ at: Math.max(time, this.now), order: this.scheduledCount++, run });
   }
 
   after(ms: number, run: () => void): void {
@@ -62,14 +64,14 @@
     });
   }
 
-  /** Runs all events up to the time given; throws what an event or `check` throws. */
+  /** Runs all events up to and including `end`, then sets the time to `end`. Throws what an event or `check` throws. */
   async runUntil(end: number): Promise<void> {
     for (;;) {
       if (this.heap[0] === undefined || this.heap[0].at > end) break;
       const event = this.pop()!;
       this.now = event.at;
       event.run();
-      // Every promise that this event settled runs its course before time goes on.
+      // Let the continuations of all promises that the event settled run before time advances.
       await new Promise((resolve) => setImmediate(resolve));
       this.check();
     }
@@ -112,25 +114,25 @@
 }
 
 /**
- * The clock of one process. Once the process is dead nothing of it happens any more. While it is paused nothing happens
- * either, but its monotonic clock runs on, and all that was due or received meanwhile happens when it resumes.
+ * The clock of one simulated process. A dead process runs no more callbacks. A paused process runs none either, but its
+ * monotonic clock advances, and the callbacks that became due or were received during the pause run when it resumes.
  */
 export class ProcessClock implements Clock {
-  dead = false;
+  isDead = false;
   private paused = false;
-  private held: (() => void)[] = [];
+  private deferred: (() => void)[] = [];
 
-  /** `rate` is the drift of the monotonic clock, `wallClockOffsetMs` the error of the wall clock. */
+  /** `rate` is the monotonic clock's speed relative to simulated time, `wallClockOffsetMs` the wall clock's error. */
   constructor(
     private readonly time: VirtualTime,
     private readonly rate: number,
     private readonly wallClockOffsetMs: number,
   ) {}
 
-  /** Does something in the process: now, when it resumes, or never. */
+  /** Runs a callback in the process: at once, on resume if the process is paused, or never if it is dead. */
   run(action: () => void): void {
-    if (this.dead) return;
-    if (this.paused) this.held.push(action);
+    if (this.isDead) return;
+    if (this.paused) this.deferred.push(action);
     else action();
   }
 
@@ -140,9 +142,9 @@
 
   resume(): void {
     this.paused = false;
-    const held = this.held;
-    this.held = [];
-    for (const action of held)
+    const deferred = this.deferred;
+    this.deferred = [];
+    for (const action of deferred)
       this.time.after(0, () => {
         this.run(action);
       });
