--- a/test/sim/fault-scenario.ts
+++ b/test/sim/fault-scenario.ts
@@ -1,29 +1,36 @@
-/** Scenarios: faults injected into a run with work under way, after which all jobs must finish. */
+/** Fault scenarios: faults are injected into a run that has jobs running, and all jobs must finish afterwards. */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
 import { advance } from './run-helpers.js';
 import type { SimulatedController } from './simulated-controller.js';
 import { LIMITS, SMALL, runWithoutFaults, type Simulation, type SimulationSize } from './simulation.js';
 
+/** Length of an agent's lease in seeded runs. An agent whose lease expires kills its tasks. */
 export const LEASE_MS = LIMITS.leaseS * 1000;
 
-/** Jobs that must run when a scenario begins, and when it does. */
+/** Number of jobs that must be running when a scenario begins. */
 const MIN_RUNNING_JOBS = 3;
+/** Simulated time at which a scenario begins. */
 const SCENARIO_START_MS = 25_000;
-/** How many seeds are tried for a run with work under way, and their distance. */
+/** Number of seeds that are tried until a run has enough running jobs. */
 const MAX_TRIES = 10;
+/** Difference between the seeds that are tried. */
 const SEED_STEP = 100;
-/** The end of the users' submissions, and the time in which all jobs should finish after it. */
-const SUBMISSIONS_OVER_MS = 75_000;
+/** Simulated time from which on users submit no jobs by themselves. */
+const SUBMISSIONS_END_MS = 75_000;
+/** Time in which all jobs should finish after the last fault and the last submission. */
 const FINISH_MS = 25_000;
-/** A backlog may take so many steps longer. */
+/** Number of further steps that a backlog of jobs may take to finish. */
 const MAX_EXTRA_STEPS = 50;
 const EXTRA_STEP_MS = 2000;
-/** Every job must have been answered about within this time. */
+/** Longest time since a user last got an answer about a job; a job without an answer for longer counts as forgotten. */
 const MAX_UNANSWERED_MS = 20_000;
 const DEFAULT_SEEDS = [3, 8];
 
-/** A run without faults and with work under way at 25 s, of this seed or the first suitable one after it. */
+/**
+ * Runs a simulation without faults up to 25 s, and returns it if enough jobs are running by then. Otherwise further seeds
+ * are tried, at a fixed distance; fails if none is suitable.
+ */
 export async function runUntilBusy(
   seed: number,
   size: SimulationSize = SMALL,
@@ -33,22 +40,33 @@
     const simulation = await runWithoutFaults(seed + i * SEED_STEP, size, SCENARIO_START_MS, packages);
     if (simulation.runningJobs().length >= MIN_RUNNING_JOBS) return simulation;
   }
-  return assert.fail('several jobs run with no seed');
+  return assert.fail(
+    `${MAX_TRIES} seeds tried from ${seed} on, none has ${MIN_RUNNING_JOBS} running jobs at ${SCENARIO_START_MS} ms`,
+  );
 }
 
-/** Checks that after the faults controllers answer about every job, and all jobs that end by themselves finish. */
+/**
+ * Lets time pass after the last fault; then checks that users still get answers about every job, and that all jobs have
+ * finished except services and jobs that always fail.
+ */
 export async function expectAllJobsFinish(simulation: Simulation): Promise<void> {
   const { time, cluster, starvation } = simulation;
   starvation.faultsOverAt = time.now;
-  await time.runUntil(Math.max(time.now, SUBMISSIONS_OVER_MS) + FINISH_MS);
+  await time.runUntil(Math.max(time.now, SUBMISSIONS_END_MS) + FINISH_MS);
   for (let i = 0; i < MAX_EXTRA_STEPS && unfinishedJobs(simulation).length > 0; i++)
     await advance(simulation, EXTRA_STEP_MS);
   for (const [id, { answeredAt }] of cluster.submitted)
-    assert.ok(time.now - (answeredAt ?? 0) < MAX_UNANSWERED_MS, `forgotten: nobody answers about ${id}`);
-  assert.deepEqual(unfinishedJobs(simulation), [], 'not done long after the last fault');
+    assert.ok(
+      time.now - (answeredAt ?? 0) < MAX_UNANSWERED_MS,
+      `forgotten: no controller has answered about ${id} for ${MAX_UNANSWERED_MS} ms`,
+    );
+  assert.deepEqual(unfinishedJobs(simulation), [], 'jobs not finished long after the last fault');
 }
 
-/** Defines one test a seed: injects faults into a run with work under way, then expects that all jobs finish. */
+/**
+ * Defines a test for each seed: it injects faults into a run that has jobs running, and expects that all jobs finish. The
+ * invariants of the simulation are checked throughout; errors are prefixed with the simulated time.
+ */
 export function faultScenario(
   name: string,
   inject: (simulation: Simulation) => Promise<void>,
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,24 +1,29 @@
-/** Random faults of seeded runs. One seed gives one sequence of faults, so the order of the draws must stay as it is. */
+/**
+ * Injects random faults into seeded runs. A seed gives the same sequence of faults only while the order of the random draws
+ * stays as it is.
+ */
 import { cancelRunningJobs } from './run-helpers.js';
 import type { SimulatedAgent } from './simulated-agent.js';
 import type { Dependency, SimulatedController } from './simulated-controller.js';
 import type { Simulation } from './simulation.js';
 import { NODES, ZONES } from './sizes.js';
 
+/** Simulated time of the first fault, in ms. */
 const FIRST_FAULT_MS = 8000;
+/** Most jobs whose cancellation is requested at a time while the state service refuses the leader. */
 const MAX_CANCELLED_JOBS = 3;
 const FAULT_INTERVAL_MS = { min: 1500, max: 9000 };
 
-/** What a fault may concern. */
+/** The run, and the controller and the agent that were drawn for a fault; each kind of fault uses what it needs. */
 interface FaultTarget {
   readonly simulation: Simulation;
   readonly node: SimulatedController;
-  /** Null while no machine is up. */
+  /** Null if no machine is up when the fault is injected. */
   readonly agent: SimulatedAgent | null;
 }
 type Fault = (target: FaultTarget) => void;
 
-/** One of these is drawn each time. */
+/** All kinds of faults. One is drawn by its index, so that another order or number of them changes the runs of all seeds. */
 const FAULTS: readonly Fault[] = [
   crashOneController,
   crashAllControllers,
@@ -94,7 +99,10 @@
   },
 ];
 
-/** Injects faults at random times until the time given; several may overlap. */
+/**
+ * Injects faults at random intervals until the simulated time `untilMs`. Faults may overlap, and one that has begun may last
+ * beyond `untilMs`.
+ */
 export function injectFaults(simulation: Simulation, untilMs: number): void {
   const { time } = simulation;
   const injectNext = () => {
@@ -137,19 +145,20 @@
   });
 }
 
+/** Makes services or peers unreachable from a controller for `ms`. */
 function partitionController(
   simulation: Simulation,
   node: SimulatedController,
   ms: number,
-  from: readonly Dependency[],
+  dependencies: readonly Dependency[],
 ): void {
-  for (const dependency of from) node.unreachable.add(dependency);
+  for (const dependency of dependencies) node.unreachable.add(dependency);
   simulation.time.after(ms, () => {
-    for (const dependency of from) node.unreachable.delete(dependency);
+    for (const dependency of dependencies) node.unreachable.delete(dependency);
   });
 }
 
-/** The agents of a zone do not reach the controllers of the others. */
+/** Partitions the live agents of one zone from the controllers of all other zones for a time. */
 function partitionZone({ simulation }: FaultTarget): void {
   const { time } = simulation;
   const zone = time.pick(ZONES);
@@ -161,7 +170,7 @@
   });
 }
 
-/** The process stands still with its connections open, and then goes on with its old state. */
+/** Pauses a controller's process for `ms`: its connections stay open, and it resumes with its state from before. */
 function pauseController(simulation: Simulation, node: SimulatedController, ms: number): void {
   const { clock } = node;
   clock.pause();
@@ -191,7 +200,7 @@
   if (agent !== null && time.happens(0.5)) hangAgent(simulation, agent);
 }
 
-/** The state service refuses the leader alone while jobs are cancelled; then it fails for everybody. */
+/** Has the state service refuse only the leader while jobs are cancelled, and then fail for all controllers. */
 function refuseLeaderThenFailStateService(simulation: Simulation, refusedMs: number, outageMs: number): void {
   const { time, state } = simulation;
   const leader = simulation.leader();
@@ -208,7 +217,7 @@
   });
 }
 
-/** Sets fields now, and sets them again after a time. */
+/** Assigns the `during` values to the target now, and the `after` values once `ms` have passed. */
 function setTemporarily<T extends object>(
   simulation: Simulation,
   ms: number,
--- a/test/sim/observed-states.ts
+++ b/test/sim/observed-states.ts
@@ -1,18 +1,19 @@
-/** Checks the job states that controllers report to users, against what happened on the machines and what was reported before. */
+/** Checks the job states that controllers report to users against earlier reports and against the simulated machines. */
 import assert from 'node:assert/strict';
 import type { SimulatedCluster } from './simulated-cluster.js';
 import type { SubmittedJob } from './submitted-job.js';
 
-/** The history of answers; every job's is checked as it grows. */
+/** Records the reported states of all jobs, and checks each report as it arrives. */
 export class ObservedStates {
-  /** Answers that contained a job's state. */
+  /** Number of answers that contained a job's state. */
   answers = 0;
 
   constructor(private readonly cluster: SimulatedCluster) {}
 
   /**
-   * Records that a user was answered with a job's state. `askedAt` is when the question was asked, which matters where it may
-   * have been under way for long.
+   * Records that a user was answered with a job's state. `askedAt` is the simulated time of the request in ms; by default
+   * the request counts as later than any cancellation. Throws an `AssertionError` that begins with the violated invariant:
+   * `went_back`, `orphaned` or `not_done`.
    */
   record(id: string, job: SubmittedJob, state: string, askedAt = Number.POSITIVE_INFINITY): void {
     this.answers++;
@@ -22,13 +23,16 @@
     if (state === 'cancelled') this.recordCancelled(id, job);
   }
 
-  /** A question that was under way when a cancellation was reported may have been decided before it. */
+  /**
+   * Checks that a job is not reported as pending or running more than `cancelS` after its cancellation, or that of a
+   * dependency, was reported. A request sent before that report is not checked, since it may have been evaluated earlier.
+   */
   private checkNotOrphaned(id: string, state: string, askedAt: number): void {
     const { time, limits } = this.cluster;
     const cancelledFrom = this.cluster.cancelledFrom(id);
     assert.ok(
       askedAt < cancelledFrom || time.now - cancelledFrom <= limits.cancelS * 1000,
-      `orphaned: ${id} is ${state}, and one that it needs was cancelled at ${cancelledFrom}`,
+      `orphaned: ${id} is ${state}, but it or a dependency was reported cancelled at ${cancelledFrom} ms`,
     );
   }
 
@@ -36,13 +40,16 @@
     assert.equal(
       job.doneTasks.size,
       job.tasks,
-      `not_done: ${id} has ${job.doneTasks.size} of ${job.tasks} done`,
+      `not_done: ${id} is reported done with ${job.doneTasks.size} of ${job.tasks} tasks done`,
     );
     job.observedFinalState = 'done';
   }
 
   private recordCancelled(id: string, job: SubmittedJob): void {
-    assert.ok(this.cluster.isCancellationRequested(id), `went_back: ${id} was cancelled by nobody`);
+    assert.ok(
+      this.cluster.isCancellationRequested(id),
+      `went_back: ${id} is reported cancelled, but no user has cancelled it or a dependency`,
+    );
     job.observedFinalState = 'cancelled';
     job.observedCancelledAt ??= this.cluster.time.now;
   }
--- a/test/sim/pipeline-helpers.ts
+++ b/test/sim/pipeline-helpers.ts
@@ -1,4 +1,4 @@
-/** Helpers of tests of dependent jobs: runs without faults, small jobs that use no GPU, and direct requests. */
+/** Helpers of tests with dependent jobs: runs without faults, small jobs without GPUs, requests to a given controller. */
 import assert from 'node:assert/strict';
 import { jobId } from '../../src/core/model/ids.js';
 import { jobFromWire } from '../../src/io/users/job-messages.js';
@@ -9,15 +9,15 @@
 import { newJob } from './submitted-job.js';
 
 const SMALL_TASK = { cards: 0, vcpus: 1, memoryGb: 1 };
-/** How often a request that is waited for is checked. */
+/** Interval at which `answered` checks whether the request has ended. */
 const ANSWER_POLL_MS = 5;
 
-/** A run without faults. */
+/** Runs a simulation without faults up to the given simulated time, 15 s by default. */
 export function runQuietly(seed: number, size: SimulationSize = SMALL, ms = 15_000): Promise<Simulation> {
   return runWithoutFaults(seed, size, ms);
 }
 
-/** Submits an array job of small tasks that depends on the jobs given; it is not cancelled at random. */
+/** Submits an array job of small tasks that depends on the jobs `needs`; it is never cancelled at random. */
 export function submitSmall(
   simulation: Simulation,
   needs: readonly string[],
@@ -33,7 +33,7 @@
   });
 }
 
-/** Submits an array job whose last task runs for so long, and waits until it is accepted. */
+/** Submits an array job of two tasks, the second of which runs `runMs` longer than the first; waits until it is accepted. */
 export async function submitRunning(
   simulation: Simulation,
   runMs: number,
@@ -50,7 +50,7 @@
   return id;
 }
 
-/** Submits a small job and waits until it is accepted. */
+/** Submits an array job of small tasks as `submitSmall` does, and waits until it is accepted. */
 export async function submitAccepted(
   simulation: Simulation,
   needs: readonly string[],
@@ -63,13 +63,16 @@
   return id;
 }
 
-/** Whether the job was cancelled without any of its tasks having ended successfully. */
+/** Whether the job was reported cancelled and none of its tasks has ended successfully. */
 export function isCancelledUnstarted(simulation: Simulation, id: string): boolean {
   const { observedFinalState, doneTasks } = job(simulation, id);
   return observedFinalState === 'cancelled' && doneTasks.size === 0;
 }
 
-/** Lets time pass until a request is answered; returns the answer or throws its error. */
+/**
+ * Runs the simulation until the request ends; returns its answer or throws its error. Fails if there is neither within
+ * `timeoutMs` of simulated time.
+ */
 export async function answered<T>(simulation: Simulation, request: Promise<T>, timeoutMs = 5000): Promise<T> {
   let isOver = false as boolean;
   const watched = request.finally(() => {
@@ -78,11 +81,11 @@
   watched.catch(() => undefined);
   const end = simulation.time.now + timeoutMs;
   while (simulation.time.now < end && !isOver) await advance(simulation, ANSWER_POLL_MS);
-  assert.ok(isOver, `no answer within ${timeoutMs} ms`);
+  assert.ok(isOver, `request without an answer within ${timeoutMs} ms`);
   return watched;
 }
 
-/** Submits a job to one controller; no user polls or cancels it. */
+/** Submits a job to the given controller and returns its answer; no simulated user polls or cancels the job. */
 export function submitTo(simulation: Simulation, node: string, fields: Json, timeoutMs?: number) {
   const body = submission({ tenant: 'red', ...SMALL_TASK, ...fields });
   const id = String(body['nameId']);
@@ -101,7 +104,7 @@
   return answered(simulation, jobs.submit(jobFromWire(body as never)), timeoutMs);
 }
 
-/** Asks one controller for a job. */
+/** Looks up a job at the given controller. */
 export function findAt(simulation: Simulation, node: string, id: string, timeoutMs?: number) {
   const { jobs } = simulation.controllers.get(node)!.controller!;
   return answered(simulation, jobs.find(jobId(id)), timeoutMs);
--- a/test/sim/starvation-check.ts
+++ b/test/sim/starvation-check.ts
@@ -1,13 +1,13 @@
-/** Checks, once the faults of a run are over, that no job waits for long where there is room for it. */
+/** Checks, once the faults of a run are over, that no job waits for long although a machine has room for it. */
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** The 90 s that PROTOCOL allows, scaled down as all times of seeded runs are. */
+/** Longest time that a job may starve: the 90 s of the protocol, scaled down like all times of seeded runs. */
 const MAX_STARVED_MS = 30_000;
 const CHECK_INTERVAL_MS = 1000;
 
-/** Follows how long each job has been starved. */
+/** Tracks how long each job has been starved, and fails the run if that is too long. */
 export class StarvationCheck {
-  /** From then on there are no faults; null while there may be some. */
+  /** Simulated time in ms from which on the run has no faults; null while it may have some, and starvation is allowed. */
   faultsOverAt: number | null = null;
   private readonly starvedSince = new Map<string, number>();
 
@@ -16,7 +16,7 @@
     private readonly fail: (error: Error) => void,
   ) {}
 
-  /** Checks now and then periodically. */
+  /** Checks all jobs, and repeats the check at a fixed interval. */
   run(): void {
     this.check();
     this.cluster.time.after(CHECK_INTERVAL_MS, () => {
@@ -32,7 +32,7 @@
       const since = this.starvedSince.get(id) ?? now;
       this.starvedSince.set(id, since);
       const from = Math.max(since, this.faultsOverAt ?? Number.POSITIVE_INFINITY);
-      if (now - from > MAX_STARVED_MS) this.fail(new Error(`${id} waits though a machine has room`));
+      if (now - from > MAX_STARVED_MS) this.fail(new Error(`${id} waits although a machine has room`));
     }
   }
 }
--- a/test/sim/starved-jobs.ts
+++ b/test/sim/starved-jobs.ts
@@ -1,9 +1,10 @@
-/** Finds jobs that wait although the simulated cluster has room for them. */
+/** Finds jobs that wait although the simulated cluster has room for them, for the check of starvation. */
 import type { ObservedCluster } from './placement-invariants.js';
 import type { SimulatedAgent } from './simulated-agent.js';
 import { MACHINE_CAPACITY, teamOf } from './simulated-task.js';
 import type { SubmittedJob } from './submitted-job.js';
 
+/** Unused resources of a machine. */
 interface FreeResources {
   readonly agent: SimulatedAgent;
   vcpus: number;
@@ -11,15 +12,18 @@
   memoryGb: number;
 }
 
-/** What the machines hold now. */
+/** Resources in use and unused in the cluster. */
 interface ClusterLoad {
   readonly gpusByTeam: Map<string, number>;
   readonly runningJobs: Set<string>;
-  /** Machines that every controller reaches. */
+  /** Unused resources of the machines that every controller reaches. */
   readonly free: FreeResources[];
 }
 
-/** Accepted jobs of which nothing runs though a machine has room for a task and the team is below its quota. */
+/**
+ * Ids of accepted jobs that have no task on any machine, although the reachable machines and the team's quota allow a task,
+ * or all tasks of a gang.
+ */
 export function starvedJobs(cluster: ObservedCluster, agents: readonly SimulatedAgent[]): string[] {
   const load = loadOf(cluster, agents);
   return [...cluster.submitted]
@@ -55,7 +59,7 @@
   );
 }
 
-/** Whether the job has tasks left that may run now. */
+/** Whether the job may run now: it is accepted, neither cancelled nor finished, and all of its dependencies are done. */
 function isRunnable({ submitted }: ObservedCluster, job: SubmittedJob): boolean {
   if (!job.accepted || job.isCancellationRequested || job.alwaysFails) return false;
   if (job.observedFinalState !== null || isDone(job)) return false;
@@ -66,21 +70,21 @@
   return job.doneTasks.size === job.tasks;
 }
 
-/** Whether the team's quota and the machines allow a task of the job, or its whole gang. */
+/** Whether the team's quota and the reachable machines allow a task of the job, or all tasks of a gang. */
 function hasRoom({ quota }: ObservedCluster, job: SubmittedJob, load: ClusterLoad): boolean {
   const team = teamOf(job);
   const cards = Number(job.body['cards']);
-  const needed = job.kind === 'ensemble' ? job.tasks : 1;
-  const left = quota.get(team)! - (load.gpusByTeam.get(team) ?? 0);
-  if (cards > 0 && cards * needed > left) return false;
-  // Tasks that fit by zone, where all of them must be in one.
-  const fits = new Map<string, number>();
+  const tasksNeeded = job.kind === 'ensemble' ? job.tasks : 1;
+  const quotaLeft = quota.get(team)! - (load.gpusByTeam.get(team) ?? 0);
+  if (cards > 0 && cards * tasksNeeded > quotaLeft) return false;
+  // Tasks that fit, counted by zone for a job that must run in a single zone, and over all zones for any other.
+  const fittingByPlace = new Map<string, number>();
   for (const free of load.free) {
     if (!mayUse(job, free.agent)) continue;
     const place = job.body['samePlace'] === true ? free.agent.zone : '';
-    fits.set(place, (fits.get(place) ?? 0) + tasksThatFit(job, free));
+    fittingByPlace.set(place, (fittingByPlace.get(place) ?? 0) + tasksThatFit(job, free));
   }
-  return [...fits.values()].some((count) => count >= needed);
+  return [...fittingByPlace.values()].some((count) => count >= tasksNeeded);
 }
 
 function mayUse(job: SubmittedJob, agent: SimulatedAgent): boolean {
@@ -90,10 +94,10 @@
 
 function tasksThatFit(job: SubmittedJob, free: FreeResources): number {
   const cards = Number(job.body['cards']);
-  const fit = Math.min(
+  const fittingTasks = Math.min(
     free.vcpus / Number(job.body['vcpus']),
     cards > 0 ? free.cards / cards : Number.POSITIVE_INFINITY,
     free.memoryGb / Number(job.body['memoryGb']),
   );
-  return Math.max(0, Math.floor(fit));
+  return Math.max(0, Math.floor(fittingTasks));
 }
--- a/test/sim/task-placements.ts
+++ b/test/sim/task-placements.ts
@@ -1,13 +1,16 @@
-/** Which tasks the simulated machines hold, from the start command on: stricter than the rules, which count from the start. */
+/**
+ * Tasks that the simulated machines hold. A task counts from the start command on, which is stricter than the protocol,
+ * where it counts from its start.
+ */
 import type { SimulatedAgent } from './simulated-agent.js';
 import { taskName, type SimulatedTask } from './simulated-task.js';
 
-/** Tasks by machine, and machines by task. */
+/** Index of tasks by machine, and of machines by task. */
 export class TaskPlacements {
   private readonly tasksByAgent = new Map<SimulatedAgent, Set<SimulatedTask>>();
   private readonly agentsByTask = new Map<string, Set<SimulatedAgent>>();
 
-  /** Machines that hold an attempt at the task. */
+  /** Agents whose machines hold an attempt of the task. */
   agentsOf(task: SimulatedTask): ReadonlySet<SimulatedAgent> {
     return this.agentsByTask.get(taskName(task)) ?? new Set();
   }
@@ -21,12 +24,12 @@
     addTo(this.tasksByAgent, agent, task);
   }
 
-  /** All machines that ever held a task, in the order of their first. */
+  /** All machines that ever held a task, in the order in which each got its first, with the tasks that they hold now. */
   entries(): Iterable<[SimulatedAgent, ReadonlySet<SimulatedTask>]> {
     return this.tasksByAgent;
   }
 
-  /** Tasks of the same gang attempt, with their machines. */
+  /** All tasks of the same attempt of a gang, with their machines. */
   gangOf(task: SimulatedTask): [SimulatedAgent, SimulatedTask][] {
     const gang: [SimulatedAgent, SimulatedTask][] = [];
     for (const [agent, tasks] of this.tasksByAgent)
@@ -35,7 +38,7 @@
     return gang;
   }
 
-  /** False where the machine did not hold it. */
+  /** Removes the task from the machine; returns false if the machine did not hold it. */
   remove(agent: SimulatedAgent, task: SimulatedTask): boolean {
     const tasks = this.tasksByAgent.get(agent);
     if (tasks?.delete(task) !== true) return false;
