--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,7 @@
-/** About 4,000 machines: no fixed limit is below that, and the work per heartbeat and per pass stays small. */
+/**
+ * Fleets of about 4,000 machines. The tests guard against fixed limits that are below that size, and against work or memory
+ * that is small for each machine, heartbeat or pass of a small cluster and overloads a controller of a large one.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { setFlagsFromString } from 'node:v8';
@@ -25,10 +28,15 @@
 
 const MACHINES = 4000;
 
-/** Runs until the condition holds; fails where it does not within the time. */
-async function until(simulation: Simulation, ms: number, what: string, holds: () => boolean): Promise<void> {
+/** Runs the simulation until the condition holds; fails if it does not within `ms` of simulated time. */
+async function runUntil(
+  simulation: Simulation,
+  ms: number,
+  what: string,
+  holds: () => boolean,
+): Promise<void> {
   for (let waited = 0; !holds(); waited += 1000) {
-    assert.ok(waited < ms, `${what}: not within ${ms} ms`);
+    assert.ok(waited < ms, `${what}: not reached within ${ms} ms`);
     await advance(simulation, 1000);
   }
 }
@@ -38,7 +46,7 @@
     const simulation = new Simulation({ seed: 5, size: HUGE });
     simulation.isSmooth = true;
     simulation.duplicateHeartbeatProbability = 0;
-    // One task fills a machine, so that each has one.
+    // A task fills a machine, so that each machine has one.
     const fields = { vcpus: 14, cards: 0, tier: 'standard', vault: null, samePlace: false };
     const submitAll = (tasks: number, tenants: readonly string[], runMs: number) =>
       tenants.map((tenant) =>
@@ -53,28 +61,28 @@
     const teams = ['red', 'blue', 'green'];
     submitAll(MACHINES / 3, teams, 100_000);
     const busy = () => simulation.cluster.liveAgents().filter((agent) => agent.tasks.size > 0).length;
-    await until(simulation, 120_000, 'a task on each of 3,900 machines', () => busy() >= MACHINES * 0.975);
+    await runUntil(simulation, 120_000, 'a task on each of 3,900 machines', () => busy() >= MACHINES * 0.975);
 
-    // Heartbeats without changes: nothing is written for them, and few requests are made.
+    // Heartbeats without changes must cause no writes and few requests.
     const before = { ...simulation.state.counts };
     await advance(simulation, 5000);
     const writes = (simulation.state.counts.writes - before.writes) / 5;
-    assert.ok(writes < HUGE.writeRps / 4, `${writes} changes a second while nothing happens`);
+    assert.ok(writes < HUGE.writeRps / 4, `${writes} writes per second while nothing changes`);
 
-    // A controller crashes: its shard moves in one transaction, and no agent's lease expires.
-    const lost = allControllers(simulation).find((node) => node !== currentLeader(simulation))!;
+    // When a controller crashes, its shard moves in one transaction, and no agent's lease expires.
+    const crashed = allControllers(simulation).find((node) => node !== currentLeader(simulation))!;
     const records = () => [...simulation.state.rows].filter(([k]) => parseKey(k).kind === 'machine');
     const versions = new Map(records().map(([k, r]) => [k, r.revision]));
-    lost.crash();
+    crashed.crash();
     await advance(simulation, 12_000);
     const rewritten = records().filter(([k, r]) => versions.get(k) !== r.revision).length;
     assert.ok(rewritten < MACHINES / 4, `${rewritten} machine records rewritten`);
     assert.equal(simulation.cluster.tasksLostToLeaseExpiry, 0, 'tasks killed by an expired lease');
-    lost.start();
+    crashed.start();
     await advance(simulation, 8000);
     assert.equal(simulation.cluster.tasksLostToLeaseExpiry, 0, 'tasks killed by an expired lease');
 
-    // A burst of small tasks on what is left of the machines.
+    // A burst of small tasks runs on the resources that the large tasks leave.
     const starts = simulation.cluster.starts;
     for (const tenant of teams)
       for (let i = 0; i < 10; i++)
@@ -85,13 +93,14 @@
           isNeverCancelled: true,
           fields: { ...fields, tenant, vcpus: 1, memoryGb: 1 },
         });
-    await until(simulation, 40_000, 'the burst', () => simulation.cluster.starts - starts >= 1200);
-    assert.equal(simulation.state.oversizedTransactions, 0, 'changes above a limit');
+    await runUntil(simulation, 40_000, 'the burst', () => simulation.cluster.starts - starts >= 1200);
+    assert.equal(simulation.state.oversizedTransactions, 0, 'transactions above a limit');
     for (const [k, r] of simulation.state.rows)
       assert.ok(jsonBytes(r.value) <= simulation.state.valueBytes, k);
   });
 });
 
+/** Guards against a controller that runs out of memory because it keeps too much for each machine. */
 describe('memory of a controller', () => {
   it('the state that a controller keeps of 4,000 machines fits into its heap', () => {
     setFlagsFromString('--expose_gc');
@@ -106,15 +115,15 @@
     );
     const before = heap();
     const view = new ClusterView();
-    const memories = [];
+    const sessions = [];
     for (let i = 0; i < MACHINES; i++) {
       const name = `n-${String(i).padStart(6, '0')}`;
       const tasks = [...Array(TASKS).keys()].map((k) => i * TASKS + k);
-      // As they come over the wire: nothing is shared between them.
+      // Parsed from JSON as in a controller, so that machines do not share objects.
       const text = JSON.stringify(machine(name, [allocationFor(spec, attempt(7), tasks)]));
       const value: unknown = JSON.parse(text);
       view.apply({ key: key.machine(machineName(name)), value, version: version(i + 10) });
-      const memory = newAgentSession(view.fencingTokenOf(value as MachineRecord), monotonicMs(0));
+      const session = newAgentSession(view.fencingTokenOf(value as MachineRecord), monotonicMs(0));
       const heartbeat = heartbeatFromWire(
         JSON.parse(
           JSON.stringify({
@@ -128,18 +137,23 @@
           }),
         ),
       );
-      recordHeartbeat(memory, heartbeat!, { now: monotonicMs(1), isPushed: true, heartbeatIntervalMs: 2000 });
-      memories.push(memory);
+      recordHeartbeat(session, heartbeat!, {
+        now: monotonicMs(1),
+        isPushed: true,
+        heartbeatIntervalMs: 2000,
+      });
+      sessions.push(session);
     }
     const totals = new AllocationTotals(view.machines.values(), types, new Map());
     const used = heap() - before;
     assert.equal(totals.freeByMachine.size, MACHINES);
-    assert.equal(memories.length, MACHINES);
-    // `deploy/service.toml` allows 72 MB, of which the program takes about 20 without any machine.
-    assert.ok(used < 45, `${used.toFixed(1)} MB`);
+    assert.equal(sessions.length, MACHINES);
+    // `deploy/service.toml` allows a heap of 72 MB; a controller without machines takes about 20 MB of it.
+    assert.ok(used < 45, `${used.toFixed(1)} MB used, expected less than 45 MB`);
   });
 });
 
+/** Guards against proxied machines that their owners take for failed, since the list of them exceeds the size of a value. */
 describe('reading of proxied machines', () => {
   it('a long list of proxied machines is split into records, each attributed to its controller', () => {
     const view = new ClusterView();
@@ -165,11 +179,12 @@
   });
 });
 
+/** Guards against records above the size limit of a value, and against machines that stay listed after a refused removal. */
 describe('publication of proxied machines', () => {
   it('all proxied machines are recorded within the size limit of a value', async () => {
     const view = new ClusterView();
     let latestRevision = 10;
-    let refuses = false;
+    let refusesTransactions = false;
     const context = {
       view,
       settings: { node: nodeName('c-1') },
@@ -178,7 +193,7 @@
       state: {
         limits: { valueBytes: 2048 },
         transact: ({ operations }: ChangeSet) => {
-          if (refuses) return Promise.resolve({ kind: 'refused' });
+          if (refusesTransactions) return Promise.resolve({ kind: 'refused' });
           latestRevision++;
           for (const { key: written, value } of operations) {
             assert.ok(value === undefined || jsonBytes(value) <= 2048);
@@ -192,34 +207,35 @@
     const names = [...Array(Math.floor(MACHINES / 3)).keys()].map((i) =>
       machineName(`n-${String(i).padStart(6, '0')}`),
     );
-    const written = () =>
+    const listed = () =>
       [...view.proxiedMachines.values()]
         .filter((s) => s.node === 'c-1')
         .flatMap((s) => [...s.machines])
         .sort();
     await list.publish(names, 3);
-    assert.deepEqual(written(), names);
+    assert.deepEqual(listed(), names);
     await list.publish(names, 3);
     const before = latestRevision;
     await list.publish(names, 3);
-    assert.equal(latestRevision, before, 'nothing is written where nothing has changed');
-    // Refused removals are not forgotten: those machines would count as answered here until the lease ends.
-    refuses = true;
+    assert.equal(latestRevision, before, 'an unchanged list was written again');
+    // A refused removal is repeated; otherwise, those machines would count as proxied here until the lease ends.
+    refusesTransactions = true;
     await list.publish(names.slice(0, 3), 3);
-    assert.deepEqual(written(), names);
-    refuses = false;
+    assert.deepEqual(listed(), names);
+    refusesTransactions = false;
     await list.publish(names.slice(0, 3), 3);
-    assert.deepEqual(written(), names.slice(0, 3));
+    assert.deepEqual(listed(), names.slice(0, 3));
     await list.publish([], 3);
     assert.equal(view.proxiedMachines.size, 0);
   });
 });
 
+/** Guards against a bound on unconfirmed agents below the size of the fleet, with which none of them would be confirmed. */
 describe('registration of unregistered machines', () => {
   it('4,000 unregistered machines are recognized after two heartbeats each', () => {
     let now = 0;
     const context = { clock: { now: () => monotonicMs(now) }, settings: { cloudLimits: { list_lag_s: 5 } } };
-    const unknown = new UnregisteredMachines(context as unknown as ControllerContext);
+    const unregistered = new UnregisteredMachines(context as unknown as ControllerContext);
     for (const tally of [1, 2])
       for (let i = 0; i < MACHINES; i++) {
         now += 0.6;
@@ -231,8 +247,8 @@
           tally,
           shards: [],
         });
-        unknown.recordHeartbeat(heartbeat!);
+        unregistered.recordHeartbeat(heartbeat!);
       }
-    assert.equal(unknown.size, MACHINES);
+    assert.equal(unregistered.size, MACHINES);
   });
 });
--- a/test/overlapping-faults.test.ts
+++ b/test/overlapping-faults.test.ts
@@ -16,14 +16,14 @@
 } from './sim/run-helpers.js';
 
 describe('overlapping faults of the state service', () => {
-  // A cancellation may be reported only when no machine has a task of the job, whatever its owner can still do.
+  // A cancellation may be reported only once no machine has a task of the job, even if the job's owner can no longer act.
   for (const [refusedMs, outMs] of [
     [1500, 25_000],
     [200, 12_000],
     [6000, 25_000],
   ] as const)
     faultScenario(
-      `cancellations while the state service refuses the leader, then an outage of ${outMs} ms after ${refusedMs} ms`,
+      `no cancelled job runs after the state service refuses the leader for ${refusedMs} ms, then fails for ${outMs} ms`,
       async (simulation) => {
         const leader = currentLeader(simulation);
         const before = cancelledJobs(simulation).length;
@@ -39,41 +39,42 @@
         await advance(simulation, outMs / 2);
         simulation.state.setOutage(false);
         await advance(simulation, 15_000);
-        assert.ok(cancelledJobs(simulation).length > before, 'jobs were cancelled');
+        assert.ok(cancelledJobs(simulation).length > before, 'no job was cancelled');
       },
       [3, 8, 12],
     );
 });
 
+/** Guards against tasks that are lost or started twice when a new process takes over what an earlier one had begun. */
 describe('controllers that crash and restart', () => {
   faultScenario(
-    'failover and failback, a crash of all controllers, and a restart within a second',
+    'jobs finish after a failover, a failback, a crash of all controllers and a restart within a second',
     async (simulation) => {
-      const [one, two, three] = allControllers(simulation);
-      one!.crash();
+      const [first, second, third] = allControllers(simulation);
+      first!.crash();
       await advance(simulation, 5000);
-      one!.start();
+      first!.start();
       await advance(simulation, 3000);
       for (const node of allControllers(simulation)) node.crash();
       await advance(simulation, 400);
-      two!.start();
+      second!.start();
       await advance(simulation, 4000);
-      one!.start();
-      three!.start();
+      first!.start();
+      third!.start();
       await advance(simulation, 300);
-      two!.crash();
+      second!.crash();
       await advance(simulation, 50);
-      two!.start();
+      second!.start();
     },
   );
 
   faultScenario(
-    'ten leader changes in a row, some during an outage of the state service',
+    'jobs finish after ten leader changes in a row, some during an outage of the state service',
     async (simulation) => {
-      const led = new Set<string>();
+      const leaderProcesses = new Set<string>();
       for (let i = 0; i < 10; i++) {
         const node = currentLeader(simulation);
-        led.add(`${node.name} ${node.starts}`);
+        leaderProcesses.add(`${node.name} ${node.starts}`);
         if (i === 5) simulation.state.setOutage(true);
         node.crash();
         await advance(simulation, i % 2 === 0 ? 100 : 3000);
@@ -81,68 +82,71 @@
         if (i === 6) simulation.state.setOutage(false);
         await advance(simulation, 2500);
       }
-      assert.ok(led.size >= 8, `only ${led.size} lives led`);
+      assert.ok(leaderProcesses.size >= 8, `only ${leaderProcesses.size} processes led`);
     },
   );
 });
 
 describe('downtime longer than a lease', () => {
-  // A task that is done but not recorded must keep its part of the quota until its lease has expired everywhere.
+  // Guards against exceeded quotas: a task that is done, but not recorded as done, must count until its lease has expired
+  // everywhere.
   faultScenario(
-    'all controllers are down for longer than a lease',
+    'jobs finish and quotas hold after all controllers were down for longer than a lease',
     async (simulation) => {
       for (const node of allControllers(simulation)) node.crash();
       await advance(simulation, LEASE_MS * 1.5);
-      assert.ok(simulation.cluster.tasksLostToLeaseExpiry > 0, 'agents killed their tasks');
+      assert.ok(simulation.cluster.tasksLostToLeaseExpiry > 0, 'agents did not kill their tasks');
       for (const node of allControllers(simulation)) node.start();
     },
     [3, 8, 1],
   );
 });
 
+/** Guards against tasks that start elsewhere, or count as cancelled, while an agent that cannot answer still runs them. */
 describe('partitions and hung agents', () => {
-  faultScenario('agents hang for seconds during a leader change, and then resume', async (simulation) => {
-    const some = busyAgents(simulation).slice(0, 4);
-    assert.ok(some.length >= 3);
+  faultScenario('jobs finish when agents hang for seconds during a leader change', async (simulation) => {
+    const hungAgents = busyAgents(simulation).slice(0, 4);
+    assert.ok(hungAgents.length >= 3);
     cancelRunningJobs(simulation, 3);
     await advance(simulation, 30);
-    for (const agent of some) agent.isHung = true;
+    for (const agent of hungAgents) agent.isHung = true;
     await advance(simulation, LEASE_MS * 0.7);
     currentLeader(simulation).crash();
     await advance(simulation, 1000);
-    for (const agent of some) if (!agent.isTerminated) agent.resume();
+    for (const agent of hungAgents) if (!agent.isTerminated) agent.resume();
     for (const node of allControllers(simulation)) if (node.controller === null) node.start();
   });
 
   faultScenario(
-    'the leader loses state service and peers but not its agents, while jobs are cancelled at other controllers',
+    'another controller leads and cancels jobs when the leader loses state service and peers, not its agents',
     async (simulation) => {
       const old = currentLeader(simulation);
       old.unreachable.add('state').add('peers');
       await advance(simulation, 300);
       cancelRunningJobs(simulation, 6);
       await advance(simulation, 12_000);
-      assert.notEqual(currentLeader(simulation), old, 'another controller leads');
-      assert.ok(cancelledJobs(simulation).length > 0, 'jobs were cancelled');
+      assert.notEqual(currentLeader(simulation), old, 'no other controller leads');
+      assert.ok(cancelledJobs(simulation).length > 0, 'no job was cancelled');
       old.unreachable.clear();
       await advance(simulation, 5000);
     },
   );
 
   faultScenario(
-    'agents with an outbound partition, which direct commands still reach',
+    'cancelled jobs end when their agents have an outbound partition and get direct commands only',
     async (simulation) => {
-      const some = busyAgents(simulation).slice(0, 3);
-      for (const agent of some) agent.isOutboundPartitioned = true;
+      const agents = busyAgents(simulation).slice(0, 3);
+      for (const agent of agents) agent.isOutboundPartitioned = true;
       cancelRunningJobs(simulation, 5);
       await advance(simulation, LEASE_MS * 2);
-      for (const agent of some) agent.isOutboundPartitioned = false;
+      for (const agent of agents) agent.isOutboundPartitioned = false;
     },
   );
 });
 
+/** Guards against heartbeats and transactions that arrive late and replace newer state. */
 describe('delayed heartbeats and transactions', () => {
-  faultScenario('heartbeats delayed until a new leader has acted arrive at it', async (simulation) => {
+  faultScenario('jobs finish when heartbeats from before its term reach a leader', async (simulation) => {
     simulation.duplicateHeartbeatProbability = 1;
     const old = currentLeader(simulation);
     await advance(simulation, 3000);
@@ -152,12 +156,12 @@
     await advance(simulation, 6000);
     old.start();
     old.unreachable.clear();
-    // Copies are up to two and a half leases old when they come.
+    // Duplicates of heartbeats arrive up to two and a half leases late.
     await advance(simulation, LEASE_MS * 3);
     simulation.duplicateHeartbeatProbability = 0;
   });
 
-  faultScenario('unanswered transactions are applied late, after newer ones', async (simulation) => {
+  faultScenario('jobs finish when late transactions are applied after newer ones', async (simulation) => {
     simulation.lateWriteProbability = 0.25;
     for (let i = 0; i < 4; i++) {
       cancelRunningJobs(simulation, 2);
@@ -171,23 +175,24 @@
     }
     simulation.lateWriteProbability = 0;
     await advance(simulation, 12_000);
-    assert.ok(simulation.lateWritesApplied > 20, `only ${simulation.lateWritesApplied} late changes`);
+    assert.ok(simulation.lateWritesApplied > 20, `only ${simulation.lateWritesApplied} late writes`);
   });
 });
 
+/** Guards against tasks that start twice, or never, because of outdated heartbeats or machines that do not answer. */
 describe('stale heartbeats and unreachable machines', () => {
   faultScenario(
-    'delayed heartbeats of earlier agent epochs and attempts arrive after newer ones',
+    'delayed heartbeats of earlier agent epochs and attempts have no effect after newer ones',
     async (simulation) => {
       simulation.duplicateHeartbeatProbability = 0.6;
       for (let i = 0; i < 3; i++) {
-        // Their leases run out, so they go on in another session; what ran there is started again.
-        const some = busyAgents(simulation).slice(0, 2);
-        for (const agent of some)
+        // The leases of these agents expire: they continue in a new epoch, and their tasks are started again.
+        const agents = busyAgents(simulation).slice(0, 2);
+        for (const agent of agents)
           for (const node of simulation.controllers.keys()) agent.partitionedFrom.add(node);
         cancelRunningJobs(simulation, 2);
         await advance(simulation, LEASE_MS + 1500);
-        for (const agent of some) agent.partitionedFrom.clear();
+        for (const agent of agents) agent.partitionedFrom.clear();
         await advance(simulation, 4000);
       }
       simulation.duplicateHeartbeatProbability = 0;
@@ -196,20 +201,20 @@
   );
 
   faultScenario(
-    'the leader crashes while machines are partitioned from all controllers or have an inbound partition',
+    'jobs finish when the leader crashes while machines are partitioned in one or in both directions',
     async (simulation) => {
       const old = currentLeader(simulation);
-      const some = busyAgents(simulation);
-      const away = some.slice(0, 2);
-      const inboundPartitioned = some.slice(2, 4);
+      const agents = busyAgents(simulation);
+      const partitioned = agents.slice(0, 2);
+      const inboundPartitioned = agents.slice(2, 4);
       assert.ok(inboundPartitioned.length > 0);
-      for (const agent of away)
+      for (const agent of partitioned)
         for (const node of simulation.controllers.keys()) agent.partitionedFrom.add(node);
       for (const agent of inboundPartitioned) agent.isInboundPartitioned = true;
       old.crash();
       cancelRunningJobs(simulation, 4);
       await advance(simulation, 9000);
-      for (const agent of away) agent.partitionedFrom.clear();
+      for (const agent of partitioned) agent.partitionedFrom.clear();
       old.start();
       await advance(simulation, LEASE_MS * 4);
       for (const agent of inboundPartitioned) agent.isInboundPartitioned = false;
@@ -217,8 +222,9 @@
   );
 });
 
+/** Guards against a job with two final states, or one reported as done too early, when its end overlaps with faults. */
 describe('jobs that end or are cancelled during faults', () => {
-  faultScenario('tasks of a job end far apart, with leader changes in between', async (simulation) => {
+  faultScenario('jobs finish when leader changes occur between ends of their tasks', async (simulation) => {
     for (let i = 0; i < 4; i++) {
       for (let k = 0; k < 4; k++) simulation.submit({ kind: 'sweep', tasks: 2 + (k % 2), staggerMs: 9000 });
       await advance(simulation, 4500);
@@ -230,22 +236,22 @@
   });
 
   faultScenario(
-    'cancellations, polls and retried submissions at the moment at which the last task ends',
+    'a job has one final state when it is cancelled, polled and submitted again as its last task ends',
     async (simulation) => {
       simulation.cancelAtEndProbability = 1;
       await advance(simulation, 40_000);
       simulation.cancelAtEndProbability = 0;
       const finals = new Set(
         [...simulation.cluster.submitted.values()]
-          .filter((j) => j.isCancellationRequested)
-          .map((j) => j.observedFinalState),
+          .filter((job) => job.isCancellationRequested)
+          .map((job) => job.observedFinalState),
       );
-      assert.ok(finals.has('done') && finals.has('cancelled'), 'both final states were observed');
+      assert.ok(finals.has('done') && finals.has('cancelled'), 'not both final states were observed');
     },
   );
 
   faultScenario(
-    'a slow state service that refuses the leader, then an outage, during cancellations and polls',
+    'final states stay while a slow state service refuses the leader and then fails, during cancellations',
     async (simulation) => {
       simulation.maxStateDelayMs = 1800;
       await advance(simulation, 4000);
@@ -266,8 +272,9 @@
   );
 });
 
+/** Guards against tasks in a second zone, and lost jobs, when tasks are started again after a loss. */
 describe('loss of machines and zones', () => {
-  faultScenario('jobs bound to one zone lose machines (hung and terminated)', async (simulation) => {
+  faultScenario('jobs bound to one zone finish when machines hang or terminate', async (simulation) => {
     for (let i = 0; i < 6; i++) {
       for (let k = 0; k < 2; k++)
         simulation.submit({ kind: k === 0 ? 'sweep' : 'ensemble', tasks: 4, fields: { samePlace: true } });
@@ -287,23 +294,24 @@
   });
 
   faultScenario(
-    'a zone with agents and a controller is partitioned for longer than a lease',
+    'jobs finish when a zone with agents and a controller is partitioned for longer than a lease',
     async (simulation) => {
-      const near = allControllers(simulation).filter((node) => node.zone === 'b');
-      for (const node of near) node.unreachable.add('state').add('peers');
+      const zoneControllers = allControllers(simulation).filter((node) => node.zone === 'b');
+      for (const node of zoneControllers) node.unreachable.add('state').add('peers');
       simulation.network.partitionedZones.add('b');
       cancelRunningJobs(simulation, 5);
       await advance(simulation, LEASE_MS * 2);
-      for (const node of near) node.unreachable.clear();
+      for (const node of zoneControllers) node.unreachable.clear();
       simulation.network.partitionedZones.clear();
       await advance(simulation, 5000);
     },
   );
 });
 
+/** Guards against exceeded quotas and starved jobs in a full cluster whose controllers, machines and jobs change. */
 describe('full quotas and overload', () => {
   faultScenario(
-    'a team at its quota, a leader change, unreachable machines and a cancellation',
+    'a team at its quota stays within it through a leader change, lost machines and cancellations',
     async (simulation) => {
       for (let k = 0; k < 12; k++)
         simulation.submit({ kind: 'sweep', tasks: 6, fields: { tenant: 'blue', cards: 2, vcpus: 2 } });
@@ -311,29 +319,29 @@
       const used = () =>
         busyAgents(simulation)
           .flatMap((agent) => [...agent.tasks.values()])
-          .filter((t) => t.state !== 'ended' && t.job.body['tenant'] === 'blue')
+          .filter((task) => task.state !== 'ended' && task.job.body['tenant'] === 'blue')
           .reduce((gpus, task) => gpus + Number(task.job.body['cards']), 0);
       for (let i = 0; i < 60 && used() < 11; i++) await advance(simulation, 500);
-      assert.ok(used() >= 11, `the team uses ${used()} of 12`);
-      const blue = busyAgents(simulation).filter((agent) =>
+      assert.ok(used() >= 11, `the team uses ${used()} of 12 GPUs`);
+      const blueAgents = busyAgents(simulation).filter((agent) =>
         [...agent.tasks.values()].some((t) => t.job.body['tenant'] === 'blue'),
       );
-      for (const agent of blue.slice(0, 2))
+      for (const agent of blueAgents.slice(0, 2))
         for (const node of simulation.controllers.keys()) agent.partitionedFrom.add(node);
       const old = currentLeader(simulation);
       old.crash();
       for (const id of simulation
         .runningJobs()
-        .filter((x) => simulation.cluster.submitted.get(x)!.body['tenant'] === 'blue')
+        .filter((id) => simulation.cluster.submitted.get(id)!.body['tenant'] === 'blue')
         .slice(0, 2))
         simulation.cancel(id);
       await advance(simulation, 6000);
-      for (const agent of blue) agent.partitionedFrom.clear();
+      for (const agent of blueAgents) agent.partitionedFrom.clear();
       old.start();
     },
   );
 
-  faultScenario('an overloaded cluster with all priorities over a slow network', async (simulation) => {
+  faultScenario('jobs of all priorities finish under overload over a slow network', async (simulation) => {
     simulation.isSmooth = false;
     for (let k = 0; k < 16; k++)
       simulation.submit({
@@ -346,23 +354,24 @@
   });
 });
 
+/** Guards against a cancellation that is reported while a task of the job still runs on a machine that does not answer. */
 describe('cancellation while machines hang', () => {
   it('a cancellation is reported only once no record holds a task of the job', async () => {
     const simulation = await runUntilBusy(3);
     const ids = simulation.runningJobs().slice(0, 4);
     const found = ids.map((id) => {
-      const agent = busyAgents(simulation).find((x) =>
-        [...x.tasks.values()].some((t) => t.id === id && t.state !== 'ended'),
+      const agent = busyAgents(simulation).find(({ tasks }) =>
+        [...tasks.values()].some((t) => t.id === id && t.state !== 'ended'),
       )!;
-      return { id, w: agent };
+      return { id, agent };
     });
-    // The machines hang: nobody knows what runs there, so nobody may say that nothing does.
-    for (const { w: agent } of found) agent.isHung = true;
+    // No controller knows what runs on a hung machine, so none may report that nothing does.
+    for (const { agent } of found) agent.isHung = true;
     for (const id of ids) simulation.cancel(id);
     await advance(simulation, LEASE_MS * 0.6);
     for (const { id } of found)
       assert.equal(simulation.cluster.submitted.get(id)!.observedFinalState, null, id);
-    for (const { w: agent } of found) agent.resume();
+    for (const { agent } of found) agent.resume();
     await advance(simulation, 8000);
     for (const { id } of found)
       assert.notEqual(simulation.cluster.submitted.get(id)!.observedFinalState, null, id);
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,4 +1,9 @@
-/** Dependent jobs, and the rolling upgrade to the version that supports them; the invariants are checked after each step. */
+/**
+ * Dependent jobs, and the rolling upgrade to the version that supports them. The tests guard against dependents that start
+ * before all of their dependencies are done, wait for ever, or are not cancelled with a dependency. This comes about when a
+ * dependency ends or is cancelled while controllers restart or the state service fails. The invariants are checked after
+ * each step (test/sim).
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { jobId } from '../src/core/model/ids.js';
@@ -17,6 +22,7 @@
 import { advance, advanceUntil, job, restartAllControllers } from './sim/run-helpers.js';
 import { GROWN, LIMITS, SMALL, Simulation } from './sim/simulation.js';
 
+/** Guards against dependents that run or wait for ever because a fault interrupts the cancellation of their dependency. */
 describe('cancellation of a dependency', () => {
   for (const [name, injectFault] of [
     ['without faults', () => undefined],
@@ -53,7 +59,7 @@
       simulation.cancel(head);
       await advanceUntil(simulation, () => job(simulation, head).observedCancelledAt !== null, 8000);
       injectFault(simulation);
-      // A job that depends on a cancelled one, then or later, is accepted and cancelled.
+      // A job that is submitted with a cancelled dependency is accepted, and cancelled with it.
       chain.push(submitSmall(simulation, [chain.at(-1)!]));
       await advance(simulation, 15_000);
       for (const id of chain.slice(1))
@@ -61,6 +67,10 @@
     });
 });
 
+/**
+ * Guards against a cancellation that spreads to stages before or beside the cancelled one, and against dependents that are
+ * cancelled although their dependency was done before its cancellation took effect.
+ */
 describe('cancellation of a stage', () => {
   it('cancelling a stage cancels the stages after it, and those before it go on', async () => {
     const simulation = await runQuietly(4);
@@ -107,12 +117,13 @@
         assert.ok(isCancelledUnstarted(simulation, ids[i + 1]!));
       else finished++;
     }
-    assert.ok(finished > 0, 'some were done when their cancellation was requested');
+    assert.ok(finished > 0, 'no job was done when its cancellation was requested');
   });
 });
 
+/** Guards against accepted jobs that can never run, since they depend on a job that does not exist or does not end. */
 describe('validation of dependencies', () => {
-  it('a job may depend on accepted jobs only: unknown jobs, itself and services are refused; finished ones are dropped', async () => {
+  it('a job may depend on accepted jobs only, not on itself or services; finished dependencies are dropped', async () => {
     const simulation = await runQuietly(4);
     const service = simulation.submit({
       kind: 'daemon',
@@ -120,28 +131,28 @@
       tasks: 1,
       fields: { cards: 0 },
     });
-    const quick = submitSmall(simulation, []);
+    const finished = submitSmall(simulation, []);
     await advanceUntil(
       simulation,
-      () => job(simulation, quick).observedFinalState !== null && job(simulation, service).accepted,
+      () => job(simulation, finished).observedFinalState !== null && job(simulation, service).accepted,
       40_000,
     );
     const { controller } = simulation.controllers.get('c-1')!;
     const submit = (nameId: string, awaits: string[]) =>
       controller!.jobs.submit(jobFromWire(submission({ nameId, awaits, tenant: 'red', cards: 0 }) as never));
-    for (const awaits of [['wk-none'], ['wk-x1'], [quick, 'wk-none'], [service]]) {
+    for (const awaits of [['wk-none'], ['wk-x1'], [finished, 'wk-none'], [service]]) {
       const [result] = await Promise.all([submit('wk-x1', awaits), advance(simulation, 3000)]);
       assert.equal(result.kind, 'impossible', awaits.join());
     }
-    const next = submitSmall(simulation, [quick], 30);
+    const next = submitSmall(simulation, [finished], 30);
     await advanceUntil(simulation, () => job(simulation, next).accepted, 3000);
     const stored = simulation.state.rows.get(key.job(jobId(next)))?.value as
       { spec: { needs?: unknown } } | undefined;
-    assert.equal(stored?.spec.needs, undefined, 'finished dependencies are not stored');
-    // A retry is known, whatever its dependencies.
+    assert.equal(stored?.spec.needs, undefined, 'a finished dependency was stored');
+    // A retried submission is known even if its dependencies are invalid.
     const [retried] = await Promise.all([submit(next, ['wk-none']), advance(simulation, 1000)]);
     assert.equal(retried.kind, 'known');
-    // During an outage nothing can be decided.
+    // During an outage of the state service, controllers cannot know whether a dependency was accepted.
     simulation.state.setOutage(true);
     await advance(simulation, 3000);
     const [later] = await Promise.all([submit('wk-x3', ['wk-none']), advance(simulation, 100)]);
@@ -149,33 +160,41 @@
   });
 });
 
+/**
+ * Guards against hundreds of dependents that start or are cancelled too slowly after their dependency, and against urgent
+ * stages that wait because the stages before them have a low priority.
+ */
 describe('scheduling of pipelines', () => {
   it('hundreds of dependents run when a job is done, and are cancelled when it is cancelled', async () => {
     for (const isCancelled of [false, true]) {
       const simulation = await runQuietly(4, GROWN);
-      // A job to be cancelled must still run by then.
+      // The job to be cancelled must still run when all dependents are accepted.
       const head = isCancelled
         ? await submitRunning(simulation, 120_000)
         : await submitAccepted(simulation, [], 60, {}, 5000);
-      const wide = [...Array(250).keys()].map(() =>
+      const dependents = [...Array(250).keys()].map(() =>
         submitSmall(simulation, [head], 1, { tier: 'production' }),
       );
-      await advanceUntil(simulation, () => wide.every((id) => job(simulation, id).accepted), 60_000);
+      await advanceUntil(simulation, () => dependents.every((id) => job(simulation, id).accepted), 60_000);
       if (isCancelled) simulation.cancel(head);
       await advanceUntil(simulation, () => job(simulation, head).observedFinalState !== null, 60_000);
       if (isCancelled) {
         assert.equal(job(simulation, head).observedFinalState, 'cancelled');
-        // Reported at once; the records follow in batches.
-        await advanceUntil(simulation, () => wide.every((id) => isCancelledUnstarted(simulation, id)), 8000);
+        // The cancellation of dependents is reported at once, and recorded in batches.
         await advanceUntil(
           simulation,
-          () => wide.every((id) => simulation.state.rows.has(key.final(jobId(id)))),
+          () => dependents.every((id) => isCancelledUnstarted(simulation, id)),
+          8000,
+        );
+        await advanceUntil(
+          simulation,
+          () => dependents.every((id) => simulation.state.rows.has(key.final(jobId(id)))),
           90_000,
         );
       } else
         await advanceUntil(
           simulation,
-          () => wide.every((id) => job(simulation, id).observedFinalState === 'done'),
+          () => dependents.every((id) => job(simulation, id).observedFinalState === 'done'),
           150_000,
         );
     }
@@ -183,7 +202,7 @@
 
   it('all stages of a pipeline inherit the priority of its last stage', async () => {
     const simulation = await runQuietly(4);
-    // More standard work than the team may run at once.
+    // More work of the standard priority than the team may run at once.
     for (let i = 0; i < 12; i++)
       simulation.submit({
         kind: 'sweep',
@@ -198,6 +217,10 @@
   });
 });
 
+/**
+ * Guards against transactions that the state service refuses again and again once its limits have fallen, because records
+ * have grown above the new limit or controllers do not prepare for it.
+ */
 describe('lower limits of the state service', () => {
   it('records stay below the announced lower limit, and a machine still runs many small tasks', async () => {
     const simulation = new Simulation({ seed: 5 });
@@ -206,42 +229,43 @@
     simulation.upcomingLimits = { value_kb: 2, txn_ops: 4, write_rps: 150 };
     restartAllControllers(simulation);
     await simulation.time.runUntil(10_000);
-    let largest = 0;
-    let most = 0;
+    let largestBytes = 0;
+    let maxTasks = 0;
     for (let i = 0; i < 10; i++) submitSmall(simulation, [], 40, { vcpus: 0.25, memoryGb: 0.25 });
     for (let i = 0; i < 150; i++) {
       await advance(simulation, 100);
       for (const [k, row] of simulation.state.rows)
-        if (k.startsWith('p/')) largest = Math.max(largest, jsonBytes(row.value));
+        if (k.startsWith('p/')) largestBytes = Math.max(largestBytes, jsonBytes(row.value));
       for (const agent of simulation.cluster.liveAgents())
-        most = Math.max(most, [...agent.tasks.values()].filter((t) => t.state !== 'ended').length);
+        maxTasks = Math.max(maxTasks, [...agent.tasks.values()].filter((t) => t.state !== 'ended').length);
     }
-    assert.ok(largest <= 2048, `a value of ${largest} bytes`);
-    assert.ok(most >= 30, `at most ${most} tasks on one machine`);
+    assert.ok(largestBytes <= 2048, `a value of ${largestBytes} bytes`);
+    assert.ok(maxTasks >= 30, `at most ${maxTasks} tasks on one machine`);
   });
 
   it('records above the lower limit are left alone or shrunk, and block nothing', async () => {
     const simulation = await runQuietly(6, SMALL, 30_000);
     const before = simulation.cluster.starts;
-    // As the previous version left it: a record of more than two KiB because of its images and allocations.
-    let grown = 0;
+    // Records as the previous version left them: larger than two KiB because of their images and allocations.
+    let enlarged = 0;
     for (const [k, row] of simulation.state.rows) {
       const record = row.value as { images?: string[]; placed?: unknown[] };
       if (!k.startsWith('p/m/') || record.placed === undefined) continue;
       record.images = [...Array(90).keys()].map((i) => `an-image-with-a-long-name-${i}`);
-      grown++;
+      enlarged++;
     }
-    assert.ok(grown >= 3);
+    assert.ok(enlarged >= 3);
     simulation.upcomingLimits = { value_kb: 2, txn_ops: 4, write_rps: 150 };
     simulation.state.valueBytes = 2048;
     simulation.state.budget = { ...SMALL, txnOps: 4, writeRps: 150 };
     restartAllControllers(simulation);
     await advance(simulation, 30_000);
     assert.equal(simulation.state.oversizedTransactions, 0);
-    assert.ok(simulation.cluster.starts > before + 10, 'tasks still start');
+    assert.ok(simulation.cluster.starts > before + 10, 'too few tasks start');
   });
 });
 
+/** Guards against a version that cannot handle what the other one has stored while both run side by side. */
 describe('rolling upgrade', () => {
   it('the previous and the new version run side by side, through crashes, and a pipeline is accepted at once', async () => {
     for (const seed of [2, 9]) {
--- a/test/request-burst.test.ts
+++ b/test/request-burst.test.ts
@@ -1,4 +1,8 @@
-/** Request bursts: concurrent reads share requests, and watching leaves requests to others. */
+/**
+ * Bursts of requests and changes. The tests guard against an exhausted request budget of the state service: without sharing,
+ * each of many concurrent reads of a final state would send a request, and while changes arrive all the time, each watch
+ * would be answered at once and followed by the next.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { FinalStateCache } from '../src/controller/final-state-cache.js';
@@ -11,7 +15,7 @@
 
 const JOB = jobId('wk-1');
 
-/** A cache over a client whose reads the test answers one by one, with a value and a revision. */
+/** A cache of final states with a client whose reads the test answers one by one, with a value and a revision. */
 function cacheWithPendingReads() {
   const pendingReads: ((answer: { value: unknown; revision: Revision }) => void)[] = [];
   const get = () =>
@@ -22,7 +26,8 @@
     });
   return { finalStates: new FinalStateCache({ get } as unknown as StateClient), pendingReads };
 }
-const settled = () => new Promise((r) => setImmediate(r));
+/** Resolves after all promises that are settled now have been processed. */
+const flushPromises = () => new Promise((resolve) => setImmediate(resolve));
 
 describe('reads of final states', () => {
   it('concurrent reads of one final state share a request', async () => {
@@ -31,7 +36,11 @@
     assert.equal(pendingReads.length, 1);
     pendingReads[0]!({ value: { state: 'done', done: 3 }, revision: revision(9) });
     for (const answer of answers) assert.equal((await answer)?.state, 'done');
-    assert.equal((await finalStates.read(JOB, revision(99)))?.state, 'done', 'a final state never changes');
+    assert.equal(
+      (await finalStates.read(JOB, revision(99)))?.state,
+      'done',
+      'a final state that never changes was not cached',
+    );
     assert.equal(pendingReads.length, 1);
   });
 
@@ -41,8 +50,8 @@
     const late = finalStates.read(JOB, revision(20));
     pendingReads[0]!({ value: undefined, revision: revision(15) });
     assert.equal(await early, undefined);
-    await settled();
-    assert.equal(pendingReads.length, 2, 'the later read sends a request of its own');
+    await flushPromises();
+    assert.equal(pendingReads.length, 2, 'the later read sent no request of its own');
     pendingReads[1]!({ value: { state: 'cancelled', done: 0 }, revision: revision(21) });
     assert.equal((await late)?.state, 'cancelled');
   });
@@ -50,13 +59,13 @@
 
 describe('watch requests', () => {
   it('watching uses a bounded part of the requests, however many changes arrive', async () => {
-    const world = new VirtualTime(1);
-    const clock = new ProcessClock(world, 1, 0);
+    const time = new VirtualTime(1);
+    const clock = new ProcessClock(time, 1, 0);
     let currentRevision = 10;
     let watchRequests = 0;
     const answer = (body: unknown): Promise<HttpResponse> =>
       new Promise((resolve) => {
-        world.after(2, () => {
+        time.after(2, () => {
           resolve({ status: 200, body });
         });
       });
@@ -85,8 +94,8 @@
     const client = new StateClient({ limits, clock, transport, watchTransport });
     const view = new ClusterView();
     void new StateWatcher(client, view, { onChanged: () => undefined }).run();
-    await settled();
-    await world.runUntil(10_000);
+    await flushPromises();
+    await time.runUntil(10_000);
     assert.ok(watchRequests <= 10 * (150 / 5) * 0.35, `${watchRequests} watch requests in ten seconds`);
     assert.ok(view.revision >= currentRevision - 1, `the view is at ${view.revision} of ${currentRevision}`);
   });
