--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between standbys and holders, and their form on the wire: protobuf, with a version of the format. */
+/** Messages between holders, standbys and witnesses, and their wire format: protobuf with a format version. */
 import protobuf from 'protobufjs/light.js';
 import { CodedError } from '../../../src/core/errors.js';
 import type { ExitReason } from '../../../src/core/model/heartbeats.js';
@@ -6,10 +6,10 @@
 import type { LogEntry } from './log-entries.js';
 import type { AppendMessage, SnapshotMessage } from './replica.js';
 
-/** The version of the format that this program writes; it reads this and older ones. */
+/** Version of the wire format that this program writes; it reads this and older versions. */
 export const FORMAT_VERSION = 1;
 
-/** Topics of the package. */
+/** Topics of the package's messages between controllers. */
 export const TOPIC = {
   append: 'warm_standby.append',
   snapshot: 'warm_standby.snapshot',
@@ -17,7 +17,7 @@
   prepare: 'warm_standby.prepare',
 } as const;
 
-/** Why a message was not taken. */
+/** Thrown for a message that cannot be decoded: `malformed`, or `unsupported` if its format is newer than this program's. */
 export class MessageError extends CodedError {
   constructor(
     readonly code: 'malformed' | 'unsupported',
@@ -28,7 +28,7 @@
   }
 }
 
-/** Who sends about which shard. */
+/** The controller that sends a message, and the shard that it is about. */
 interface Sender {
   readonly node: NodeName;
   readonly shard: NodeName;
@@ -39,14 +39,14 @@
 /** A part of a snapshot, with its sender. */
 export type Snapshot = SnapshotMessage & Sender;
 
-/** What became of an append or of a part of a snapshot. */
+/** The answer to an append or to a part of a snapshot. */
 export interface Acknowledgement {
   readonly status: 'applied' | 'gap' | 'stale' | 'refused' | 'unsupported' | 'malformed';
-  /** The last entry that the standby has applied. */
+  /** Number of the last entry that the standby has applied; 0 if there is none or the message was rejected. */
   readonly applied: number;
 }
 
-/** Asks whether the receiver reaches a holder, and how far it is with a shard. */
+/** Asks a witness whether it reaches a shard's holder, and how much of the shard's log it has applied. */
 export interface Probe {
   readonly holder: NodeName;
   readonly shard: NodeName;
@@ -56,26 +56,28 @@
 /** The answer to a probe. */
 export interface ProbeAnswer {
   readonly reaches: boolean;
-  /** The last entry applied under that epoch, or null where the receiver is no warm standby of the shard. */
+  /** Number of the last entry applied under the probe's epoch; null if the witness is no warm standby of the shard. */
   readonly applied: number | null;
 }
 
-/** Asks a standby whether it takes a shard in a planned handover. */
+/** The prepare request of a planned handover: asks a standby whether it accepts the shard. */
 export interface Prepare {
   readonly shard: NodeName;
   readonly epoch: Version;
+  /** Number of the entry up to which the standby must have applied the log. */
   readonly head: number;
-  /** Context of the handover's span. */
+  /** Trace context of the handover's span; empty without tracing. */
   readonly traceParent: string;
 }
 
-/** The answer to that. */
+/** The answer to a prepare request. */
 export interface PrepareAnswer {
   readonly accepted: boolean;
+  /** Why the standby does not accept the shard; empty if it does. */
   readonly reason: string;
 }
 
-// Numbers of 64 bits go as doubles: revisions and attempts are whole numbers below 2^53 in this program.
+// 64-bit integers are encoded as doubles: revisions and attempts are integers below 2^53, which doubles hold exactly.
 const root = protobuf.Root.fromJSON({
   nested: {
     Task: {
@@ -148,7 +150,7 @@
 const MessageType = root.lookupType('Message');
 const EntryType = root.lookupType('Entry');
 
-interface Fields {
+interface MessageFields {
   version: number;
   node: string;
   shard: string;
@@ -239,27 +241,28 @@
       return { kind: 'run', machine: machine as MachineName, run };
     }
     case undefined:
-      throw new MessageError('malformed', 'an entry of no known kind');
+      throw new MessageError('malformed', `log entry has no body known to format version ${FORMAT_VERSION}`);
   }
 }
 
-const encode = (fields: Partial<Fields>): Uint8Array =>
+const encode = (fields: Partial<MessageFields>): Uint8Array =>
   MessageType.encode(MessageType.create({ version: FORMAT_VERSION, ...fields })).finish();
 
-function decode(bytes: Uint8Array): Fields {
-  let fields: Fields;
+function decode(bytes: Uint8Array): MessageFields {
+  let raw: MessageFields;
   try {
-    fields = MessageType.decode(bytes) as unknown as Fields;
+    raw = MessageType.decode(bytes) as unknown as MessageFields;
   } catch (error) {
-    throw new MessageError('malformed', (error as Error).message, { cause: error });
+    throw new MessageError('malformed', `not valid protobuf: ${(error as Error).message}`, { cause: error });
   }
-  if (fields.version > FORMAT_VERSION)
-    throw new MessageError('unsupported', `format ${fields.version}, this program knows ${FORMAT_VERSION}`);
-  if (fields.version < 1) throw new MessageError('malformed', 'no version');
-  return fields;
+  if (raw.version > FORMAT_VERSION)
+    throw new MessageError('unsupported', `format version ${raw.version}, expected up to ${FORMAT_VERSION}`);
+  if (raw.version < 1)
+    throw new MessageError('malformed', `message has no format version, expected 1 to ${FORMAT_VERSION}`);
+  return raw;
 }
 
-/** Reads an answer; one that did not come or can't be read is null. */
+/** Decodes an answer; null if none came or if it cannot be decoded. */
 export function readAnswer<T>(decodeAnswer: (bytes: Uint8Array) => T, bytes: Uint8Array | null): T | null {
   if (bytes === null) return null;
   try {
@@ -270,23 +273,24 @@
   }
 }
 
-/** A whole number from 0 on. */
-function whole(value: number, name: string): number {
-  if (!Number.isSafeInteger(value) || value < 0) throw new MessageError('malformed', `${name}: ${value}`);
+/** Checks that a decoded number is an integer from 0 to 2^53 - 1. Throws `MessageError`. */
+function wholeNumber(value: number, name: string): number {
+  if (!Number.isSafeInteger(value) || value < 0)
+    throw new MessageError('malformed', `field ${name} is ${value}, expected an integer from 0 to 2^53 - 1`);
   return value;
 }
 
-const epochOf = (fields: Fields): Version => whole(fields.epoch, 'epoch') as Version;
-const senderOf = (fields: Fields): Sender => ({
+const epochOf = (fields: MessageFields): Version => wholeNumber(fields.epoch, 'epoch') as Version;
+const senderOf = (fields: MessageFields): Sender => ({
   node: fields.node as NodeName,
   shard: fields.shard as NodeName,
 });
 
-/** About how many bytes an entry takes in a message. */
+/** Approximate size of an entry in a message, in bytes; 4 of them are for its field tag and length. */
 export const entrySize = (entry: LogEntry): number =>
   EntryType.encode(EntryType.create(entryFields(entry))).finish().length + 4;
 
-/** Writes an append. */
+/** Encodes an append. */
 export const encodeAppend = (message: Append): Uint8Array =>
   encode({
     node: message.node,
@@ -297,21 +301,22 @@
     entries: message.entries.map(entryFields),
   });
 
-/** Reads an append. Throws `MessageError`. */
+/** Decodes an append. Throws `MessageError`. */
 export function decodeAppend(bytes: Uint8Array): Append {
   const fields = decode(bytes);
-  const first = whole(fields.number, 'first');
-  if (first < 1) throw new MessageError('malformed', 'first: 0');
+  const first = wholeNumber(fields.number, 'first');
+  if (first < 1)
+    throw new MessageError('malformed', `append starts at entry number ${first}, expected at least 1`);
   return {
     ...senderOf(fields),
     epoch: epochOf(fields),
     first,
-    head: whole(fields.head, 'head'),
+    head: wholeNumber(fields.head, 'head'),
     entries: fields.entries.map(entryFrom),
   };
 }
 
-/** Writes a part of a snapshot. */
+/** Encodes a part of a snapshot. */
 export const encodeSnapshot = (message: Snapshot): Uint8Array =>
   encode({
     node: message.node,
@@ -323,72 +328,72 @@
     entries: message.entries.map(entryFields),
   });
 
-/** Reads a part of a snapshot. Throws `MessageError`. */
+/** Decodes a part of a snapshot. Throws `MessageError`. */
 export function decodeSnapshot(bytes: Uint8Array): Snapshot {
   const fields = decode(bytes);
   if (fields.parts < 1 || fields.part >= fields.parts)
-    throw new MessageError('malformed', `part ${fields.part} of ${fields.parts}`);
+    throw new MessageError('malformed', `snapshot part index ${fields.part}, expected below ${fields.parts}`);
   return {
     ...senderOf(fields),
     epoch: epochOf(fields),
-    upTo: whole(fields.number, 'upTo'),
+    upTo: wholeNumber(fields.number, 'upTo'),
     part: fields.part,
     parts: fields.parts,
     entries: fields.entries.map(entryFrom),
   };
 }
 
-/** Writes an acknowledgement. */
+/** Encodes an acknowledgement. */
 export const encodeAcknowledgement = (message: Acknowledgement): Uint8Array =>
   encode({ text: message.status, number: message.applied });
 
-/** Reads an acknowledgement. Throws `MessageError`. */
+/** Decodes an acknowledgement. Throws `MessageError`. */
 export function decodeAcknowledgement(bytes: Uint8Array): Acknowledgement {
   const fields = decode(bytes);
-  return { status: fields.text as Acknowledgement['status'], applied: whole(fields.number, 'applied') };
+  return { status: fields.text as Acknowledgement['status'], applied: wholeNumber(fields.number, 'applied') };
 }
 
-/** Writes a probe. */
+/** Encodes a probe. */
 export const encodeProbe = (message: Probe): Uint8Array =>
   encode({ node: message.holder, shard: message.shard, epoch: message.epoch });
 
-/** Reads a probe. Throws `MessageError`. */
+/** Decodes a probe. Throws `MessageError`. */
 export function decodeProbe(bytes: Uint8Array): Probe {
   const fields = decode(bytes);
   const { node, shard } = senderOf(fields);
   return { holder: node, shard, epoch: epochOf(fields) };
 }
 
-/** Writes the answer to a probe. */
+/** Encodes the answer to a probe. */
 export const encodeProbeAnswer = (message: ProbeAnswer): Uint8Array =>
   encode({ yes: message.reaches, number: message.applied ?? 0, hasNumber: message.applied !== null });
 
-/** Reads the answer to a probe. Throws `MessageError`. */
+/** Decodes the answer to a probe. Throws `MessageError`. */
 export function decodeProbeAnswer(bytes: Uint8Array): ProbeAnswer {
   const fields = decode(bytes);
-  return { reaches: fields.yes, applied: fields.hasNumber ? whole(fields.number, 'applied') : null };
+  return { reaches: fields.yes, applied: fields.hasNumber ? wholeNumber(fields.number, 'applied') : null };
 }
 
-/** Writes the question before a handover. */
+/** Encodes a prepare request. */
 export const encodePrepare = (message: Prepare): Uint8Array =>
   encode({ shard: message.shard, epoch: message.epoch, head: message.head, text: message.traceParent });
 
-/** Reads the question before a handover. Throws `MessageError`. */
+/** Decodes a prepare request. Throws `MessageError`. */
 export function decodePrepare(bytes: Uint8Array): Prepare {
   const fields = decode(bytes);
   return {
     shard: fields.shard as NodeName,
     epoch: epochOf(fields),
-    head: whole(fields.head, 'head'),
+    head: wholeNumber(fields.head, 'head'),
     traceParent: fields.text,
   };
 }
 
-/** Writes the answer to that. */
+/** Encodes the answer to a prepare request. */
 export const encodePrepareAnswer = (message: PrepareAnswer): Uint8Array =>
   encode({ yes: message.accepted, text: message.reason });
 
-/** Reads the answer to that. Throws `MessageError`. */
+/** Decodes the answer to a prepare request. Throws `MessageError`. */
 export function decodePrepareAnswer(bytes: Uint8Array): PrepareAnswer {
   const fields = decode(bytes);
   return { accepted: fields.yes, reason: fields.text };
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -1,4 +1,4 @@
-/** The standby's side of the messages: follows the logs of shards, answers probes and the question before a handover. */
+/** The standby's side of the messages: applies the logs of shards, and answers probes and prepare requests. */
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
@@ -23,16 +23,16 @@
 import type { Options } from './options.js';
 import { Replica, type ReplicaOutcome } from './replica.js';
 
-/** A witness tries the holder for a part of the time that whoever asks it waits. */
+/** Part of the probe timeout that a witness waits for the holder, so that its own answer comes before the timeout. */
 const WITNESS_TIMEOUT_FRACTION = 0.6;
 
-/** Told that a planned handover of a shard was accepted, and where its span belongs. */
+/** Called when a planned handover of a shard was accepted; `traceParent` is the context of the handover's span. */
 export type PreparedListener = (shard: NodeName, traceParent: string) => void;
 
-/** Serves the topics of the package. */
+/** Serves the package's topics to other controllers and keeps replicas of their shards' logs. */
 export class Receiver {
   readonly replicas = new Map<NodeName, Replica>();
-  /** Messages that were not taken, by reason. */
+  /** Numbers of rejected replication messages since the start, by status. */
   readonly rejected = { malformed: 0, unsupported: 0, refused: 0, stale: 0 };
   bytesReceived = 0;
 
@@ -45,41 +45,41 @@
   ) {
     const { channel } = service;
     channel.serve(TOPIC.append, (bytes, from) =>
-      this.follow(bytes, from, decodeAppend, (m) => this.append(m)),
+      this.handleReplication(bytes, from, decodeAppend, (m) => this.append(m)),
     );
     channel.serve(TOPIC.snapshot, (bytes, from) =>
-      this.follow(bytes, from, decodeSnapshot, (m) => this.snapshot(m)),
+      this.handleReplication(bytes, from, decodeSnapshot, (m) => this.snapshot(m)),
     );
     channel.serve(TOPIC.probe, (bytes, from) => this.probe(bytes, from));
     channel.serve(TOPIC.prepare, (bytes, from) => Promise.resolve(this.prepare(bytes, from)));
   }
 
-  /** Whether this controller may claim to be warm for the shard. */
+  /** Whether this controller's replica of the shard is warm under the shard's present epoch. */
   isWarm(shard: ShardFact): boolean {
     const { max_lag_entries, max_lag_ms } = this.options.replication;
     return this.replicas.get(shard.name)?.isWarm(shard.epoch, max_lag_entries, max_lag_ms) === true;
   }
 
-  /** The shard is this controller's now: it has no use for a replica of it. */
+  /** Drops the replica of a shard that this controller now holds. */
   forget(shard: NodeName): void {
     this.replicas.delete(shard);
   }
 
-  private follow<M extends Append | Snapshot>(
+  private handleReplication<M extends Append | Snapshot>(
     bytes: Uint8Array,
     from: string,
     decode: (bytes: Uint8Array) => M,
-    take: (message: M) => ReplicaOutcome,
+    apply: (message: M) => ReplicaOutcome,
   ): Promise<Uint8Array> {
     this.bytesReceived += bytes.length;
-    return Promise.resolve(encodeAcknowledgement(this.acknowledge(bytes, from, decode, take)));
+    return Promise.resolve(encodeAcknowledgement(this.acknowledge(bytes, from, decode, apply)));
   }
 
   private acknowledge<M extends Append | Snapshot>(
     bytes: Uint8Array,
     from: string,
     decode: (bytes: Uint8Array) => M,
-    take: (message: M) => ReplicaOutcome,
+    apply: (message: M) => ReplicaOutcome,
   ): Acknowledgement {
     if (!this.cluster.domains.accepts(from)) return this.reject('refused');
     try {
@@ -87,9 +87,9 @@
       if (!this.cluster.isController(message.node) || !this.cluster.isController(message.shard))
         return this.reject('refused');
       const fact = this.service.facts.shard(message.shard);
-      // A view that is behind does not know the sender's epoch yet: it is not the message that is old then.
+      // An epoch newer than this controller's view is not stale: the view may lag behind the sender's.
       if (fact !== null && message.epoch < fact.epoch) return this.reject('stale');
-      const status = take(message);
+      const status = apply(message);
       if (status === 'stale') return this.reject('stale');
       this.monitor.heard(message.node, this.service.clock.now());
       return { status, applied: this.replicas.get(message.shard)?.applied ?? 0 };
@@ -130,8 +130,8 @@
     const reaches =
       holder === node || (await channel.isAnswering(holder, probe_ms * WITNESS_TIMEOUT_FRACTION));
     const fact = facts.shard(shard);
-    const competes = fact !== null && fact.epoch === epoch && this.isWarm(fact);
-    const isStandby = competes && this.cluster.standbysOf(fact).includes(node);
+    const isWarmUnderEpoch = fact !== null && fact.epoch === epoch && this.isWarm(fact);
+    const isStandby = isWarmUnderEpoch && this.cluster.standbysOf(fact).includes(node);
     const applied = isStandby ? (this.replicas.get(shard)?.applied ?? null) : null;
     return encodeProbeAnswer({ reaches, applied });
   }
