--- a/packages/warm-standby/src/byte-budget.ts
+++ b/packages/warm-standby/src/byte-budget.ts
@@ -1,24 +1,25 @@
-/** How many bytes may be sent now: a token bucket that holds one second's worth. */
+/** Limits bandwidth with a token bucket that holds at most one second's worth of bytes. */
 
-/** Bounds what is sent to one standby. */
+/** Limits the bytes that are sent to one standby. */
 export class ByteBudget {
-  private left: number;
-  private at: number | null = null;
+  private remainingBytes: number;
+  private refilledAtMs: number | null = null;
 
   constructor(private readonly bytesPerSecond: number) {
-    this.left = bytesPerSecond;
+    this.remainingBytes = bytesPerSecond;
   }
 
-  /** What may be sent at this moment. */
+  /** Number of bytes that may be sent now; not above 0 when the budget is spent. */
   available(nowMs: number): number {
-    const earned = this.at === null ? 0 : ((nowMs - this.at) / 1000) * this.bytesPerSecond;
-    this.left = Math.min(this.bytesPerSecond, this.left + earned);
-    this.at = nowMs;
-    return this.left;
+    const earned =
+      this.refilledAtMs === null ? 0 : ((nowMs - this.refilledAtMs) / 1000) * this.bytesPerSecond;
+    this.remainingBytes = Math.min(this.bytesPerSecond, this.remainingBytes + earned);
+    this.refilledAtMs = nowMs;
+    return this.remainingBytes;
   }
 
-  /** So much was sent; a message may overdraw the budget, and the next ones wait for it. */
+  /** Deducts bytes that were sent; a message may overdraw the budget, and the next ones wait until it is refilled. */
   spend(bytes: number): void {
-    this.left -= bytes;
+    this.remainingBytes -= bytes;
   }
 }
--- a/packages/warm-standby/src/decision-log.ts
+++ b/packages/warm-standby/src/decision-log.ts
@@ -1,25 +1,25 @@
 /**
- * The holder's side of a shard's log: a bounded tail of numbered entries, and the state that all entries add up to. Adding to
- * it never waits for anybody.
+ * The holder's side of a shard's decision log: a bounded tail of numbered entries, and the state that results from all
+ * entries. Appending never waits for a standby.
  */
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
 import type { LogEntry } from './log-entries.js';
 import { ReplicatedState } from './replicated-state.js';
 
-/** Agents report every few seconds: without a change theirs is an entry only so often. */
+/** Minimum interval between entries of an unchanged agent: it sends a heartbeat every few seconds. */
 const AGENT_ENTRY_INTERVAL_MS = 10_000;
 
-/** Numbered entries, in order and without a gap. */
+/** Consecutive entries of a log. */
 export interface Batch {
   /** Number of the first entry. */
   readonly first: number;
   readonly entries: readonly LogEntry[];
 }
 
-/** The log of one shard under one epoch. */
+/** The decision log of one shard under one epoch. */
 export class DecisionLog {
   readonly state = new ReplicatedState();
-  /** Number of the newest entry; 0: none. */
+  /** Number of the newest entry; 0 while the log is empty. */
   head = 0;
   private tail: LogEntry[] = [];
 
@@ -29,29 +29,31 @@
     private readonly tailEntries: number,
   ) {}
 
-  /** Adds an entry, unless it is a heartbeat that says nothing new. */
+  /** Appends an entry, unless it is an unchanged heartbeat within `AGENT_ENTRY_INTERVAL_MS` of the agent's latest entry. */
   append(entry: LogEntry): void {
-    if (entry.kind === 'agent' && this.isKnown(entry)) return;
+    if (entry.kind === 'agent' && this.isRedundant(entry)) return;
     this.head++;
     this.state.apply(entry);
     this.tail.push(entry);
-    // Cut in one go now and then, rather than shifted with each entry.
+    // Truncated once every `tailEntries` appends: removing the oldest entry at each append would shift the whole array.
     if (this.tail.length > 2 * this.tailEntries) this.tail = this.tail.slice(-this.tailEntries);
   }
 
-  private isKnown(entry: Extract<LogEntry, { kind: 'agent' }>): boolean {
-    const known = this.state.agentEntry(entry.machine);
-    if (known === undefined) return false;
+  private isRedundant(entry: Extract<LogEntry, { kind: 'agent' }>): boolean {
+    const latest = this.state.agentEntry(entry.machine);
+    if (latest === undefined) return false;
     const isSame =
-      known.address === entry.address && known.agentEpoch === entry.agentEpoch && known.token === entry.token;
-    return isSame && entry.heardAt - known.heardAt < AGENT_ENTRY_INTERVAL_MS;
+      latest.address === entry.address &&
+      latest.agentEpoch === entry.agentEpoch &&
+      latest.token === entry.token;
+    return isSame && entry.heardAt - latest.heardAt < AGENT_ENTRY_INTERVAL_MS;
   }
 
-  /** The entries after a number, or null where the tail does not reach back that far. */
-  after(acknowledged: number, most: number): Batch | null {
-    const before = this.head - this.tail.length;
-    if (acknowledged < before || acknowledged > this.head) return null;
-    const from = acknowledged - before;
-    return { first: acknowledged + 1, entries: this.tail.slice(from, from + most) };
+  /** At most `limit` entries after the acknowledged one; null if the tail does not reach back that far. */
+  after(acknowledged: number, limit: number): Batch | null {
+    const lastDropped = this.head - this.tail.length;
+    if (acknowledged < lastDropped || acknowledged > this.head) return null;
+    const from = acknowledged - lastDropped;
+    return { first: acknowledged + 1, entries: this.tail.slice(from, from + limit) };
   }
 }
--- a/packages/warm-standby/src/log-entries.ts
+++ b/packages/warm-standby/src/log-entries.ts
@@ -1,4 +1,4 @@
-/** What the decision log holds: decisions of a shard's holder, and what it has learned and not written down yet. */
+/** Entries of a decision log: decisions of a shard's holder, and what it has learned but not committed yet. */
 import type { ServiceEvent, TaskOnMachine } from '../../../src/core/events.js';
 import type { TaskRun } from '../../../src/core/health/slow-machine-detector.js';
 import type { ExitReason } from '../../../src/core/model/heartbeats.js';
@@ -8,10 +8,10 @@
 
 type AgentHint = Extract<Hint, { kind: 'agent' }>;
 
-/** One entry. Times are wall-clock times: monotonic clocks of two controllers have nothing in common. */
+/** One entry of a decision log. Its times are wall-clock times: monotonic clocks of two processes are not comparable. */
 export type LogEntry =
   | { readonly kind: 'start' | 'stop' | 'preempt'; readonly task: TaskOnMachine }
-  /** A task has left its machine; its result may not be written yet. */
+  /** A task has left its machine; its result may not be committed yet. `absent`: its agent no longer reports it. */
   | { readonly kind: 'exited'; readonly task: TaskOnMachine; readonly why: ExitReason | 'absent' }
   | (AgentHint & { readonly heardAt: WallClockMs })
   | {
@@ -24,46 +24,49 @@
     }
   | { readonly kind: 'run'; readonly machine: MachineName; readonly run: TaskRun };
 
-/** Where an entry belongs. */
+/** The machine or the job that an entry is about; it decides which shards' logs get the entry. */
 export type EntrySubject =
   { readonly kind: 'machine'; readonly machine: MachineName } | { readonly kind: 'job'; readonly job: JobId };
 
-/** An entry and what decides whose shard it belongs to. */
+/** An entry with its subject. */
 export interface RecordedEntry {
   readonly subject: EntrySubject;
   readonly entry: LogEntry;
 }
 
-/** The clocks at one moment, to turn times of one into times of the other. */
+/** Both clocks at one moment, in milliseconds, to convert monotonic times to wall-clock times. */
 export interface ClockReading {
   readonly monotonic: number;
   readonly wallClock: number;
 }
 
-const ofMachine = (machine: MachineName, entry: LogEntry): RecordedEntry => ({
+const machineEntry = (machine: MachineName, entry: LogEntry): RecordedEntry => ({
   subject: { kind: 'machine', machine },
   entry,
 });
 
-const taskOf = (machine: MachineName, c: { job: JobId; index: number; attempt: Attempt }): TaskOnMachine => ({
+const taskOf = (
+  machine: MachineName,
+  command: { job: JobId; index: number; attempt: Attempt },
+): TaskOnMachine => ({
   machine,
-  job: c.job,
-  index: c.index,
-  attempt: c.attempt,
+  job: command.job,
+  index: command.index,
+  attempt: command.attempt,
 });
 
-/** The entry that an event of the service makes, or null where the log does not follow it. */
+/** The log entry for an event of the service; null for events that are not logged. */
 export function entryOf(event: ServiceEvent, now: ClockReading): RecordedEntry | null {
   switch (event.kind) {
     case 'command_sent': {
       const { machine, command } = event;
       if (command.op === 'forget') return null;
-      return ofMachine(machine, { kind: command.op, task: taskOf(machine, command) });
+      return machineEntry(machine, { kind: command.op, task: taskOf(machine, command) });
     }
     case 'task_preempted':
-      return ofMachine(event.task.machine, { kind: 'preempt', task: event.task });
+      return machineEntry(event.task.machine, { kind: 'preempt', task: event.task });
     case 'task_exited':
-      return ofMachine(event.task.machine, {
+      return machineEntry(event.task.machine, {
         kind: 'exited',
         task: event.task,
         why: event.reason ?? 'absent',
@@ -71,10 +74,10 @@
     case 'heartbeat_recorded': {
       const { machine, address, agentEpoch, sequence, token } = event.heartbeat;
       const heardAt = now.wallClock as WallClockMs;
-      return ofMachine(machine, { kind: 'agent', machine, address, agentEpoch, sequence, token, heardAt });
+      return machineEntry(machine, { kind: 'agent', machine, address, agentEpoch, sequence, token, heardAt });
     }
     case 'task_ran':
-      return ofMachine(event.machine, { kind: 'run', machine: event.machine, run: event.run });
+      return machineEntry(event.machine, { kind: 'run', machine: event.machine, run: event.run });
     case 'job_failing': {
       const { job, failures } = event;
       const { rounds, why, machines, until } = failures;
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -1,6 +1,6 @@
 /**
- * The holder's loop: keeps the log of each shard that this process holds and sends it to the shard's standbys. A standby that
- * is slow or away falls behind; nothing here ever waits for it.
+ * The holder's loop: keeps the decision log of each shard that this process holds and sends it to the shard's standbys. A
+ * standby that is slow or unreachable falls behind; the holder's work never waits for it.
  */
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { MonotonicMs } from '../../../src/core/model/time.js';
@@ -21,29 +21,31 @@
 } from './messages.js';
 import type { Options } from './options.js';
 
-/** Entries of one message take no more than this; a frame between controllers may have 64 KiB. */
-const MESSAGE_BYTES = 32 * 1024;
-/** After a message without an answer the next one waits, longer each time. */
-const FIRST_RETRY_MS = 300;
-const LONGEST_RETRY_MS = 3000;
-/** A standby that does not know the format, or refuses this controller, is asked again so rarely. */
-const REFUSED_RETRY_MS = 30_000;
-/** Entries about machines and jobs that are gone are dropped so often. */
+/** Maximum size of the entries in one message; a frame between controllers is limited to 64 KiB. */
+const MAX_MESSAGE_BYTES = 32 * 1024;
+/** Pause after the first message without an answer; it doubles with each further one, up to `MAX_RETRY_MS`. */
+const MIN_RETRY_MS = 300;
+const MAX_RETRY_MS = 3000;
+/** Pause after a standby has rejected a message, for instance because it does not know the format or this controller. */
+const REJECTED_RETRY_MS = 30_000;
+/** Interval at which entries about machines and jobs that no longer exist are removed. */
 const PRUNE_INTERVAL_MS = 10_000;
 
-/** How a standby answers. */
+/** Replication to a standby: `silent` if the latest message had no answer, else by the status of the latest answer. */
 export type FollowerStatus = 'new' | 'following' | 'silent' | Exclude<Acknowledgement['status'], 'applied'>;
 
-/** A standby as the holder sees it. */
+/** What the holder knows of a standby of one shard. */
 export class Follower {
-  /** The last entry that the standby has applied, as far as is known. */
+  /** Number of the last entry that the standby has acknowledged. */
   acknowledged = 0;
   status: FollowerStatus = 'new';
   bytesSent = 0;
   needsSnapshot = false;
-  isBusy = false;
-  notBefore = Number.NEGATIVE_INFINITY;
-  failures = 0;
+  /** Whether a message is under way: the next one is sent after its answer. */
+  isSending = false;
+  /** Monotonic time before which nothing is sent. */
+  nextSendAt = Number.NEGATIVE_INFINITY;
+  consecutiveFailures = 0;
   readonly budget: ByteBudget;
 
   constructor(
@@ -53,56 +55,57 @@
     this.budget = new ByteBudget(bytesPerSecond);
   }
 
-  /** Takes in an answer, or that none came. */
+  /** Records an answer; null if none came or it could not be decoded. */
   recordAnswer(answer: Acknowledgement | null, now: MonotonicMs): void {
     if (answer === null) {
       this.status = 'silent';
-      this.notBefore = now + Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** this.failures);
-      this.failures++;
+      this.nextSendAt = now + Math.min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** this.consecutiveFailures);
+      this.consecutiveFailures++;
       return;
     }
-    this.failures = 0;
+    this.consecutiveFailures = 0;
     this.status = answer.status === 'applied' ? 'following' : answer.status;
     if (answer.status === 'applied') this.acknowledged = answer.applied;
     else if (answer.status === 'gap') this.needsSnapshot = true;
-    else this.notBefore = now + REFUSED_RETRY_MS;
+    else this.nextSendAt = now + REJECTED_RETRY_MS;
   }
 }
 
-/** One shard's log and who follows it. */
+/** A shard's log with its followers. */
 export interface PublishedShard {
   readonly log: DecisionLog;
   readonly followers: Map<NodeName, Follower>;
 }
 
-/** Splits entries into parts of at most so many bytes each; at least one part. */
-function* partsOf(entries: readonly LogEntry[], bytes: number): Generator<LogEntry[]> {
+/** Splits entries into parts of at most `maxBytes` each, or of one larger entry; yields at least one part. */
+function* splitBySize(entries: readonly LogEntry[], maxBytes: number): Generator<LogEntry[]> {
   let part: LogEntry[] = [];
-  let size = 0;
+  let partBytes = 0;
   for (const entry of entries) {
-    const more = entrySize(entry);
-    if (part.length > 0 && size + more > bytes) {
+    const entryBytes = entrySize(entry);
+    if (part.length > 0 && partBytes + entryBytes > maxBytes) {
       yield part;
       part = [];
-      size = 0;
+      partBytes = 0;
     }
     part.push(entry);
-    size += more;
+    partBytes += entryBytes;
   }
   yield part;
 }
 
-/** The entries that fit into so many bytes, at least one. */
-function firstPart(entries: readonly LogEntry[], bytes: number): readonly LogEntry[] {
-  for (const part of partsOf(entries, bytes)) return part;
+/** The first entries that fit into `maxBytes`; at least one, if there are any. */
+function firstPart(entries: readonly LogEntry[], maxBytes: number): readonly LogEntry[] {
+  for (const part of splitBySize(entries, maxBytes)) return part;
   return [];
 }
 
 /** Sends decision logs to standbys. */
 export class Publisher {
   readonly shards = new Map<NodeName, PublishedShard>();
-  /** Bytes of messages sent, and snapshots, since the start. */
+  /** Bytes of replication messages sent since the start. */
   bytesSent = 0;
+  /** Snapshots begun since the start. */
   snapshotsSent = 0;
   private prunedAt = Number.NEGATIVE_INFINITY;
 
@@ -118,21 +121,21 @@
     });
   }
 
-  /** Sends heartbeats and entries periodically; returns only when it fails. */
+  /** Sends heartbeats and entries periodically; never returns, but rejects on an unexpected error. */
   async run(): Promise<never> {
     for (;;) {
-      this.step();
+      this.updateShards();
       await this.service.clock.sleep(this.options.heartbeat_ms);
     }
   }
 
-  /** A shard that was just taken over: what its former holder had told goes on in the new log. */
+  /** Starts the log of a shard that was just taken over with the entries that its former holder replicated. */
   continueWith(shard: ShardFact, entries: readonly LogEntry[]): void {
     const { log } = this.publish(shard);
     for (const entry of entries) log.append(entry);
   }
 
-  /** Waits until the standby has all of the shard's log, or the time is over. */
+  /** Waits until the standby has the shard's whole log; false if it has not after `forMs`, or no longer follows. */
   async drain(shard: ShardFact, node: NodeName, forMs: number): Promise<boolean> {
     const { clock } = this.service;
     const until = clock.now() + forMs;
@@ -147,7 +150,7 @@
     }
   }
 
-  private step(): void {
+  private updateShards(): void {
     if (!this.service.facts.isReady) return;
     const held = this.cluster.heldShards();
     const names = new Set(held.map((s) => s.name));
@@ -160,7 +163,7 @@
     let published = this.shards.get(shard.name);
     if (published?.log.epoch !== shard.epoch) {
       const log = new DecisionLog(shard.name, shard.epoch, this.options.tail_entries);
-      // The record may be written anew while the holder stays: what was learned goes on under the new epoch.
+      // The shard's record may be rewritten with the same holder: the new epoch's log begins with the present state.
       for (const entry of published?.log.state.entries() ?? []) log.append(entry);
       published = { log, followers: new Map() };
       this.shards.set(shard.name, published);
@@ -199,11 +202,11 @@
       });
   }
 
-  /** Sends what the standby lacks, or a heartbeat; one message at a time. */
+  /** Sends what the standby lacks, or a heartbeat, unless a message is under way or the retry pause lasts. */
   private send(published: PublishedShard, follower: Follower): void {
     const { clock, log } = this.service;
-    if (follower.isBusy || clock.now() < follower.notBefore) return;
-    follower.isBusy = true;
+    if (follower.isSending || clock.now() < follower.nextSendAt) return;
+    follower.isSending = true;
     const sent = follower.needsSnapshot
       ? this.sendSnapshot(published.log, follower)
       : this.sendEntries(published.log, follower);
@@ -213,10 +216,10 @@
         follower.recordAnswer(null, clock.now());
       })
       .finally(() => {
-        follower.isBusy = false;
+        follower.isSending = false;
         const isBehind = follower.status === 'following' && follower.acknowledged < published.log.head;
         const isCurrent = this.shards.get(published.log.shard) === published;
-        // The rest at once, as long as the budget lasts; then with the next heartbeat.
+        // Remaining entries are sent at once while the budget lasts, otherwise with the next heartbeat.
         if (isBehind && isCurrent && follower.budget.available(clock.now()) > 0)
           this.send(published, follower);
       });
@@ -229,9 +232,9 @@
       follower.needsSnapshot = true;
       return this.sendSnapshot(log, follower);
     }
-    // Without budget only a heartbeat goes: the standby sees by it that it is behind.
-    const room = Math.min(MESSAGE_BYTES, follower.budget.available(clock.now()));
-    const entries = room > 0 ? firstPart(batch.entries, room) : [];
+    // Without budget only a heartbeat is sent: its `head` tells the standby how far it is behind.
+    const maxBytes = Math.min(MAX_MESSAGE_BYTES, follower.budget.available(clock.now()));
+    const entries = maxBytes > 0 ? firstPart(batch.entries, maxBytes) : [];
     const { shard, epoch, head } = log;
     const payload = encodeAppend({ node, shard, epoch, first: batch.first, entries, head });
     await this.exchange(follower, TOPIC.append, payload);
@@ -240,7 +243,7 @@
   private async sendSnapshot(log: DecisionLog, follower: Follower): Promise<void> {
     const { node } = this.service;
     const { shard, epoch, head: upTo } = log;
-    const parts = [...partsOf(log.state.entries(), MESSAGE_BYTES)];
+    const parts = [...splitBySize(log.state.entries(), MAX_MESSAGE_BYTES)];
     this.snapshotsSent++;
     for (const [part, entries] of parts.entries()) {
       const message = { node, shard, epoch, upTo, part, parts: parts.length, entries };
--- a/packages/warm-standby/src/replicated-state.ts
+++ b/packages/warm-standby/src/replicated-state.ts
@@ -1,6 +1,6 @@
 /**
- * The state that a decision log adds up to: what a snapshot holds, and what a standby has at a failover. The holder and its
- * standbys keep it by the same code from the same entries.
+ * The state that results from a decision log: the content of a snapshot, and what a standby knows at a failover. The holder
+ * and its standbys derive it with the same code from the same entries.
  */
 import { evictOldest } from '../../../src/core/bounded-map.js';
 import type { JobId, MachineName } from '../../../src/core/model/ids.js';
@@ -12,18 +12,20 @@
 type RunEntry = Extract<LogEntry, { kind: 'run' }>;
 type ExitedEntry = Extract<LogEntry, { kind: 'exited' }>;
 
-/** The latest runs that are kept: enough to compare machines by. */
+/** Number of latest task runs kept: enough to compare the run times of machines. */
 const MAX_RUNS = 300;
-/** Ended tasks that are kept until their job's results are committed. */
+/** Maximum number of exited tasks kept until their job's results are committed; beyond it the oldest are evicted. */
 const MAX_EXITS = 2000;
 
-/** Which machines and jobs are still there. */
+/** Which machines and jobs still exist; entries about others are pruned. */
 export interface LiveEntities {
+  /** Whether the machine belongs to the shard. */
   readonly hasMachine: (machine: MachineName) => boolean;
+  /** Whether the job is unfinished. */
   readonly hasJob: (job: JobId) => boolean;
 }
 
-/** What one shard's log says up to some entry. */
+/** The state that results from one shard's log up to some entry. */
 export class ReplicatedState {
   private readonly agents = new Map<MachineName, AgentEntry>();
   private readonly failing = new Map<JobId, FailingEntry>();
@@ -52,29 +54,29 @@
       case 'start':
       case 'stop':
       case 'preempt':
-      // Followed for their order only: what runs where is read from the state service.
+      // Replicated for their order only: which task runs on which machine is read from the state service.
     }
   }
 
-  /** Forgets what concerns machines and jobs that are gone. */
+  /** Removes entries about machines and jobs that no longer exist. */
   prune({ hasMachine, hasJob }: LiveEntities): void {
     for (const machine of this.agents.keys()) if (!hasMachine(machine)) this.agents.delete(machine);
     for (const job of this.failing.keys()) if (!hasJob(job)) this.failing.delete(job);
-    for (const [k, { task }] of this.exits) if (!hasJob(task.job)) this.exits.delete(k);
+    for (const [key, { task }] of this.exits) if (!hasJob(task.job)) this.exits.delete(key);
     this.runs = this.runs.slice(-MAX_RUNS).filter(({ machine }) => hasMachine(machine));
   }
 
-  /** Entries from which the same state is made. */
+  /** Entries that make an empty state equal to this one when applied in this order. */
   entries(): LogEntry[] {
     return [...this.agents.values(), ...this.failing.values(), ...this.exits.values(), ...this.runs];
   }
 
-  /** The last entry of an agent, if any. */
+  /** The latest entry of the machine's agent; undefined if there is none. */
   agentEntry(machine: MachineName): AgentEntry | undefined {
     return this.agents.get(machine);
   }
 
-  /** Ended tasks whose job is not over yet: their results may not be committed. */
+  /** Number of exited tasks of unfinished jobs: their results may not be committed yet. */
   get uncommittedExits(): number {
     return this.exits.size;
   }
@@ -83,7 +85,7 @@
     return this.agents.size;
   }
 
-  /** What a controller that takes over can learn from it. */
+  /** Hints for the controller that takes over; `wallMs` is its wall-clock time, from which retry delays are counted. */
   hints(wallMs: number): Hint[] {
     const out: Hint[] = [];
     for (const { machine, address, agentEpoch, sequence, token } of this.agents.values())
