--- a/packages/warm-standby/src/metrics.ts
+++ b/packages/warm-standby/src/metrics.ts
@@ -6,50 +6,58 @@
 import type { Receiver } from './receiver.js';
 
 const PREFIX = 'pepperbank_standby_';
-const PHASE_SECONDS = [0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32];
+const PHASE_BUCKETS_S = [0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32];
 
-/** What the metrics are read from. */
+/** The parts of the package that the metrics are read from. */
 export interface MetricSources {
   readonly publisher: Publisher;
   readonly receiver: Receiver;
   readonly takeovers: FailoverLoop;
 }
 
-/** The metrics of one controller. */
+/** The package's metrics of one controller. */
 export class Metrics {
   private readonly registry = new Registry();
-  private readonly phases: Histogram;
-  private readonly causes: Counter;
+  private readonly phaseDurations: Histogram;
+  private readonly failoversByCause: Counter;
 
   constructor(sources: MetricSources) {
     const { publisher, receiver, takeovers: failovers } = sources;
-    this.phases = new Histogram({
+    this.phaseDurations = new Histogram({
       name: `${PREFIX}takeover_phase_seconds`,
       help: 'Length of the phases of takeovers by this controller',
       labelNames: ['phase', 'cause'],
-      buckets: PHASE_SECONDS,
+      buckets: PHASE_BUCKETS_S,
       registers: [this.registry],
     });
-    this.causes = new Counter({
+    this.failoversByCause = new Counter({
       name: `${PREFIX}takeovers_total`,
       help: 'Slices that came to this controller',
       labelNames: ['cause'],
       registers: [this.registry],
     });
-    this.gauge('sent_bytes', 'Bytes sent to standbys since the start', () => publisher.bytesSent);
-    this.gauge('received_bytes', 'Bytes received from holders since the start', () => receiver.bytesReceived);
-    this.gauge('snapshots', 'Snapshots sent to standbys since the start', () => publisher.snapshotsSent);
-    this.gauge('suspicions', 'Suspicions of holders since the start', () => failovers.counts.suspicions);
-    this.gauge('refuted', 'Suspicions refuted by an answer since the start', () => failovers.counts.refuted);
-    this.gauge(
+    this.addGauge('sent_bytes', 'Bytes sent to standbys since the start', () => publisher.bytesSent);
+    this.addGauge(
+      'received_bytes',
+      'Bytes received from holders since the start',
+      () => receiver.bytesReceived,
+    );
+    this.addGauge('snapshots', 'Snapshots sent to standbys since the start', () => publisher.snapshotsSent);
+    this.addGauge('suspicions', 'Suspicions of holders since the start', () => failovers.counts.suspicions);
+    this.addGauge(
+      'refuted',
+      'Suspicions refuted by an answer since the start',
+      () => failovers.counts.refuted,
+    );
+    this.addGauge(
       'false_takeovers',
       'Takeovers of holders that were alive, since the start',
       () => failovers.counts.falseTakeovers,
     );
-    this.lagGauge(publisher);
+    this.addLagGauge(publisher);
   }
 
-  private gauge(name: string, help: string, read: () => number): void {
+  private addGauge(name: string, help: string, read: () => number): void {
     new Gauge({
       name: PREFIX + name,
       help,
@@ -60,7 +68,7 @@
     });
   }
 
-  private lagGauge(publisher: Publisher): void {
+  private addLagGauge(publisher: Publisher): void {
     new Gauge({
       name: `${PREFIX}lag_entries`,
       help: 'Entries that a standby of a slice held here has not acknowledged',
@@ -75,15 +83,15 @@
     });
   }
 
-  /** A failover is over, or no longer followed. */
+  /** Counts a failover that is complete or no longer followed, and records its phases. */
   recordFailover(failover: Failover): void {
     const { cause } = failover;
-    this.causes.inc({ cause });
+    this.failoversByCause.inc({ cause });
     for (const [phase, ms] of Object.entries(phasesOf(failover)))
-      this.phases.observe({ phase, cause }, ms / 1000);
+      this.phaseDurations.observe({ phase, cause }, ms / 1000);
   }
 
-  /** All metrics in the text format of Prometheus. */
+  /** The package's metrics in the text format of Prometheus. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/warm-standby/src/options.ts
+++ b/packages/warm-standby/src/options.ts
@@ -2,15 +2,15 @@
 import { Type, type Static } from '@sinclair/typebox';
 
 const section = { additionalProperties: false, default: {} };
-const positive = (value: number) => Type.Number({ exclusiveMinimum: 0, default: value });
-const whole = (value: number) => Type.Integer({ minimum: 1, default: value });
+const positiveNumber = (value: number) => Type.Number({ exclusiveMinimum: 0, default: value });
+const positiveInteger = (value: number) => Type.Integer({ minimum: 1, default: value });
 
-/** What the section may hold, with its defaults. */
+/** Schema of the section, with defaults. */
 export const OptionsSchema = Type.Object(
   {
-    /** Standbys of each shard; 0: none, and nothing to hand over to. */
+    /** Number of standbys of each shard; with 0 there are none, and no controller to hand a shard over to. */
     degree: Type.Integer({ minimum: 0, default: 1 }),
-    /** Named groups of controllers that may fail together; without any, the zones of the platform's settings. */
+    /** Named groups of controllers that may fail together; without any, the zones of the platform file are used. */
     failure_domains: Type.Array(
       Type.Object(
         {
@@ -23,48 +23,54 @@
     ),
     replication: Type.Object(
       {
-        heartbeat_ms: positive(300),
-        answer_ms: positive(1000),
-        /** The tail of a shard's log that is kept for standbys that fall behind. */
-        tail_entries: whole(4000),
-        batch_entries: whole(400),
-        /** Most that is sent to one standby. */
-        bytes_per_s: positive(65_536),
-        /** A standby that is further behind is not warm. */
-        max_lag_entries: whole(1000),
-        max_lag_ms: positive(3000),
+        /** Interval at which a holder sends to each standby, with or without new entries. */
+        heartbeat_ms: positiveNumber(300),
+        /** Timeout of a replication message or a prepare request. */
+        answer_ms: positiveNumber(1000),
+        /** Number of the latest log entries kept for standbys that fall behind; beyond it they need a snapshot. */
+        tail_entries: positiveInteger(4000),
+        /** Maximum number of entries in one append. */
+        batch_entries: positiveInteger(400),
+        /** Maximum rate at which a holder sends to one standby, for each shard. */
+        bytes_per_s: positiveNumber(65_536),
+        /** Replication lag in entries above which a standby is not warm. */
+        max_lag_entries: positiveInteger(1000),
+        /** Replication lag in time above which a standby is not warm. */
+        max_lag_ms: positiveNumber(3000),
       },
       section,
     ),
     detection: Type.Object(
       {
-        /** Suspicion level at which a holder is probed: 8 means one chance in 10^8 that it was only late. */
-        phi: positive(8),
-        /** Never probed before it was silent for so long. */
-        least_silence_ms: positive(1000),
-        probe_ms: positive(700),
-        /** So many other controllers must confirm that they do not reach the holder. */
+        /** Suspicion level at which a holder is probed: 8 is a chance of one in 10^8 that its message is only late. */
+        phi: positiveNumber(8),
+        /** Minimum silence before a holder is probed, whatever its suspicion level. */
+        least_silence_ms: positiveNumber(1000),
+        /** Timeout of a probe, of the holder as of a witness. */
+        probe_ms: positiveNumber(700),
+        /** Number of other controllers that must confirm that the holder does not answer them. */
         witnesses: Type.Integer({ minimum: 0, default: 1 }),
       },
       section,
     ),
     takeover: Type.Object(
       {
-        /** What the next standby in order waits for the one before it. */
-        rank_delay_ms: positive(700),
-        /** Pause after a failover of a shard; doubled with each further one up to the longest. */
-        backoff_ms: positive(10_000),
-        longest_backoff_ms: positive(300_000),
-        /** Without a failover for so long the pause begins anew. */
-        calm_ms: positive(600_000),
+        /** How long a standby waits for each one before it in rank, or for one that has applied more entries. */
+        rank_delay_ms: positiveNumber(700),
+        /** Pause after a failover of a shard; it doubles with each further one up to `longest_backoff_ms`. */
+        backoff_ms: positiveNumber(10_000),
+        longest_backoff_ms: positiveNumber(300_000),
+        /** Time without a failover of the shard after which the pause is `backoff_ms` again. */
+        calm_ms: positiveNumber(600_000),
       },
       section,
     ),
     handover: Type.Object(
       {
-        drain_ms: positive(3000),
-        /** How long a controller that has handed over takes on nothing, if it is not restarted. */
-        hold_ms: positive(120_000),
+        /** How long a handover waits for a standby to acknowledge the shard's whole log. */
+        drain_ms: positiveNumber(3000),
+        /** How long a controller that has handed over its shards acquires nothing, unless it is restarted. */
+        hold_ms: positiveNumber(120_000),
       },
       section,
     ),
@@ -72,5 +78,5 @@
   section,
 );
 
-/** The options, complete with defaults. */
+/** The options of the package, with defaults filled in. */
 export type Options = Static<typeof OptionsSchema>;
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -1,4 +1,4 @@
-/** What `status` shows of the package. */
+/** The package's part of what `status` shows. */
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import { phasesOf, type FailoverHistory } from './failover-history.js';
@@ -7,7 +7,7 @@
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
 
-/** The parts that it is read from. */
+/** The parts of the package that its status is read from. */
 export interface StatusSources {
   readonly service: PluginServices;
   readonly cluster: Cluster;
@@ -51,7 +51,7 @@
   };
 }
 
-/** The package's part of `status`. */
+/** The package's part of what `status` shows: each shard by its role here, counts and the latest failovers. */
 export function standbyStatus(sources: StatusSources): object {
   const { service, cluster, receiver, takeovers: failovers, history } = sources;
   return {
