--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -1,6 +1,8 @@
 /**
- * Answers to submissions of dependent jobs, and the states of those jobs, while their dependencies change. The invariants
- * are checked after each step.
+ * Dependent jobs in a simulated cluster. Guards against controllers that answer a submission differently, and against
+ * dependents that start too early, never start, or outlive a cancelled dependency. Such faults come about while
+ * dependencies end or are cancelled during the submission, while a controller's view lags, and after restarts, upgrades
+ * and lowered limits of the state service. The invariants are checked after each step.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -24,10 +26,12 @@
 const LOW_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 150 };
 
 /** Restarts all controllers with settings that announce lower limits. */
-function restartWithLowLimits(simulation: Simulation, next = LOW_LIMITS): void {
-  simulation.upcomingLimits = next;
+function restartWithLowLimits(simulation: Simulation, limits = LOW_LIMITS): void {
+  simulation.upcomingLimits = limits;
   restartAllControllers(simulation);
 }
+
+/** Makes the state service enforce the limits that the settings have announced. */
 function lowerLimits(simulation: Simulation): void {
   simulation.state.valueBytes = simulation.upcomingLimits!.value_kb * 1024;
   simulation.state.budget = {
@@ -36,11 +40,13 @@
     writeRps: simulation.upcomingLimits!.write_rps,
   };
 }
-const controllers = (simulation: Simulation) => [...simulation.controllers.keys()];
+
+const controllerNames = (simulation: Simulation) => [...simulation.controllers.keys()];
 
 describe('submission of dependent jobs', () => {
-  it('a dependency on a job that another controller has just accepted is accepted at a lagging controller', async () => {
+  it('a controller whose view lags accepts a dependency on a job that another controller has just accepted', async () => {
     const simulation = await runQuietly(4);
+    // Decided on the lagging view alone, the dependency would be refused as unknown.
     for (let i = 0; i < 6; i++) {
       for (const node of simulation.controllers.values()) node.watchLagMs = 0;
       simulation.controllers.get('c-1')!.watchLagMs = 400;
@@ -50,40 +56,44 @@
       assert.equal(
         simulation.controllers.get('c-1')!.controller!.context.view.jobs.has(jobId(first)),
         false,
-        'the view is behind',
+        'the view of c-1 does not contain the job yet',
       );
-      const next = await submitTo(simulation, 'c-1', { nameId: `wk-next${i}`, awaits: [first] });
-      assert.equal(next.kind, 'accepted');
+      const dependent = await submitTo(simulation, 'c-1', { nameId: `wk-next${i}`, awaits: [first] });
+      assert.equal(dependent.kind, 'accepted');
     }
   });
 
-  it('a retried submission is known at every controller, whatever its dependencies and their states', async () => {
+  it('every controller answers a retried submission as known, whatever its dependencies and their states', async () => {
     const simulation = await runQuietly(4);
-    const quick = await submitAccepted(simulation, []);
-    const off = await submitAccepted(simulation, [], 30);
-    const fields = { nameId: 'wk-dependent', awaits: [quick, off] };
+    const short = await submitAccepted(simulation, []);
+    const cancelled = await submitAccepted(simulation, [], 30);
+    const fields = { nameId: 'wk-dependent', awaits: [short, cancelled] };
     assert.equal((await submitTo(simulation, 'c-0', fields)).kind, 'accepted');
-    const repeats = async (state: string) => {
-      for (const node of controllers(simulation))
-        for (const awaits of [[quick, off], [], undefined, ['wk-never'], ['wk-dependent']]) {
+    const assertKnown = async (state: string) => {
+      for (const node of controllerNames(simulation))
+        for (const awaits of [[short, cancelled], [], undefined, ['wk-never'], ['wk-dependent']]) {
           const result = await submitTo(simulation, node, { ...fields, awaits });
           assert.deepEqual(result, { kind: 'known', state }, `${node}: ${JSON.stringify(awaits)}`);
         }
     };
-    await repeats('pending');
-    simulation.cancel(off);
-    await advanceUntil(simulation, () => job(simulation, off).observedFinalState === 'cancelled', 20_000);
-    await repeats('cancelled');
+    await assertKnown('pending');
+    simulation.cancel(cancelled);
+    await advanceUntil(
+      simulation,
+      () => job(simulation, cancelled).observedFinalState === 'cancelled',
+      20_000,
+    );
+    await assertKnown('cancelled');
     restartWithLowLimits(simulation);
     await advance(simulation, 4000);
-    await repeats('cancelled');
+    await assertKnown('cancelled');
   });
 });
 
 describe('dependent jobs under lower limits of the state service', () => {
-  it('a job accepted under higher limits stays known under lower ones', async () => {
+  it('a job accepted under higher limits of the state service is still known under lower ones', async () => {
     const simulation = await runQuietly(4);
-    // Larger than the values to come, with what its user may list.
+    // With this list of machine types the record is larger than the lower limit on values.
     const flavors = ['m', ...[...Array(40).keys()].map((i) => `another-type-with-a-rather-long-name-${i}`)];
     const ids = ['wk-large1', 'wk-large2'];
     for (const nameId of ids)
@@ -93,12 +103,12 @@
     restartWithLowLimits(simulation);
     lowerLimits(simulation);
     await advance(simulation, 4000);
-    for (const node of controllers(simulation))
+    for (const node of controllerNames(simulation))
       assert.deepEqual(await submitTo(simulation, node, { nameId: ids[0], flavors }), {
         kind: 'known',
         state: 'done',
       });
-    // A job that was not accepted before can't be stored any more.
+    // A new job of this size cannot be stored under the lower limit.
     const refused = await submitTo(simulation, 'c-0', { nameId: 'wk-large3', flavors });
     assert.deepEqual(refused, { kind: 'impossible', why: 'too_large' });
     assert.equal(simulation.state.oversizedTransactions, 0);
@@ -107,7 +117,7 @@
 
 describe('dependencies that end or are cancelled', () => {
   for (const seed of [3, 11])
-    it(`dependencies end or are cancelled while dependents are submitted, seed ${seed}`, async () => {
+    it(`a dependent ends as its dependency does, even if that ends during the submission, seed ${seed}`, async () => {
       const simulation = await runQuietly(seed);
       simulation.isSmooth = false;
       simulation.cancelAtEndProbability = 0.4;
@@ -122,45 +132,50 @@
         pairs.push([first, submitSmall(simulation, [first])]);
         await advance(simulation, simulation.time.int(0, 300));
       }
-      const over = (id: string) => job(simulation, id).observedFinalState !== null;
-      await advanceUntil(simulation, () => pairs.every(([first, next]) => over(first) && over(next)), 90_000);
+      const isFinal = (id: string) => job(simulation, id).observedFinalState !== null;
+      await advanceUntil(
+        simulation,
+        () => pairs.every(([first, next]) => isFinal(first) && isFinal(next)),
+        90_000,
+      );
       for (const [first, next] of pairs)
         assert.equal(
           job(simulation, next).observedFinalState,
           job(simulation, first).observedFinalState,
           `${next} after ${first}`,
         );
-      const kinds = new Set(pairs.map(([first]) => job(simulation, first).observedFinalState));
-      assert.equal(kinds.size, 2, 'some were done, some cancelled');
+      const finalStates = new Set(pairs.map(([first]) => job(simulation, first).observedFinalState));
+      assert.equal(finalStates.size, 2, 'some dependencies were done and others cancelled');
     });
 
-  it('a dependent is cancelled with one dependency while another still runs', async () => {
+  it('a dependent is cancelled with one of its dependencies while another still runs', async () => {
     const simulation = await runQuietly(4);
     const long = await submitRunning(simulation, 60_000, { tenant: 'red' });
-    const off = await submitAccepted(simulation, [], 30, { tenant: 'red' });
-    // Of another owner than the cancelled job, whose final state it has to read.
-    const next = await submitAccepted(simulation, [long, off], 1, { tenant: 'blue' });
-    const last = await submitAccepted(simulation, [next], 1, { tenant: 'green' });
-    simulation.cancel(off);
+    const cancelled = await submitAccepted(simulation, [], 30, { tenant: 'red' });
+    // Another controller schedules this team and has to read the final state of the cancelled job.
+    const dependent = await submitAccepted(simulation, [long, cancelled], 1, { tenant: 'blue' });
+    const last = await submitAccepted(simulation, [dependent], 1, { tenant: 'green' });
+    simulation.cancel(cancelled);
     const stored = (id: string) => simulation.state.rows.has(key.job(jobId(id)));
-    await advanceUntil(simulation, () => !stored(next) && !stored(last), 12_000);
+    await advanceUntil(simulation, () => !stored(dependent) && !stored(last), 12_000);
     assert.ok(
-      isCancelledUnstarted(simulation, off) || job(simulation, off).observedFinalState === 'cancelled',
+      isCancelledUnstarted(simulation, cancelled) ||
+        job(simulation, cancelled).observedFinalState === 'cancelled',
     );
-    assert.equal(job(simulation, long).observedFinalState, null, 'it still runs');
+    assert.equal(job(simulation, long).observedFinalState, null, 'the other dependency still runs');
     assert.ok(stored(long));
   });
 });
 
 describe('jobs with hundreds of dependencies', () => {
-  it('a record with hundreds of dependencies stays below the lower limit', async () => {
+  it('the record of a job with hundreds of dependencies stays within the lower limit on values', async () => {
     const simulation = await runQuietly(4, GROWN);
     restartWithLowLimits(simulation, { ...LOW_LIMITS, write_rps: GROWN.writeRps });
     await advance(simulation, 4000);
     const many = [...Array(300).keys()].map(() =>
       submitSmall(simulation, [], 1, { vcpus: 0.25, memoryGb: 0.25 }),
     );
-    // Finished dependencies are dropped, so all of them must still be open.
+    // Records omit finished dependencies: the jobs that depend on this long one stay unfinished while it runs.
     const first = await submitRunning(simulation, 100_000);
     await advanceUntil(simulation, () => many.every((id) => job(simulation, id).accepted), 60_000);
     const waiting = [...Array(300).keys()].map(() =>
@@ -170,33 +185,35 @@
     const last = await submitAccepted(simulation, [...many, ...waiting, first], 1, {}, 20_000);
     const record = simulation.state.rows.get(key.job(jobId(last)))!.value;
     assert.ok(jsonBytes(record) <= 2048, `${jsonBytes(record)} bytes`);
-    // The other controllers learn of it by their watches, which leave most of the requests to others.
+    // The other controllers receive the record by their watches, whose rate is limited in favour of other requests.
     await advance(simulation, 500);
     for (const node of simulation.controllers.values()) {
       const needs = node.controller!.context.view.jobs.get(jobId(last))?.spec.needs ?? [];
-      assert.ok(needs.length > 300, `${needs.length} of them are kept`);
+      assert.ok(needs.length > 300, `${needs.length} dependencies in the view`);
     }
     await advanceUntil(simulation, () => job(simulation, last).observedFinalState === 'done', 240_000);
   });
 });
 
 describe('a restart with pending dependents', () => {
-  it('a restart with hundreds of pending dependents reads each final state once and changes nothing', async () => {
+  it('a restart with hundreds of pending dependents causes few reads of final states and changes no job', async () => {
     const simulation = await runQuietly(4, GROWN);
-    const heads: string[] = [];
-    for (let i = 0; i < 20; i++) heads.push(await submitAccepted(simulation, [], 1, { vcpus: 0.25 }, 10_000));
+    const dependencies: string[] = [];
+    for (let i = 0; i < 20; i++)
+      dependencies.push(await submitAccepted(simulation, [], 1, { vcpus: 0.25 }, 10_000));
     const long = await submitRunning(simulation, 200_000);
     const waiting = [...Array(300).keys()].map((i) =>
-      submitSmall(simulation, [long, heads[i % heads.length]!]),
+      submitSmall(simulation, [long, dependencies[i % dependencies.length]!]),
     );
     await advanceUntil(simulation, () => waiting.every((id) => job(simulation, id).accepted), 60_000);
     await advanceUntil(
       simulation,
-      () => heads.every((id) => job(simulation, id).observedFinalState === 'done'),
+      () => dependencies.every((id) => job(simulation, id).observedFinalState === 'done'),
       60_000,
     );
-    const waits = (id: string) => simulation.state.rows.has(key.job(jobId(id)));
-    assert.ok(waiting.filter(waits).length === 300);
+    const isUnfinished = (id: string) => simulation.state.rows.has(key.job(jobId(id)));
+    assert.ok(waiting.filter(isUnfinished).length === 300);
+    // The 300 dependents share 20 finished dependencies, whose final states must not be read once per dependent.
     for (const node of simulation.controllers.values()) node.crash();
     await advance(simulation, 500);
     for (const node of simulation.controllers.values()) node.start();
@@ -205,41 +222,45 @@
       ({ controller }) => controller!.context.finalStates.reads,
     );
     for (const count of reads) assert.ok(count <= 60, `${count} final states read`);
-    assert.equal(waiting.filter(waits).length, 300, 'they are still pending');
+    assert.equal(waiting.filter(isUnfinished).length, 300, 'all dependents are still pending');
     assert.equal(waiting.filter((id) => job(simulation, id).doneTasks.size > 0).length, 0);
   });
 });
 
 describe('status of dependents', () => {
-  it('job status shows the inherited priority and the cancelled dependency, at every controller and permanently', async () => {
+  it('every controller shows inherited urgency and the cancelled dependency of a job, also after a restart', async () => {
     const simulation = await runQuietly(4);
     const first = await submitRunning(simulation, 60_000, { tier: 'low' });
     const middle = await submitAccepted(simulation, [first], 1, { tier: 'low' });
     const last = await submitAccepted(simulation, [middle], 1, { tier: 'urgent', dueS: 90, expectedS: 10 });
-    for (const node of controllers(simulation)) {
+    for (const node of controllerNames(simulation)) {
       const shown = await findAt(simulation, node, middle);
       assert.deepEqual(shown?.needs, [first]);
       assert.equal(shown.inherited?.priority, 'high');
-      // By the deadline of the last, less its own run.
+      // The deadline of the last job less its own run time.
       assert.ok(shown.inherited.dueInS! < 80 && shown.inherited.dueInS! > 40, `${shown.inherited.dueInS}`);
     }
     assert.equal(
       (await findAt(simulation, 'c-0', last))?.inherited,
       undefined,
-      'its own urgency is no inheritance',
+      'a job does not inherit its own urgency',
     );
     simulation.cancel(first);
     await advanceUntil(simulation, () => job(simulation, first).observedFinalState === 'cancelled', 20_000);
     const late = await submitAccepted(simulation, [last]);
-    const shows = async (state: string) => {
-      for (const node of controllers(simulation))
+    const assertShown = async (when: string) => {
+      for (const node of controllerNames(simulation))
         for (const id of [middle, last, late]) {
           const shown = await findAt(simulation, node, id);
-          assert.deepEqual([shown?.state, shown?.because], ['cancelled', first], `${id} at ${node} ${state}`);
+          assert.deepEqual([shown?.state, shown?.because], ['cancelled', first], `${id} at ${node} ${when}`);
         }
-      assert.equal((await findAt(simulation, 'c-0', first))?.because, undefined, 'its own user cancelled it');
+      assert.equal(
+        (await findAt(simulation, 'c-0', first))?.because,
+        undefined,
+        'a job that its user cancelled shows no cancelled dependency',
+      );
     };
-    await shows('at once');
+    await assertShown('before the restart');
     await advanceUntil(
       simulation,
       () => [middle, last].every((id) => simulation.state.rows.has(key.final(jobId(id)))),
@@ -247,16 +268,16 @@
     );
     restartWithLowLimits(simulation);
     await advance(simulation, 4000);
-    await shows('after a restart of all');
+    await assertShown('after the restart');
   });
 });
 
 describe('scheduling of pending dependents', () => {
   it('pending dependents take no resources and no quota, and no machine is rented for them', async () => {
     const simulation = await runQuietly(4);
-    const head = await submitRunning(simulation, 60_000);
+    const dependency = await submitRunning(simulation, 60_000);
     for (let i = 0; i < 6; i++)
-      await submitAccepted(simulation, [head], 40, {
+      await submitAccepted(simulation, [dependency], 40, {
         tenant: 'red',
         cards: 4,
         vcpus: 16,
@@ -264,8 +285,9 @@
       });
     const { controller } = simulation.controllers.get('c-0')!;
     const startable = () => controller!.context.dependencies.current().startable;
+    // Placement, preemption and the scaling plan consider startable jobs only.
     assert.ok(startable().every((j) => j.spec.needs === undefined));
-    // Of the same team, of less priority, and behind them in its team's order: it goes at once.
+    // Of the same team and of lower priority, so that it is behind them in the order of jobs; it starts at once.
     const small = await submitAccepted(simulation, [], 1, { tenant: 'red', cards: 1, tier: 'low' });
     await advanceUntil(simulation, () => job(simulation, small).observedFinalState === 'done', 30_000);
     for (const node of simulation.controllers.values())
@@ -277,15 +299,20 @@
 
 describe('dependencies after a rolling upgrade', () => {
   it('jobs that the previous version accepted, finished and cancelled are valid dependencies after the upgrade', async () => {
+    // The previous version writes final states without their time.
     const simulation = new Simulation({ seed: 6, size: SMALL, startsWithPreviousVersion: true });
     simulation.duplicateHeartbeatProbability = 0;
     simulation.isSmooth = true;
     await simulation.time.runUntil(9000);
     const done = await submitAccepted(simulation, []);
-    const off = await submitAccepted(simulation, [], 20);
-    simulation.cancel(off);
-    const ended = (id: string) => job(simulation, id).observedFinalState;
-    await advanceUntil(simulation, () => ended(done) === 'done' && ended(off) === 'cancelled', 40_000);
+    const cancelled = await submitAccepted(simulation, [], 20);
+    simulation.cancel(cancelled);
+    const finalState = (id: string) => job(simulation, id).observedFinalState;
+    await advanceUntil(
+      simulation,
+      () => finalState(done) === 'done' && finalState(cancelled) === 'cancelled',
+      40_000,
+    );
     const open = await submitRunning(simulation, 25_000);
     scheduleRollingUpgrade(simulation, 0);
     await advanceUntil(
@@ -298,22 +325,22 @@
     );
     await advance(simulation, 3000);
     const after = await submitAccepted(simulation, [done, open], 1, {}, 6000);
-    const gone = await submitAccepted(simulation, [done, off], 1, {}, 6000);
-    await advanceUntil(simulation, () => isCancelledUnstarted(simulation, gone), 6000);
+    const withdrawn = await submitAccepted(simulation, [done, cancelled], 1, {}, 6000);
+    await advanceUntil(simulation, () => isCancelledUnstarted(simulation, withdrawn), 6000);
     await advanceUntil(simulation, () => job(simulation, after).observedFinalState === 'done', 90_000);
     assert.equal(job(simulation, open).observedFinalState, 'done');
   });
 });
 
 describe('unknown dependencies', () => {
-  it('a job with unknown dependencies is refused and found at no controller', async () => {
+  it('a job with an unknown dependency is refused, and no controller finds it afterwards', async () => {
     const simulation = await runQuietly(4);
-    for (const node of controllers(simulation)) {
+    for (const node of controllerNames(simulation)) {
       const result = await submitTo(simulation, node, { nameId: 'wk-unknown-need', awaits: ['wk-never'] });
       assert.deepEqual(result, { kind: 'impossible', why: 'unknown_need' });
       assert.equal(await findAt(simulation, node, 'wk-unknown-need'), undefined);
     }
-    // During an outage nothing can be decided, and the answer comes at once.
+    // During an outage the dependency cannot be looked up; the user is told at once to retry later.
     simulation.state.setOutage(true);
     await advance(simulation, 3000);
     const before = simulation.time.now;
--- a/test/dependency-rules.test.ts
+++ b/test/dependency-rules.test.ts
@@ -1,4 +1,8 @@
-/** Dependent jobs: what follows from the records alone. */
+/**
+ * Resolution of dependencies from records alone. Guards against jobs that start before all their dependencies are known
+ * to be done, that miss the cancellation of one, or whose status depends on what a controller remembers: a controller
+ * that takes over knows only the records.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -17,10 +21,10 @@
 const record = (
   id: string,
   needs: string[],
-  over: Record<string, unknown> = {},
+  fields: Record<string, unknown> = {},
   submitted = 0,
 ): JobRecord => ({
-  spec: jobFromWire(submission({ nameId: id, awaits: needs, dueS: null, ...over }) as never),
+  spec: jobFromWire(submission({ nameId: id, awaits: needs, dueS: null, ...fields }) as never),
   phase: 'active',
   done: NO_TASKS_DONE,
   submitted: wallClockMs(submitted),
@@ -43,7 +47,7 @@
 const cancelled: FinalRecord = { state: 'cancelled', done: 0 };
 const startable = (i: DependencyInput) => resolveDependencies(i).startable.map((j) => j.spec.id as string);
 
-test('no needs, an empty list and null are the same; repeated ids count once', () => {
+test('a submission whose list of dependencies is absent, null or empty has none, and repeated ids count once', () => {
   for (const awaits of [undefined, null, []])
     assert.equal('needs' in jobFromWire(submission({ awaits }) as never), false);
   assert.deepEqual(jobFromWire(submission({ awaits: ['wk-1', 'wk-2', 'wk-1'] }) as never).needs, [
@@ -52,11 +56,11 @@
   ]);
 });
 
-test('a job may start once the final state of each that it needs was read as done, and not before', () => {
+test('a job may start only once the final state of each of its dependencies was read as done', () => {
   const b = record('wk-b', ['wk-a', 'wk-x'], {}, 100);
   const a = record('wk-a', []);
   assert.deepEqual(startable(input([b, a], { 'wk-x': done() })), ['wk-a']);
-  // A job that is not in the view may be over in any way, or its record may be on its way.
+  // A job missing from the view may be done or cancelled, or the watch has not delivered its record yet.
   assert.deepEqual(startable(input([b], { 'wk-x': done() })), []);
   assert.deepEqual(resolveDependency(b, input([b], { 'wk-x': done() })), {
     kind: 'unknown',
@@ -64,20 +68,20 @@
   });
   const i = input([b], { 'wk-a': done(900), 'wk-x': done(400) });
   assert.deepEqual(startable(i), ['wk-b']);
-  // Its own times count from then.
+  // The times of the job count from the end of its last dependency.
   assert.equal(resolveDependencies(i).startable[0]!.submitted, 900);
-  // Versions before pipelines wrote no time.
+  // Versions without dependencies wrote final states without a time.
   assert.equal(
     resolveDependencies(input([b], { 'wk-a': done(), 'wk-x': done() })).startable[0]!.submitted,
     100,
   );
 });
 
-test('a cancelled job withdraws all that depend on it, through any depth, and none that it depends on', () => {
+test('a cancelled job withdraws all jobs that depend on it, at any depth, and no others', () => {
   const depth = 5000;
   const chain = [...Array(depth).keys()].map((i) => record(`wk-${i + 1}`, [`wk-${i}`]));
-  const before = record('wk-before', []);
-  const graph = resolveDependencies(input([...chain.reverse(), before], { 'wk-0': cancelled }));
+  const unrelated = record('wk-before', []);
+  const graph = resolveDependencies(input([...chain.reverse(), unrelated], { 'wk-0': cancelled }));
   const withdrawn = [...graph.byJob.values()].filter((x) => x.kind === 'withdrawn');
   assert.equal(withdrawn.length, depth);
   assert.ok(withdrawn.every((x) => x.because === 'wk-0'));
@@ -87,7 +91,7 @@
   );
 });
 
-test('a needed job inherits the highest priority and the earliest finish, less what lies between', () => {
+test('a dependency inherits the highest priority and the earliest deadline, less the run times of its dependents', () => {
   const a = record('wk-a', [], { tier: 'low' });
   const b = record('wk-b', ['wk-a'], { tier: 'low' });
   const c = record('wk-c', ['wk-b'], { tier: 'urgent', dueS: 60 }, 5000);
@@ -95,16 +99,16 @@
   const [first] = resolveDependencies(input([a, b, c, other], {}, 10_000)).startable;
   assert.equal(first!.spec.id, 'wk-a');
   assert.equal(first!.spec.priority, 'high');
-  // By wk-d's deadline: 34 s less its own 10 s; by wk-c's: 65 s less 20 s.
+  // For wk-d it is due at 24 s: the deadline at 34 s less a run of 10 s. For wk-c: 65 s less two runs, 45 s.
   assert.equal(first!.submitted + first!.spec.deadlineS! * 1000, 24_000);
-  // Without the last job nobody has a deadline.
+  // Without wk-c and wk-d no job has a deadline.
   assert.equal(resolveDependencies(input([a, b], {}, 10_000)).startable[0]!.spec.deadlineS, null);
-  // A cancelled job passes nothing on.
-  const off = { ...c, phase: 'cancelling' as const };
-  assert.equal(resolveDependencies(input([a, b, off], {}, 10_000)).startable[0]!.spec.priority, 'low');
+  // A job that is being cancelled passes on neither its priority nor its deadline.
+  const cancelling = { ...c, phase: 'cancelling' as const };
+  assert.equal(resolveDependencies(input([a, b, cancelling], {}, 10_000)).startable[0]!.spec.priority, 'low');
 });
 
-test('for any graph and any final states: whether a job may start, waits or is withdrawn follows from its dependencies', () => {
+test('for any graph and any final states, the dependencies of a job determine whether it may start, waits or is withdrawn', () => {
   const states = ['open', 'done', 'cancelled'] as const;
   fc.assert(
     fc.property(
@@ -130,11 +134,11 @@
         });
         if (shuffled) jobs.reverse();
         const graph = resolveDependencies(input(jobs, finals));
-        const may = new Set(graph.startable.map((j) => j.spec.id as string));
+        const startableIds = new Set(graph.startable.map((j) => j.spec.id as string));
         for (const j of jobs) {
           const needs = j.spec.needs ?? [];
           assert.equal(
-            may.has(j.spec.id),
+            startableIds.has(j.spec.id),
             needs.every((n) => finals[n]?.state === 'done'),
           );
           if (needs.length === 0) continue;
@@ -147,10 +151,10 @@
   );
 });
 
-test('hundreds of jobs that depend on one cost no read of a final state', () => {
-  const wide = [...Array(800).keys()].map((i) => record(`wk-w${i}`, ['wk-0']));
+test('resolving hundreds of jobs that depend on one unfinished job looks up no final state', () => {
+  const dependents = [...Array(800).keys()].map((i) => record(`wk-w${i}`, ['wk-0']));
   let reads = 0;
-  const i = input([record('wk-0', []), ...wide]);
+  const i = input([record('wk-0', []), ...dependents]);
   resolveDependencies({
     ...i,
     finalState: () => {
@@ -158,7 +162,7 @@
       return undefined;
     },
   });
-  assert.equal(reads, 0, 'unfinished jobs are in the view');
+  assert.equal(reads, 0, 'the view shows that the dependency is unfinished');
   assert.deepEqual(
     resolveDependencies(i).startable.map((j) => j.spec.id),
     [jobId('wk-0')],
