--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -1,4 +1,8 @@
-/** Transactions whose outcome is unknown: carried out, late, or never. */
+/**
+ * Commits of change sets to the state service. A transaction without an answer may have been applied, may be applied
+ * later, or never. Guards against continuing with a view that does not show which, since a task could then be placed a
+ * second time. Also guards against change sets that fail or delay the others of a plan.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { version } from '../src/core/model/ids.js';
@@ -24,34 +28,37 @@
   nodes: 1,
 };
 
-/** A client of the stand-in whose first transaction with changes gets no answer, and whose watch is held up. */
+/**
+ * Sets up a client of the simulated state service. Its first transaction with changes gets no answer, or 429 if it is
+ * `refused`; from then on the watch delivers nothing for 9 s.
+ */
 function setUp(fate: 'applied' | 'late' | 'lost' | 'refused') {
-  const world = new VirtualTime(3);
-  const state = new StateService(world, BUDGET);
-  const clock = new ProcessClock(world, 1, 0);
-  let first = true;
-  let watchHeldUntil = 0;
+  const time = new VirtualTime(3);
+  const state = new StateService(time, BUDGET);
+  const clock = new ProcessClock(time, 1, 0);
+  let isFirst = true;
+  let watchBlockedUntil = 0;
   const transport: Transport = {
     request: (method, path, body, timeoutMs) =>
       new Promise<HttpResponse>((resolve, reject) => {
         clock.after(timeoutMs, () => {
           reject(new Error('no answer'));
         });
-        const changes = ((body as { then?: unknown[] } | undefined)?.then ?? []).length > 0;
-        if (path === '/txn' && changes && first) {
-          first = false;
-          watchHeldUntil = world.now + 9000;
+        const hasChanges = ((body as { then?: unknown[] } | undefined)?.then ?? []).length > 0;
+        if (path === '/txn' && hasChanges && isFirst) {
+          isFirst = false;
+          watchBlockedUntil = time.now + 9000;
           if (fate === 'refused') {
-            world.after(5, () => {
+            time.after(5, () => {
               resolve({ status: 429, body: null });
             });
             return;
           }
           if (fate !== 'lost')
-            world.after(fate === 'late' ? 6000 : 5, () => void state.handle(method, path, body));
+            time.after(fate === 'late' ? 6000 : 5, () => void state.handle(method, path, body));
           return;
         }
-        world.after(5, () => {
+        time.after(5, () => {
           resolve(state.handle(method, path, body));
         });
       }),
@@ -60,7 +67,7 @@
     request: (_method, path) =>
       new Promise<HttpResponse>((resolve) => {
         state.follow(path, (r) => {
-          world.at(Math.max(world.now + 5, watchHeldUntil), () => {
+          time.at(Math.max(time.now + 5, watchBlockedUntil), () => {
             resolve(r);
           });
         });
@@ -68,38 +75,42 @@
   };
   const client = new StateClient({ limits: LIMITS, clock, transport, watchTransport });
   const view = new ClusterView();
-  const follower = new StateWatcher(client, view, { onChanged: () => undefined });
+  const watcher = new StateWatcher(client, view, { onChanged: () => undefined });
   state.handle('POST', '/txn', { then: [{ write: 'p/m/n-1', value: { n: 0 } }] });
-  void follower.run();
-  return { world, state, client, follower, view };
+  void watcher.run();
+  return { time, state, client, watcher, view };
 }
 
 for (const fate of ['applied', 'late', 'lost'] as const)
-  test(`after a transaction without an answer (${fate}) the view holds its outcome, which cannot change any more`, async () => {
-    const { world, state, client, follower, view } = setUp(fate);
-    await world.runUntil(1000);
+  test(`the commit of a transaction without an answer (${fate}) ends once the view holds its final outcome`, async () => {
+    const { time, state, client, watcher, view } = setUp(fate);
+    await time.runUntil(1000);
     const before = view.versionOf('p/m/n-1');
     assert.ok(before > 0);
     let outcome = null as string | null;
     const op = { key: 'p/m/n-1', value: { n: 1 } };
     void commit(
       client,
-      follower,
+      watcher,
       { guards: [{ key: op.key, version: before }], operations: [op] },
       REQUEST_PRIORITY.starts,
     ).then((r) => {
       outcome = r;
-      assert.equal(view.versionOf(op.key), state.rows.get(op.key)!.revision, 'it goes on with an old view');
+      assert.equal(
+        view.versionOf(op.key),
+        state.rows.get(op.key)!.revision,
+        'the view is current when the commit ends',
+      );
     });
-    while (outcome === null && world.now < 60_000) await world.runUntil(world.now + 100);
+    while (outcome === null && time.now < 60_000) await time.runUntil(time.now + 100);
     assert.equal(outcome, 'conflict');
     const value = state.rows.get(op.key)!.value;
-    await world.runUntil(world.now + 20_000);
-    assert.deepEqual(state.rows.get(op.key)!.value, value, 'nothing is applied after the outcome was told');
+    await time.runUntil(time.now + 20_000);
+    assert.deepEqual(state.rows.get(op.key)!.value, value, 'nothing is applied after the outcome is known');
     assert.deepEqual(value, { n: fate === 'applied' ? 1 : 0 });
   });
 
-test('transactions are packed up to every limit, in order, with the versions of their change sets', () => {
+test('change sets are packed in order into few transactions within every limit, with all their guards', () => {
   const groups = [...Array(23).keys()].map((i) => ({
     operations: [{ key: `p/m/${i}`, value: { text: 'x'.repeat(i === 5 ? 59_000 : 10) } }],
     guards: [
@@ -134,9 +145,9 @@
   assert.ok(txns.length <= 5);
 });
 
-test('a change set that became outdated while it waited is not sent and uses no request', async () => {
-  const { world, state, client, follower, view } = setUp('lost');
-  await world.runUntil(1000);
+test('a change set that becomes outdated while it waits is not sent and costs no request', async () => {
+  const { time, state, client, watcher, view } = setUp('lost');
+  await time.runUntil(1000);
   const groups = [...Array(6).keys()].map((i) => ({
     operations: [{ key: `p/m/${i}`, value: { i } }],
     guards: [{ key: `p/m/${i}`, version: version(0) }],
@@ -148,78 +159,78 @@
     view.apply({ key: 'p/m/3', value: {}, version: version(500) });
   }
   assert.deepEqual(sent, ['p/m/0', 'p/m/1', 'p/m/2', 'p/m/4', 'p/m/5']);
-  // Overtaken while the budget made it wait.
+  // Outdated by the time that the rate limiter grants the request.
   const before = state.counts.requests;
   const guard = { key: 'p/m/3', version: version(0) };
   const outcome = await commit(
     client,
-    follower,
+    watcher,
     { guards: [guard], operations: [{ key: guard.key, value: {} }] },
     REQUEST_PRIORITY.starts,
   );
   assert.equal(outcome, 'conflict');
-  await world.runUntil(world.now + 5000);
-  assert.equal(state.counts.requests, before, 'no request was made for it');
+  await time.runUntil(time.now + 5000);
+  assert.equal(state.counts.requests, before, 'no request is sent for an outdated change set');
 });
 
-test('a plan continues after a conflict or a refusal for the budget; after its deadline the rest is left out', async () => {
-  const { world, state, client, follower } = setUp('refused');
-  await world.runUntil(1000);
+test('a plan continues after a conflict or an exceeded budget, and omits what is left at its deadline', async () => {
+  const { time, state, client, watcher } = setUp('refused');
+  await time.runUntil(1000);
   const groups = [...Array(12).keys()].map((i) => ({
     operations: [{ key: `p/m/${i}`, value: { i } }],
     guards: [{ key: `p/m/${i}`, version: version(0) }],
   }));
   const written = () => [...state.rows.keys()].filter((k) => /^p.m.\d+$/.test(k)).length;
-  let all = null as boolean | null;
-  void commitChangeSets(client, follower, groups, REQUEST_PRIORITY.starts).then((r) => {
-    all = r;
+  let isComplete = null as boolean | null;
+  void commitChangeSets(client, watcher, groups, REQUEST_PRIORITY.starts).then((r) => {
+    isComplete = r;
   });
-  await world.runUntil(world.now + 2);
-  // Another process is there first, and the watch does not tell of it in time.
+  await time.runUntil(time.now + 2);
+  // Another process writes p/m/5 first, and the watch does not deliver that in time.
   state.handle('POST', '/txn', { then: [{ write: 'p/m/5', value: {} }] });
-  while (all === null && world.now < 20_000) await world.runUntil(world.now + 50);
-  assert.equal(all, false, 'something was left out');
-  // Four to a transaction: the one with the overtaken change fails as a whole, the others go on.
+  while (isComplete === null && time.now < 20_000) await time.runUntil(time.now + 50);
+  assert.equal(isComplete, false, 'not all change sets were committed');
+  // Four change sets share a transaction: the one with p/m/5 fails as a whole, the others are committed.
   assert.equal(written(), 12 - 3);
   const rest = [...Array(40).keys()].map((i) => ({
     operations: [{ key: `p/m/${100 + i}`, value: { i } }],
     guards: [{ key: `p/m/${100 + i}`, version: version(0) }],
   }));
-  let some = null as boolean | null;
-  void commitChangeSets(client, follower, rest, REQUEST_PRIORITY.starts, 25).then((r) => {
-    some = r;
+  let isRestComplete = null as boolean | null;
+  void commitChangeSets(client, watcher, rest, REQUEST_PRIORITY.starts, 25).then((r) => {
+    isRestComplete = r;
   });
-  while (some === null && world.now < 40_000) await world.runUntil(world.now + 50);
-  assert.equal(some, false);
+  while (isRestComplete === null && time.now < 40_000) await time.runUntil(time.now + 50);
+  assert.equal(isRestComplete, false);
   assert.ok(written() > 9 && written() < 9 + 40, `${written()} written`);
 });
 
 test('a change set that the service rejects does not fail the others in its transaction', async () => {
-  const { world, state, client, follower } = setUp('lost');
-  await world.runUntil(1000);
-  // The first transaction of the stand-in gets no answer: that is another test's.
+  const { time, state, client, watcher } = setUp('lost');
+  await time.runUntil(1000);
+  // Takes the place of the first transaction, which gets no answer; other tests cover that.
   void client.transact({ guards: [], operations: [{ key: 'x', value: {} }] }, REQUEST_PRIORITY.starts);
-  await world.runUntil(4000);
+  await time.runUntil(4000);
   state.valueBytes = 200;
   const groups = [...Array(6).keys()].map((i) => ({
     operations: [{ key: `p/m/${i}`, value: { text: 'x'.repeat(i === 2 ? 500 : 10) } }],
     guards: [{ key: `p/m/${i}`, version: version(0) }],
   }));
-  let all = null as boolean | null;
-  void commitChangeSets(client, follower, groups, REQUEST_PRIORITY.starts).then((r) => {
-    all = r;
+  let isComplete = null as boolean | null;
+  void commitChangeSets(client, watcher, groups, REQUEST_PRIORITY.starts).then((r) => {
+    isComplete = r;
   });
-  while (all === null && world.now < 20_000) await world.runUntil(world.now + 50);
-  assert.equal(all, false);
+  while (isComplete === null && time.now < 20_000) await time.runUntil(time.now + 50);
+  assert.equal(isComplete, false);
   assert.deepEqual(
     [...state.rows.keys()].filter((k) => /^p.m.\d+$/.test(k)).sort(),
     [0, 1, 3, 4, 5].map((i) => `p/m/${i}`),
   );
 });
 
-test('a transaction without an answer is settled with a key whose value fits the lower limit', async () => {
-  const { world, state, client, follower, view } = setUp('lost');
-  // Stored under the limit before, and larger than what may be written now.
+test('a transaction without an answer is settled by rewriting a key whose value is within the lowered limit', async () => {
+  const { time, state, client, watcher, view } = setUp('lost');
+  // Stored under a higher limit and too large to be written under the present one.
   const large = { key: 'p/m/large', value: { text: 'x'.repeat(9000) } };
   state.valueBytes = 10_000;
   state.handle('POST', '/txn', {
@@ -228,19 +239,22 @@
       { write: 'p/t/red', value: {} },
     ],
   });
-  await world.runUntil(1000);
+  await time.runUntil(1000);
   state.valueBytes = 8192;
   const guards = [large.key, 'p/t/red'].map((k) => ({ key: k, version: view.versionOf(k) }));
   assert.ok(guards.every((g) => g.version > 0));
   let outcome = null as string | null;
   const op = { key: large.key, value: { n: 1 } };
-  void commit(client, follower, { guards, operations: [op] }, REQUEST_PRIORITY.starts).then((r) => {
+  void commit(client, watcher, { guards, operations: [op] }, REQUEST_PRIORITY.starts).then((r) => {
     outcome = r;
   });
-  while (outcome === null && world.now < 60_000) await world.runUntil(world.now + 100);
+  while (outcome === null && time.now < 60_000) await time.runUntil(time.now + 100);
   assert.equal(outcome, 'conflict');
-  assert.equal(state.oversizedTransactions, 0, 'nothing was sent that can only be rejected');
-  assert.ok(state.rows.get('p/t/red')!.revision > guards[1]!.version, 'its guards fail from now on');
+  assert.equal(state.oversizedTransactions, 0, 'no transaction above a limit was sent');
+  assert.ok(
+    state.rows.get('p/t/red')!.revision > guards[1]!.version,
+    'the transaction can no longer be applied: its guard on p/t/red fails',
+  );
 });
 
 test('the late answer to a write does not restore a record that was removed meanwhile', () => {
@@ -248,28 +262,28 @@
   const key = 'p/j/wk-1';
   view.apply({ key, value: { n: 1 }, version: version(5) });
   view.advanceTo(9 as never);
-  // Written here at 10 and removed by another controller at 12; the watch tells of both before the answer comes.
+  // This process writes at revision 10 and another removes at 12; the watch delivers both before the answer arrives.
   view.apply({ key, value: { n: 2 }, version: version(10) });
   view.apply({ key, value: undefined, version: version(12) });
   view.advanceTo(12 as never);
   assert.equal(view.apply({ key, value: { n: 2 }, version: version(10) }), false);
   assert.equal(view.jobs.size, 0);
   assert.equal(view.versionOf(key), 0);
-  // A removal of its own, known before the watch tells of what was written before it.
+  // A removal by this process is known before the watch delivers an older write of the same key.
   const own = 'p/j/wk-2';
   view.apply({ key: own, value: undefined, version: version(20) });
   assert.equal(view.apply({ key: own, value: {}, version: version(15) }), false);
-  // What is listed anew is taken in from the revision on that is known.
+  // A new listing is applied where it is newer than the revision of the view.
   view.resetTo([{ key: 'p/j/wk-3', value: {}, version: version(30) }], 31 as never);
   assert.deepEqual([...view.jobs.keys()], ['wk-3']);
 });
 
-test('guards of a change set are distinct, and never exceed the limit of a transaction', () => {
+test('the guards in a set are distinct and never exceed the limit of a transaction', () => {
   const guards = new GuardSet(2 * GUARDS_PER_OPERATION);
   const guard = (key: string) => ({ key, version: version(3) });
   assert.ok(guards.add([guard('m'), guard('s')]));
-  for (let i = 0; i < 6; i++) assert.ok(guards.add([guard('s'), guard(`j${i}`)]), `the ${i}th`);
+  for (let i = 0; i < 6; i++) assert.ok(guards.add([guard('s'), guard(`j${i}`)]), `guard j${i} fits`);
   assert.equal(guards.add([guard('s'), guard('j6')]), false);
-  assert.ok(guards.add([guard('s'), guard('j5')]), 'known ones cost nothing');
+  assert.ok(guards.add([guard('s'), guard('j5')]), 'guards already in the set do not count again');
   assert.equal(guards.list().length, 8);
 });
--- a/test/concurrency-limit.test.ts
+++ b/test/concurrency-limit.test.ts
@@ -1,10 +1,13 @@
-/** The adaptive limit on requests in progress. */
+/**
+ * The adaptive limit on requests in progress. Guards against admitting more requests than the limit, and against a limit
+ * that stays high under overload or low after it.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ConcurrencyLimit } from '../src/core/concurrency-limit.js';
 import { monotonicMs } from '../src/core/model/time.js';
 
-test('the limit on requests shrinks when answers become slow and grows when they are fast', () => {
+test('the limit on requests in progress shrinks while responses are slow and grows while they are fast', () => {
   const limiter = new ConcurrencyLimit({ min: 2, max: 50, tolerance: 4, floorMs: 50 });
   let now = 0;
   const runRequests = (durationMs: number) => {
--- a/test/group-commit.test.ts
+++ b/test/group-commit.test.ts
@@ -1,4 +1,7 @@
-/** Submissions that come together share transactions; each learns what became of itself. */
+/**
+ * Group commit of submissions. Guards against transactions above the limits of the state service, a failed change that
+ * fails the others in its transaction, and a change that is sent again when its user retries before the answer.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { revision, NO_VERSION } from '../src/core/model/ids.js';
@@ -11,45 +14,54 @@
   guards: [`p/j/${name}`, `f/${name}`].map((key) => ({ key, version: NO_VERSION })),
 });
 
-/** A state service that answers when it is told to, and refuses keys that exist. */
-function service(settings = { operationsPerTransaction: 8, writeRps: 60, nodes: 3 }) {
+/**
+ * Sets up group commit with a state client that answers only when `answer` is called: with a rejection for `rejectedKeys`,
+ * with a conflict for guards on keys in `existingKeys`.
+ */
+function setUp(settings = { operationsPerTransaction: 8, writeRps: 60, nodes: 3 }) {
   const sent: string[][] = [];
-  const exists = new Set<string>();
-  const rejects = new Set<string>();
-  let answers: (() => void)[] = [];
+  const existingKeys = new Set<string>();
+  const rejectedKeys = new Set<string>();
+  let pendingAnswers: (() => void)[] = [];
   const client = {
     limits: settings,
     writesWithin: () => 0,
     transactWithRetry: ({ guards, operations }: ChangeSet) =>
       new Promise<TransactionResult>((resolve) => {
         sent.push(operations.map((o) => o.key));
-        answers.push(() => {
-          const failed = guards.map((g) => g.key).filter((k) => exists.has(k));
-          if (operations.some((o) => rejects.has(o.key))) resolve({ kind: 'rejected' });
+        pendingAnswers.push(() => {
+          const failed = guards.map((g) => g.key).filter((k) => existingKeys.has(k));
+          if (operations.some((o) => rejectedKeys.has(o.key))) resolve({ kind: 'rejected' });
           else if (failed.length > 0) resolve({ kind: 'conflict', revision: revision(5), failed });
           else {
-            for (const o of operations) exists.add(o.key);
+            for (const o of operations) existingKeys.add(o.key);
             resolve({ kind: 'ok', revision: revision(6) });
           }
         });
       }),
   };
   const answer = async () => {
-    while (answers.length > 0) {
-      const now = answers;
-      answers = [];
-      for (const go of now) go();
+    while (pendingAnswers.length > 0) {
+      const sendAnswers = pendingAnswers;
+      pendingAnswers = [];
+      for (const sendAnswer of sendAnswers) sendAnswer();
       await new Promise((r) => setImmediate(r));
     }
   };
-  return { commits: new GroupCommit(client as unknown as StateClient), sent, exists, rejects, answer };
+  return {
+    commits: new GroupCommit(client as unknown as StateClient),
+    sent,
+    existingKeys,
+    rejectedKeys,
+    answer,
+  };
 }
 
-test('a change that arrives alone is sent at once, those that arrive meanwhile share transactions within the limits', async () => {
-  const s = service();
+test('changes are sent at once while few are under way, and later ones share transactions within the limits', async () => {
+  const s = setUp();
   const names = [...Array(20).keys()].map((i) => `wk-${i}`);
   const results = names.map((name) => s.commits.commit(name, change(name)));
-  assert.equal(s.sent.length, 2, 'the first two wait for nobody');
+  assert.equal(s.sent.length, 2, 'the first two are sent at once');
   await s.answer();
   assert.deepEqual(new Set((await Promise.all(results)).map((r) => r.kind)), new Set(['ok']));
   assert.deepEqual(
@@ -59,9 +71,9 @@
 });
 
 test('a change that conflicts or is rejected does not fail the others', async () => {
-  const s = service();
-  s.exists.add('f/wk-3');
-  s.rejects.add('p/j/wk-12');
+  const s = setUp();
+  s.existingKeys.add('f/wk-3');
+  s.rejectedKeys.add('p/j/wk-12');
   const results = [...Array(14).keys()].map((i) => s.commits.commit(`wk-${i}`, change(`wk-${i}`)));
   await s.answer();
   const kinds = (await Promise.all(results)).map((r) => r.kind);
@@ -73,23 +85,27 @@
   );
 });
 
-test('no transaction is larger than what this controller may write within a second', async () => {
-  const s = service({ operationsPerTransaction: 32, writeRps: 20, nodes: 4 });
+test('no transaction has more changes than this controller may write within a second', async () => {
+  const s = setUp({ operationsPerTransaction: 32, writeRps: 20, nodes: 4 });
   const results = [...Array(12).keys()].map((i) => s.commits.commit(`wk-${i}`, change(`wk-${i}`)));
   await s.answer();
   await Promise.all(results);
   assert.ok(s.sent.every((keys) => keys.length <= 5));
 });
 
-test('a change that would wait longer than its user is refused at once, and nothing is sent twice', async () => {
-  const s = service({ operationsPerTransaction: 8, writeRps: 20, nodes: 4 });
+test('a change that would wait longer than its user does is refused at once, and none is sent twice', async () => {
+  const s = setUp({ operationsPerTransaction: 8, writeRps: 20, nodes: 4 });
   const commit = (i: number) => s.commits.commit(`wk-${i}`, change(`wk-${i}`));
   const first = [...Array(40).keys()].map(commit);
-  const again = [...Array(10).keys()].map(commit);
+  const retries = [...Array(10).keys()].map(commit);
   const refused = await Promise.race([first[39], Promise.resolve({ kind: 'waits' })]);
   assert.equal(refused?.kind, 'refused');
   await s.answer();
-  const kinds = (await Promise.all([...first, ...again])).map((r) => r.kind);
-  assert.equal(kinds.filter((k) => k === 'ok').length, 17 + 10, 'two at once, and three seconds of changes');
+  const kinds = (await Promise.all([...first, ...retries])).map((r) => r.kind);
+  assert.equal(
+    kinds.filter((k) => k === 'ok').length,
+    17 + 10,
+    'two sent at once, and what may be written in 3 s',
+  );
   assert.equal(new Set(s.sent.flat()).size, s.sent.flat().length);
 });
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -1,79 +1,90 @@
-/** The part of a shared budget that one process takes, in virtual time. */
+/**
+ * The share of a common budget that one process uses, in virtual time. Guards against users' requests that wait behind
+ * bulk changes, and against exceeding a budget, also after it was lowered without notice.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimiter, REQUEST_PRIORITY } from '../src/io/rate-limiter.js';
 import { ProcessClock, VirtualTime } from './sim/virtual-time.js';
 
-/** A process whose part of both budgets does not fall, and which may borrow so many times that part. */
-const fixed = (world: VirtualTime, maxBorrowFactor: number) =>
+/** A rate limiter whose shares do not shrink; of changes it may use `maxBorrowFactor` times its share. */
+const fixedRateLimiter = (time: VirtualTime, maxBorrowFactor: number) =>
   new RateLimiter({
     requestRates: { high: 60, low: 60 },
     writeRates: { high: 12, low: 12 },
     maxQueued: 200,
     maxBorrowFactor,
-    clock: new ProcessClock(world, 1, 0),
+    clock: new ProcessClock(time, 1, 0),
   });
 
 test('reads and changes of users never wait behind bulk changes, and the budget is never exceeded', async () => {
-  const world = new VirtualTime(1);
-  const limiter = fixed(world, 1);
-  const took = { bulk: 0, users: [] as number[], reads: [] as number[] };
-  // A wave: far more changes than the budget has for a minute.
+  const time = new VirtualTime(1);
+  const limiter = fixedRateLimiter(time, 1);
+  // Changes granted to bulk work, and milliseconds for which each request of a user waited.
+  const measured = { bulkChanges: 0, userWaitsMs: [] as number[], readWaitsMs: [] as number[] };
+  // More changes than the budget allows within a minute.
   for (let i = 0; i < 100; i++)
     void limiter.acquire(REQUEST_PRIORITY.starts, 8).then(() => {
-      took.bulk += 8;
+      measured.bulkChanges += 8;
     });
-  const asks = () => {
-    const at = world.now;
-    void limiter.acquire(REQUEST_PRIORITY.users, 1).then(() => took.users.push(world.now - at));
-    void limiter.acquire(REQUEST_PRIORITY.users, 0).then(() => took.reads.push(world.now - at));
-    if (world.now < 29_000) world.after(500, asks);
+  const submitUserRequests = () => {
+    const requestedAt = time.now;
+    void limiter
+      .acquire(REQUEST_PRIORITY.users, 1)
+      .then(() => measured.userWaitsMs.push(time.now - requestedAt));
+    void limiter
+      .acquire(REQUEST_PRIORITY.users, 0)
+      .then(() => measured.readWaitsMs.push(time.now - requestedAt));
+    if (time.now < 29_000) time.after(500, submitUserRequests);
   };
-  world.after(2000, asks);
-  await world.runUntil(30_000);
-  assert.ok(took.users.length >= 54 && took.reads.length >= 54);
-  // A transaction sent before may have put the budget in debt by its size, once.
-  assert.ok(Math.max(...took.users) <= 800, `a user's change waited ${Math.max(...took.users)} ms`);
-  assert.ok(Math.max(...took.reads) <= 20, `a read waited ${Math.max(...took.reads)} ms`);
-  const changes = took.bulk + took.users.length;
+  time.after(2000, submitUserRequests);
+  await time.runUntil(30_000);
+  assert.ok(measured.userWaitsMs.length >= 54 && measured.readWaitsMs.length >= 54);
+  // An earlier bulk transaction may have left the budget in debt, at most once and by its own size.
+  assert.ok(
+    Math.max(...measured.userWaitsMs) <= 800,
+    `a user's change waited ${Math.max(...measured.userWaitsMs)} ms`,
+  );
+  assert.ok(Math.max(...measured.readWaitsMs) <= 20, `a read waited ${Math.max(...measured.readWaitsMs)} ms`);
+  const changes = measured.bulkChanges + measured.userWaitsMs.length;
   assert.ok(changes <= 12 * 31 + 8 && changes >= 12 * 28, `${changes} changes in 30 s`);
 });
 
-test('a refusal for changes stops changes and not reads', async () => {
-  const world = new VirtualTime(1);
-  const limiter = fixed(world, 3);
-  await world.runUntil(10_000);
+test('a refusal of changes delays further changes and no reads', async () => {
+  const time = new VirtualTime(1);
+  const limiter = fixedRateLimiter(time, 3);
+  await time.runUntil(10_000);
   assert.equal(limiter.isIdle, true);
   limiter.noteExhausted(1);
-  assert.equal(limiter.isIdle, false, 'others wait for the budget, even where this process has enough');
-  let read = false;
-  let wrote = false;
+  assert.equal(limiter.isIdle, false, 'the whole budget is short, even if this process has some left');
+  let isReadGranted = false;
+  let isWriteGranted = false;
   void limiter.acquire(REQUEST_PRIORITY.results, 6).then(() => {
-    wrote = true;
+    isWriteGranted = true;
   });
   void limiter.acquire(REQUEST_PRIORITY.session, 0).then(() => {
-    read = true;
+    isReadGranted = true;
   });
-  await world.runUntil(world.now + 10);
-  assert.deepEqual([read, wrote], [true, false]);
-  await world.runUntil(world.now + 600);
-  assert.equal(wrote, true);
+  await time.runUntil(time.now + 10);
+  assert.deepEqual([isReadGranted, isWriteGranted], [true, false]);
+  await time.runUntil(time.now + 600);
+  assert.equal(isWriteGranted, true);
 });
 
-test('a rate that falls without notice is detected by refusals', async () => {
-  const world = new VirtualTime(1);
+test('a rate that is lowered without notice is detected by refusals', async () => {
+  const time = new VirtualTime(1);
   const high = 20;
   const low = 15;
-  // A little less than all of it, as the client takes.
+  // Slightly below the limit, as in the client of the state service.
   const rate = { high: high * 0.95, low: low * 0.95 };
   const limiter = new RateLimiter({
     requestRates: { high: 100, low: 100 },
     writeRates: rate,
     maxQueued: 2000,
     maxBorrowFactor: 1,
-    clock: new ProcessClock(world, 1, 0),
+    clock: new ProcessClock(time, 1, 0),
   });
-  // The service's bucket: it holds a second's worth of what it allows.
+  // The token bucket of the service holds one second's worth of the allowed changes.
   let allowed = high;
   let tokens = high;
   let last = 0;
@@ -82,8 +93,8 @@
   const send = async (): Promise<void> => {
     for (;;) {
       if (!(await limiter.acquire(REQUEST_PRIORITY.starts, 2))) return;
-      tokens = Math.min(allowed, tokens + ((world.now - last) / 1000) * allowed);
-      last = world.now;
+      tokens = Math.min(allowed, tokens + ((time.now - last) / 1000) * allowed);
+      last = time.now;
       if (tokens >= 2) {
         tokens -= 2;
         granted += 2;
@@ -93,17 +104,17 @@
       }
     }
   };
-  // Time goes on also while nothing waits.
+  // Keeps virtual time running while nothing else is scheduled.
   const tick = () => {
-    world.after(50, tick);
+    time.after(50, tick);
   };
   tick();
   void send();
-  await world.runUntil(30_000);
+  await time.runUntil(30_000);
   assert.ok(refused <= 2 && granted >= high * 0.95 * 29, `${refused} refused, ${granted} granted`);
   allowed = low;
   refused = granted = 0;
-  await world.runUntil(90_000);
+  await time.runUntil(90_000);
   assert.ok(granted >= low * 60 * 0.85, `${granted} granted`);
   assert.ok(refused <= 20, `${refused} refused in a minute`);
 });
--- a/test/state-usage.test.ts
+++ b/test/state-usage.test.ts
@@ -1,4 +1,7 @@
-/** What the write budget of the state service is spent on. */
+/**
+ * Use of the write budget of the state service. Guards against writes of results that the end of their job makes
+ * superfluous, results that are not written for too long, and submissions refused because of a short delay.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runQuietly, submitSmall, submitTo } from './sim/pipeline-helpers.js';
@@ -13,9 +16,9 @@
   return writes;
 };
 
-test('an array whose tasks finish in parallel costs no write for results but those of its end', async () => {
+test('an array whose tasks finish in parallel writes its results only at its end', async () => {
   const simulation = await runQuietly(4);
-  // Later than its users submit anything by themselves, so that nothing else writes results.
+  // The simulated users submit nothing any more, so that no other job writes results.
   await advance(simulation, 110_000);
   const before = { results: writesFor(simulation, 'results'), end: writesFor(simulation, 'end') };
   const id = simulation.submit({
@@ -30,7 +33,7 @@
   assert.equal(writesFor(simulation, 'end') - before.end, 2);
 });
 
-test('results of a job that runs for long are written before its end', async () => {
+test('results of a long job are written before its end', async () => {
   const simulation = await runQuietly(4);
   await advance(simulation, 110_000);
   const before = writesFor(simulation, 'results');
@@ -39,7 +42,7 @@
   assert.ok(writesFor(simulation, 'results') - before >= 3, `${writesFor(simulation, 'results') - before}`);
 });
 
-test('a submission that the write budget delays for a moment is accepted; in an outage it is refused at once', async () => {
+test('a submission that the write budget delays briefly is accepted; in an outage its user is told at once to retry', async () => {
   const simulation = await runQuietly(4, GROWN);
   const { budget } = simulation.state;
   for (let i = 0; i < 5; i++) {
