--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -1,4 +1,7 @@
-/** The link between controllers over real sockets on loopback. */
+/**
+ * Links between controllers over real sockets on loopback. Guards against an invalid frame that ends other connections,
+ * and against requests that wait without end for a peer that is down or does not answer.
+ */
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
@@ -13,7 +16,7 @@
   return port;
 };
 
-test('requests are answered, also concurrent ones, and an invalid frame ends its own connection only', async () => {
+test('requests are answered, also concurrent ones, and an invalid frame ends only its own connection', async () => {
   const port = await freePort();
   const server = new PeerServer({
     onCancellation: (job) => Promise.resolve(job === 'wk-1' ? 'taken' : 'not_mine'),
@@ -29,6 +32,7 @@
       'taken',
     ]);
     assert.equal(await link.contact(2000), true);
+    // A frame length above the maximum, and a payload that is not valid protobuf.
     for (const bytes of [Buffer.from([0xff, 0xff, 0xff, 0xff, 1]), Buffer.from([0, 0, 0, 2, 0x0f, 0xff])]) {
       const connection = net.connect(port, '127.0.0.1');
       connection.on('error', () => undefined);
@@ -42,7 +46,7 @@
   }
 });
 
-test('a peer that is down or silent yields null within the timeout', async () => {
+test('a request to a peer that is down or does not answer yields null within the timeout', async () => {
   const port = await freePort();
   const link = new PeerLink(`127.0.0.1:${port}`);
   assert.equal(await link.cancel('wk-1', 500), null);
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,4 +1,8 @@
-/** Records at the size limits of the state service, and those of the version without dependencies. */
+/**
+ * Records near the size limit on values of the state service, and records of the version without dependencies. Guards
+ * against records that the service rejects whenever they are written, and against misreading a running cluster's
+ * records after an upgrade.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { agentCommands } from '../src/core/agents/agent-commands.js';
@@ -24,13 +28,13 @@
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { machine, submission, type, types } from './samples.js';
 
-/** Records as the previous version wrote them, byte by byte. */
-const JOB_BEFORE =
+/** Records as the version without dependencies wrote them, byte for byte. */
+const PREVIOUS_JOB =
   '{"spec":{"id":"wk-000001","class":"sweep","team":"red","kind":"array","priority":"normal","tasks":4,' +
   '"demand":[1000000,2000000,0],"image":"img-1","imageGb":1,"types":null,"zone":null,"oneZone":false,"spread":false,' +
   '"spot":true,"estimateS":10,"checkpointS":0,"saveS":0,"deadlineS":null},"phase":"active",' +
   '"done":{"base":0,"bits":"AQ==","count":1},"submitted":1700000000000}';
-const MACHINE_BEFORE =
+const PREVIOUS_MACHINE =
   '{"name":"n-000001","type":"m","zone":"a","spot":false,"owner":"c-0","floor":7,"phase":"up","placed":[' +
   [1, 2, 3]
     .map(
@@ -51,37 +55,37 @@
 test('records of the previous version are read: jobs have no dependencies, each task has its own allocation', () => {
   const id = jobId('wk-000001');
   const view = viewOf({
-    [key.job(id)]: JOB_BEFORE,
-    [key.machine(machineName('n-000001'))]: MACHINE_BEFORE,
+    [key.job(id)]: PREVIOUS_JOB,
+    [key.machine(machineName('n-000001'))]: PREVIOUS_MACHINE,
     [key.shard('c-0')]: '{"holder":"c-0","incarnation":"x"}',
   });
   const totals = new AllocationTotals(view.machines.values(), types, new Map());
   assert.equal(totals.jobs.get(id)?.tasks.size, 3);
-  const d = resolveDependencies({
+  const graph = resolveDependencies({
     jobs: view.jobs,
     finalState: () => undefined,
     hasStarted: () => true,
     runMs: () => 0,
   });
-  assert.equal(d.startable[0], view.jobs.get(id), 'as it stands');
-  // A final state without a time still tells that a job may start.
+  assert.equal(graph.startable[0], view.jobs.get(id), 'the record is used unchanged');
+  // A final state without a time suffices for a job to start.
   const next = {
     ...view.jobs.get(id)!,
     spec: { ...view.jobs.get(id)!.spec, id: jobId('wk-2'), needs: [jobId('wk-0')] },
   };
-  const after = resolveDependencies({
+  const nextGraph = resolveDependencies({
     jobs: new Map([[next.spec.id, next]]),
     finalState: () => JSON.parse('{"state":"done","done":1}') as never,
     hasStarted: () => false,
     runMs: () => 0,
   });
-  assert.equal(after.startable.length, 1);
-  // What the version before does with a record that it does not know all of: it copies it, with other results.
-  const back = JSON.parse(JSON.stringify({ ...next, done: markDone(next.done, [2]) })) as typeof next;
-  assert.deepEqual(back.spec.needs, ['wk-0']);
+  assert.equal(nextGraph.startable.length, 1);
+  // When the previous version writes new results, it copies the fields that it does not know.
+  const rewritten = JSON.parse(JSON.stringify({ ...next, done: markDone(next.done, [2]) })) as typeof next;
+  assert.deepEqual(rewritten.spec.needs, ['wk-0']);
 });
 
-test('tasks that share an allocation are stopped, confirmed as exited and started one by one', () => {
+test('tasks that share an allocation are stopped, confirmed as exited and started individually', () => {
   const spec = jobFromWire(submission({ vcpus: 1, cards: 0, memoryGb: 1, shards: 3 }) as never);
   const job = {
     spec,
@@ -132,7 +136,7 @@
   );
 });
 
-test('the estimated size of an allocation and of a task is never less than what they add to a record', () => {
+test('the estimated sizes of an allocation and of a task are never less than what they add to a record', () => {
   for (const id of ['wk-1', `wk-${'x'.repeat(100)}`])
     for (const tenant of ['a', 'ä'.repeat(100)]) {
       const spec = jobFromWire(
@@ -156,7 +160,7 @@
     }
 });
 
-test('a record above the limit is stored without its images, and that of a machine being released with its allocations merged', () => {
+test('a machine record above the limit is stored without its images, and during release with merged allocations', () => {
   const spec = jobFromWire(submission() as never);
   const record: MachineRecord = {
     ...machine(
@@ -165,21 +169,25 @@
     ),
     images: [...Array(30).keys()].map((i) => `image-${i}`),
   };
-  const bare = jsonBytes({ ...record, images: undefined });
-  assert.equal(shrinkMachineRecord(record, bare)?.images, undefined);
-  assert.ok(jsonBytes(shrinkMachineRecord(record, bare)) <= bare);
-  assert.equal(shrinkMachineRecord(record, bare - 1), null, 'left until some of it has ended');
+  const bytesWithoutImages = jsonBytes({ ...record, images: undefined });
+  assert.equal(shrinkMachineRecord(record, bytesWithoutImages)?.images, undefined);
+  assert.ok(jsonBytes(shrinkMachineRecord(record, bytesWithoutImages)) <= bytesWithoutImages);
+  assert.equal(
+    shrinkMachineRecord(record, bytesWithoutImages - 1),
+    null,
+    'the record cannot be written until some tasks have ended',
+  );
   const shrunk = shrinkMachineRecord({ ...record, phase: 'releasing' }, 700);
   assert.deepEqual(
     shrunk?.placed.flatMap((p) => p.tasks),
     [...Array(12).keys()],
   );
-  // The totals are the same.
+  // Merging does not change the totals.
   const usedIn = (x: MachineRecord) => new AllocationTotals([x], types, new Map()).usedBy(teamName('vision'));
   assert.deepEqual(usedIn(shrunk), usedIn(record));
 });
 
-test('a list of machine types that does not fit one value continues in others, and is read as one', () => {
+test('a list of machine types too large for one value is stored in several and read as one', () => {
   const many = [...Array(30).keys()].map((i) => ({ ...type, name: `type-${i}` }));
   const parts = splitBySize(many, 2048);
   assert.ok(parts.length > 1 && parts.every((p) => jsonBytes(p) <= 2048));
--- a/test/stored-compatibility.test.ts
+++ b/test/stored-compatibility.test.ts
@@ -1,6 +1,7 @@
 /**
- * Records, frames between controllers and standby messages as an earlier version wrote them (test/fixtures): they are read, and
- * written back byte for byte, so that versions can serve side by side.
+ * Stored records, frames between controllers and standby messages as an earlier version wrote them (test/fixtures).
+ * Guards against a changed name or encoding, which makes controllers of different versions misread each other while both
+ * run: everything is read, and written back byte for byte.
  */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
@@ -47,17 +48,17 @@
   readonly hex: string;
 }
 
-/** Tests run from the root of the repository. */
+/** Reads a fixture; the path is relative to the root of the repository, where tests run. */
 const readFixture = (name: string): unknown =>
   JSON.parse(readFileSync(path.join('test', 'fixtures', name), 'utf8'));
 
-/** Kinds whose name in the code differs from the one that the fixtures were written with. */
-const KIND: Readonly<Record<string, ParsedKey['kind']>> = {
+/** Kinds of keys as the code names them, by the name in the fixtures where that differs. */
+const KEY_KIND_BY_FIXTURE_KIND: Readonly<Record<string, ParsedKey['kind']>> = {
   slice: 'shard',
   substitutes: 'proxied_machines',
 };
-const LOWER_VALUE_LIMIT = 2048;
-const VALUE_LIMIT = 8192;
+const LOWER_VALUE_LIMIT_BYTES = 2048;
+const VALUE_LIMIT_BYTES = 8192;
 
 describe('stored records of an earlier version', () => {
   const records = readFixture('stored-records.json') as StoredRecord[];
@@ -73,7 +74,7 @@
   test('are found under their keys and held as they were written', () => {
     const view = new ClusterView();
     for (const { kind, key, value } of records) {
-      assert.equal(parseKey(key).kind, KIND[kind] ?? kind, key);
+      assert.equal(parseKey(key).kind, KEY_KIND_BY_FIXTURE_KIND[kind] ?? kind, key);
       const isNew = !view.entries.has(key);
       const isApplied = view.apply({ key, value: structuredClone(value), version: version(isNew ? 1 : 2) });
       if (isApplied) assert.equal(JSON.stringify(view.entries.get(key)?.value), JSON.stringify(value));
@@ -86,7 +87,7 @@
     for (const { kind, key, value } of records) {
       if (kind !== 'job') continue;
       const stored = value as StoredJob;
-      const limit = 'packedNeeds' in stored.spec ? LOWER_VALUE_LIMIT : VALUE_LIMIT;
+      const limit = 'packedNeeds' in stored.spec ? LOWER_VALUE_LIMIT_BYTES : VALUE_LIMIT_BYTES;
       const written = toStoredJob(fromStoredJob(structuredClone(stored)), limit);
       assert.equal(JSON.stringify(written), JSON.stringify(stored), key);
       assert.ok(jsonBytes(written) <= limit);
@@ -123,10 +124,14 @@
       Object.values(TOPIC).sort(),
     );
     for (const { topic, hex, answerHex } of messages) {
-      const [question, answer] = codecs[topic]!;
-      assert.equal(Buffer.from(question(Buffer.from(hex, 'hex'))).toString('hex'), hex, topic);
+      const [recodeRequest, recodeAnswer] = codecs[topic]!;
+      assert.equal(Buffer.from(recodeRequest(Buffer.from(hex, 'hex'))).toString('hex'), hex, topic);
       if (answerHex !== null)
-        assert.equal(Buffer.from(answer(Buffer.from(answerHex, 'hex'))).toString('hex'), answerHex, topic);
+        assert.equal(
+          Buffer.from(recodeAnswer(Buffer.from(answerHex, 'hex'))).toString('hex'),
+          answerHex,
+          topic,
+        );
     }
   });
 });
@@ -145,10 +150,10 @@
     });
 
   test('are answered byte for byte', async () => {
-    const probe = net.createServer();
-    await listen(probe);
-    const port = portOf(probe);
-    await new Promise((resolve) => probe.close(resolve));
+    const temporaryServer = net.createServer();
+    await listen(temporaryServer);
+    const port = portOf(temporaryServer);
+    await new Promise((resolve) => temporaryServer.close(resolve));
     const server = new PeerServer({
       onCancellation: (job) => Promise.resolve(`taken ${job}`),
       hasStateContact: () => true,
@@ -158,7 +163,7 @@
     await server.listen('127.0.0.1', port);
     const socket = net.connect(port, '127.0.0.1');
     const responses: string[] = [];
-    // One at a time: questions are answered as they are decided, in whatever order.
+    // One request at a time, since concurrent ones may be answered in any order.
     for (const hex of hexOf('request')) {
       socket.write(Buffer.from(hex, 'hex'));
       const [chunk] = (await once(socket, 'data')) as [Buffer];
@@ -169,7 +174,7 @@
     assert.deepEqual(responses, hexOf('response'));
   });
 
-  test('are asked byte for byte', async () => {
+  test('are sent byte for byte', async () => {
     const requests: string[] = [];
     const responses = hexOf('response');
     const server = net.createServer((socket) => {
