--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -1,4 +1,7 @@
-/** The built program's client commands against the real server, with a stand-in behind it. */
+/**
+ * The client commands of the built program against the real HTTP server with a stub of the job service. Guards against
+ * output or exit codes that do not match the server's answer, on which operators' scripts rely.
+ */
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
 import { mkdtempSync, writeFileSync } from 'node:fs';
@@ -12,14 +15,14 @@
 import { buildServer } from '../src/io/users/http-server.js';
 import { submission } from './samples.js';
 
-const cli = (...args: string[]) =>
+const runCli = (...args: string[]) =>
   new Promise<{ code: number; out: string; err: string }>((resolve) => {
     execFile(process.execPath, ['target/main.cjs', ...args], (e, out, err) => {
       resolve({ code: e === null ? 0 : Number(e.code), out, err });
     });
   });
 
-test('submit, show, cancel and status print the answer, and the exit code says how it went', async () => {
+test('submit, show, cancel and status print the answer, and the exit code shows whether they succeeded', async () => {
   const known = new Set<string>();
   const jobs = {
     submit: (spec: { id: string }) => {
@@ -46,30 +49,30 @@
   const file = path.join(mkdtempSync(path.join(os.tmpdir(), 'pepperbank-')), 'job.json');
   writeFileSync(file, JSON.stringify(submission()));
   try {
-    const submitted = await cli('submit', ...address, file);
+    const submitted = await runCli('submit', ...address, file);
     assert.deepEqual(
       [submitted.code, JSON.parse(submitted.out)],
       [0, { nameId: 'wk-000412', standing: 'pending' }],
     );
-    const shown = await cli('show', ...address, 'wk-000412');
+    const shown = await runCli('show', ...address, 'wk-000412');
     assert.deepEqual(JSON.parse(shown.out), {
       nameId: 'wk-000412',
       standing: 'running',
       done: 1,
       running: 2,
     });
-    const cancelled = await cli('cancel', ...address, 'wk-000412');
+    const cancelled = await runCli('cancel', ...address, 'wk-000412');
     assert.deepEqual(
       [cancelled.code, (JSON.parse(cancelled.out) as { standing: string }).standing],
       [0, 'withdrawn'],
     );
-    assert.match((await cli('status', ...address)).out, /"leader": "c-0"/);
-    const unknown = await cli('show', ...address, 'wk-9');
+    assert.match((await runCli('status', ...address)).out, /"leader": "c-0"/);
+    const unknown = await runCli('show', ...address, 'wk-9');
     assert.deepEqual([unknown.code, unknown.err.includes('404')], [1, true]);
     writeFileSync(file, 'no json');
-    assert.equal((await cli('submit', ...address, file)).code, 2);
+    assert.equal((await runCli('submit', ...address, file)).code, 2);
   } finally {
     await app.close();
   }
-  assert.equal((await cli('show', ...address, 'wk-1')).code, 1, 'nobody listens any more');
+  assert.equal((await runCli('show', ...address, 'wk-1')).code, 1, 'the server no longer listens');
 });
--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -1,4 +1,7 @@
-/** The pages agree with the code: log events are listed, and the paths that they name exist. */
+/**
+ * Documentation compared with the code. Guards against pages that lack a log event or list a removed one, and pages that
+ * name files that were moved or deleted.
+ */
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import path from 'node:path';
@@ -6,9 +9,9 @@
 import { LOG_EVENT as STANDBY_LOG_EVENT } from '../packages/warm-standby/src/log-events.js';
 import { LOG_EVENT } from '../src/core/log-events.js';
 
-/** A name in capitals stands for any. */
+/** In a path, `NAME` stands for any name; such paths are not checked. */
 const PLACEHOLDER = /\bNAME\b/;
-/** They tell of files as they were. */
+/** Reports of incidents name files as they were at that time, so their paths are not checked. */
 const HISTORY_FOLDER = 'docs/incidents/';
 
 const pages = (): string[] => [
@@ -19,7 +22,7 @@
     .map((name) => path.posix.join('docs', name.replaceAll(path.sep, '/'))),
 ];
 
-/** First cells of the rows of the table of log events, without their code marks. */
+/** The log events in the first column of a page's table of log events. */
 function documentedEvents(page: string): string[] {
   const lines = readFileSync(page, 'utf8').split('\n');
   const header = lines.findIndex((line) => /^\| event +\| level/.test(line));
@@ -34,17 +37,17 @@
 }
 
 describe('log events', () => {
-  test('of the service are those that docs/operations.md lists', () => {
+  test('of the service are exactly those that docs/operations.md lists', () => {
     assert.deepEqual(documentedEvents('docs/operations.md').sort(), Object.values(LOG_EVENT).sort());
   });
 
-  test('of warm standby are those that its page lists', () => {
+  test('of warm standby are exactly those that docs/operations/warm-standby.md lists', () => {
     const documented = documentedEvents('docs/operations/warm-standby.md');
     assert.deepEqual(documented.sort(), Object.values(STANDBY_LOG_EVENT).sort());
   });
 });
 
-/** Each match of the pattern in the pages that describe the present code, with its page. */
+/** Yields each match of the pattern and its page, except in reports of incidents. */
 function* mentions(pattern: RegExp): Generator<{ page: string; named: string }> {
   for (const page of pages()) {
     if (page.startsWith(HISTORY_FOLDER)) continue;
--- a/test/packages.test.ts
+++ b/test/packages.test.ts
@@ -1,4 +1,7 @@
-/** Packages: loaded only where an operators' file enables them, checked before the start, and kept from one another. */
+/**
+ * Packages, the plugins of the service. Guards against running code of a package that no operators' file enables, options
+ * whose errors show only after the start, and a failing package that stops the others.
+ */
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
 import { cpSync, mkdirSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -33,11 +36,12 @@
     });
   });
 
-test("without a section nothing of a package is read, and the operators' files that ship are valid", async () => {
+test("a package without a section is not loaded, and the operators' files in deploy/ are valid", async () => {
   const copy = path.join(directory, 'target');
   mkdirSync(copy);
   for (const file of ['main.cjs', 'app.cjs']) cpSync(path.join('target', file), path.join(copy, file));
   mkdirSync(path.join(copy, 'packages'));
+  // Replacements that throw when they are loaded.
   for (const name of ['warm-standby', 'tracing'])
     writeFileSync(path.join(copy, 'packages', `${name}.cjs`), `throw new Error('${name} was read');`);
   const program = path.join(copy, 'main.cjs');
@@ -54,7 +58,7 @@
   rmSync(copy, { recursive: true });
 });
 
-test('an unknown package, key or value ends the start with file, path, reason and code 2', async () => {
+test('an unknown package, key or value ends the program with code 2 and names file, path and reason', async () => {
   const cases: [string, RegExp][] = [
     ['[packages.hot_standby]', /packages\.hot_standby: there is no such package/],
     ['[packages."../main"]', /packages\.\.\.\/main: there is no such package/],
@@ -69,7 +73,7 @@
     const { code, err } = await checkConfig('target/main.cjs', file);
     assert.equal(code, 2, err);
     assert.match(err, message);
-    assert.ok(err.includes(file), `${err} names the file`);
+    assert.ok(err.includes(file), `the file is named in: ${err}`);
   }
 });
 
@@ -79,7 +83,7 @@
     files('[sessions]\nttl_s = 9', '[sessions]\nrenew_every_s = 2\n[packages.a]\nx = 1', '[packages.b]'),
   );
   assert.deepEqual([all.sessions.ttl_s, all.sessions.renew_every_s], [9, 2]);
-  // The TOML library makes tables without a prototype; only what stands in them matters.
+  // The TOML library creates tables without a prototype; only their contents are compared.
   assert.deepEqual(JSON.parse(JSON.stringify(all.packages)), { a: { x: 1 }, b: {} });
   assert.throws(
     () => readOperatorSettingsFiles(files('[sessions]\nttl_s = 9', '[sessions]\nttl_s = 9')),
@@ -89,22 +93,25 @@
   assert.throws(() => readOperatorSettingsFiles(files('', 'x')), /1\.toml: not TOML/);
 });
 
-test('a package that fails at its start or later is named, and the others continue', async () => {
-  const packageOf = (name: string, start: () => RunningPlugin): LoadedPlugin => ({
+test('a package that fails at its start or while it runs is shown in the status, and the others continue', async () => {
+  const loadedPackage = (name: string, start: () => RunningPlugin): LoadedPlugin => ({
     name,
     definition: { schema: {} as never, validate: () => null, start },
     options: {},
   });
-  let steps = 0;
+  let soundRuns = 0;
   const host = new PluginHost(
     [
-      packageOf('broken', () => {
+      loadedPackage('broken', () => {
         throw new Error('no start');
       }),
-      packageOf('ends', () => ({ run: () => Promise.reject(new Error('no run')), status: () => ({ a: 1 }) })),
-      packageOf('sound', () => ({
+      loadedPackage('ends', () => ({
+        run: () => Promise.reject(new Error('no run')),
+        status: () => ({ a: 1 }),
+      })),
+      loadedPackage('sound', () => ({
         run: () => {
-          steps++;
+          soundRuns++;
           return Promise.resolve();
         },
         commands: { poke: () => Promise.resolve({ status: 200, body: { ok: true } }) },
@@ -115,7 +122,7 @@
     pino({ level: 'silent' }),
   );
   await host.run();
-  assert.equal(steps, 1);
+  assert.equal(soundRuns, 1);
   assert.deepEqual(host.status(), {
     broken: { failed: 'no start' },
     ends: { a: 1, failed: 'no run' },
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,10 +1,13 @@
-/** Settings files: what is read, and what is refused. */
+/**
+ * Settings files. Guards against a start with settings that are missing, invalid or misspelled, and against refusing a
+ * platform file because of fields that a newer platform has added.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readOperatorSettings } from '../src/config/operator-settings.js';
 import { SettingsError, readPlatformSettings } from '../src/config/platform-settings.js';
 
-const GOOD = `
+const VALID_SETTINGS = `
 node = "c-0"
 area = "a"
 bind = "10.0.0.1:8080"
@@ -47,26 +50,26 @@
 max_connections = 1500
 `;
 
-test("the platform's file is read, unknown fields are ignored, 0 means no limit", () => {
-  const s = readPlatformSettings(GOOD);
-  assert.equal(s.node, 'c-0');
-  assert.equal(s.peers[0]?.address, '10.0.0.2:8081');
-  assert.equal(s.teams[0]?.limitCpu, null);
-  assert.equal(s.teams[0].limitGpu, 32_000_000);
+test('the platform file is read, unknown fields are ignored, and a maximum of 0 means no limit', () => {
+  const settings = readPlatformSettings(VALID_SETTINGS);
+  assert.equal(settings.node, 'c-0');
+  assert.equal(settings.peers[0]?.address, '10.0.0.2:8081');
+  assert.equal(settings.teams[0]?.limitCpu, null);
+  assert.equal(settings.teams[0].limitGpu, 32_000_000);
 });
 
-test('a missing or invalid field is named in one line', () => {
-  const wrong = (text: string, field: RegExp) => {
+test('a missing or invalid field is reported by name in one line', () => {
+  const assertReported = (text: string, field: RegExp) => {
     assert.throws(
       () => readPlatformSettings(text),
       (e: unknown) => e instanceof SettingsError && field.test(e.message) && !e.message.includes('\n'),
     );
   };
-  wrong(GOOD.replace('lease_s = 14.0\n', ''), /cluster\.workers\.lease_s/);
-  wrong(GOOD.replace('rps = 150.0', 'rps = "many"'), /cluster\.state\.rps/);
-  wrong(GOOD.replace('txn_ops = 32', 'txn_ops = 0'), /cluster\.state\.txn_ops/);
-  wrong(GOOD.replace('bind = "10.0.0.1:8080"', 'bind = "here"'), /bind/);
-  wrong('node = ', /not TOML/);
+  assertReported(VALID_SETTINGS.replace('lease_s = 14.0\n', ''), /cluster\.workers\.lease_s/);
+  assertReported(VALID_SETTINGS.replace('rps = 150.0', 'rps = "many"'), /cluster\.state\.rps/);
+  assertReported(VALID_SETTINGS.replace('txn_ops = 32', 'txn_ops = 0'), /cluster\.state\.txn_ops/);
+  assertReported(VALID_SETTINGS.replace('bind = "10.0.0.1:8080"', 'bind = "here"'), /bind/);
+  assertReported('node = ', /not TOML/);
 });
 
 test("the operators' file has defaults, and a misspelled name is an error", () => {
