--- a/packages/tracing/src/index.ts
+++ b/packages/tracing/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Tracing: spans of jobs and of failovers, to an OpenTelemetry collector over OTLP/HTTP and to a file of JSON lines.
+ * Tracing: exports spans of jobs and failovers to an OpenTelemetry collector over OTLP/HTTP and to a file of JSON lines.
  * docs/operations/tracing.md tells operators how to use it.
  */
 import { OTLPTraceExporter } from '@opentelemetry/exporter-trace-otlp-http';
@@ -13,7 +13,7 @@
 
 const BYTES_PER_MB = 1024 * 1024;
 
-function queuesFor({ clock, node }: PluginServices, options: Options): SpanQueue[] {
+function createQueues({ clock, node }: PluginServices, options: Options): SpanQueue[] {
   const queues: SpanQueue[] = [];
   if (options.collector_url !== undefined) {
     const exporter = new OTLPTraceExporter({
@@ -30,7 +30,7 @@
   return queues;
 }
 
-function metricsOf(queues: readonly SpanQueue[]): Registry {
+function createMetrics(queues: readonly SpanQueue[]): Registry {
   const registry = new Registry();
   const outcomes: readonly (keyof QueueCounts)[] = ['exported', 'failed', 'dropped'];
   new Gauge({
@@ -48,10 +48,10 @@
 
 function start(service: PluginServices, options: Options): RunningPlugin {
   const { clock, node } = service;
-  const queues = queuesFor(service, options);
+  const queues = createQueues(service, options);
   const tracer = new SpanTracer(node, clock, queues);
   const jobs = new JobSpans(tracer, options.sample_ratio, () => clock.now());
-  const registry = metricsOf(queues);
+  const registry = createMetrics(queues);
   service.provideTracer(tracer);
   service.onEvent((event) => {
     jobs.note(event);
@@ -68,13 +68,13 @@
   };
 }
 
-/** The package. */
+/** The definition of plugin `tracing`. */
 export const servicePackage: PluginDefinition<Options> = {
   schema: OptionsSchema,
   validate(options) {
     const { collector_url, file, queue_spans, batch_spans } = options;
     if (collector_url === undefined && file === undefined)
-      return 'collector_url: neither a collector nor a file is given, so that spans would go nowhere';
+      return 'collector_url: neither collector_url nor file is set, spans would not be exported';
     return batch_spans > queue_spans
       ? `batch_spans: ${batch_spans} is more than queue_spans, ${queue_spans}`
       : null;
--- a/packages/tracing/src/job-spans.ts
+++ b/packages/tracing/src/job-spans.ts
@@ -1,6 +1,7 @@
 /**
- * Spans of jobs, made from what the controller tells of its work: accepted, placed and committed, commanded, first reported.
- * Spans of one job have the same trace at every controller, so that a job which changes its owner stays one trace.
+ * Spans of jobs, derived from the controller's events: a job was accepted, a task was placed, committed, commanded to
+ * start and first reported. All controllers use the same trace for a job, so that a job whose shard changes holder stays
+ * one trace.
  */
 import type { SpanContext } from '@opentelemetry/api';
 import { evictOldest } from '../../../src/core/bounded-map.js';
@@ -11,32 +12,35 @@
 import type { SpanTracer } from './span-tracer.js';
 import { isSampled, jobContext } from './trace-ids.js';
 
-/** Starts that are followed at once; beyond that the oldest are given up. */
-const MOST_STARTS = 5000;
-/** Contexts of jobs that are remembered. */
-const MOST_JOBS = 2000;
+/** Task starts tracked at once; beyond that the starts on the machine tracked for longest are dropped. */
+const MAX_OPEN_STARTS = 5000;
+/** Trace contexts of jobs kept at once; beyond that the oldest are evicted. */
+const MAX_JOB_CONTEXTS = 2000;
 
-/** A start that has not been reported yet. */
+/** The start of a task that no heartbeat has reported yet. */
 interface OpenStart {
   readonly task: TaskOnMachine;
   readonly context: SpanContext;
+  /** The last step that was completed. */
   step: 'placed' | 'committed' | 'commanded';
-  /** When that step was done. */
-  at: number;
+  /** When that step was completed, in milliseconds on the monotonic clock. */
+  stepEndedAt: number;
 }
 
-const startKey = ({ job, index, attempt }: Pick<TaskOnMachine, 'job' | 'index' | 'attempt'>) =>
+const startId = ({ job, index, attempt }: Pick<TaskOnMachine, 'job' | 'index' | 'attempt'>) =>
   `${job}/${index}@${attempt}`;
 
-/** Makes spans of the jobs that are sampled. */
+/** Records the spans of sampled jobs. */
 export class JobSpans {
-  private readonly byMachine = new Map<MachineName, Map<string, OpenStart>>();
-  private readonly contexts = new Map<JobId, SpanContext | null>();
-  private open = 0;
+  private readonly startsByMachine = new Map<MachineName, Map<string, OpenStart>>();
+  /** Null for a job that is not sampled. */
+  private readonly contextByJob = new Map<JobId, SpanContext | null>();
+  /** Number of starts in `startsByMachine`. */
+  private openCount = 0;
 
   constructor(
     private readonly tracer: SpanTracer,
-    private readonly ratio: number,
+    private readonly sampleRatio: number,
     private readonly now: () => number,
   ) {}
 
@@ -44,19 +48,19 @@
   note(event: ServiceEvent): void {
     switch (event.kind) {
       case 'job_accepted':
-        this.accepted(event.job, event.since);
+        this.onJobAccepted(event.job, event.since);
         return;
       case 'task_placed':
-        this.placed(event.task);
+        this.onTaskPlaced(event.task);
         return;
       case 'transaction':
-        if (event.outcome === 'ok') this.committed(event.keys);
+        if (event.outcome === 'ok') this.onTransactionCommitted(event.keys);
         return;
       case 'command_sent':
-        if (event.command.op === 'start') this.commanded({ ...event.command, machine: event.machine });
+        if (event.command.op === 'start') this.onStartSent({ ...event.command, machine: event.machine });
         return;
       case 'heartbeat_recorded':
-        this.reported(event.heartbeat);
+        this.onHeartbeat(event.heartbeat);
         return;
       case 'task_exited':
       case 'task_preempted':
@@ -65,22 +69,22 @@
     }
   }
 
-  /** The context of a job's trace, or null where it is not among the part that is traced. */
+  /** The context of a job's trace; null where the job is not sampled. */
   private contextOf(job: JobId): SpanContext | null {
-    let context = this.contexts.get(job);
+    let context = this.contextByJob.get(job);
     if (context === undefined) {
-      const whole = jobContext(job);
-      context = isSampled(whole, this.ratio) ? whole : null;
-      this.contexts.set(job, context);
-      evictOldest(this.contexts, MOST_JOBS);
+      const traceContext = jobContext(job);
+      context = isSampled(traceContext, this.sampleRatio) ? traceContext : null;
+      this.contextByJob.set(job, context);
+      evictOldest(this.contextByJob, MAX_JOB_CONTEXTS);
     }
     return context;
   }
 
-  private accepted(job: JobId, sinceMs: number): void {
+  private onJobAccepted(job: JobId, sinceMs: number): void {
     const context = this.contextOf(job);
     if (context === null) return;
-    this.tracer.recordBelow(context, {
+    this.tracer.recordUnder(context, {
       name: 'job.submit',
       startMs: sinceMs,
       endMs: this.now(),
@@ -88,63 +92,64 @@
     });
   }
 
-  private placed(task: TaskOnMachine): void {
+  private onTaskPlaced(task: TaskOnMachine): void {
     const context = this.contextOf(task.job);
     if (context === null) return;
-    if (this.open >= MOST_STARTS) this.dropOldestMachine();
-    const starts = this.byMachine.get(task.machine) ?? new Map<string, OpenStart>();
-    this.byMachine.set(task.machine, starts);
-    const k = startKey(task);
-    if (!starts.has(k)) this.open++;
-    starts.set(k, { task, context, step: 'placed', at: this.now() });
+    if (this.openCount >= MAX_OPEN_STARTS) this.dropOldestMachine();
+    const starts = this.startsByMachine.get(task.machine) ?? new Map<string, OpenStart>();
+    this.startsByMachine.set(task.machine, starts);
+    const id = startId(task);
+    if (!starts.has(id)) this.openCount++;
+    starts.set(id, { task, context, step: 'placed', stepEndedAt: this.now() });
   }
 
-  private committed(keys: readonly string[]): void {
-    if (this.open === 0) return;
-    for (const [machine, starts] of this.byMachine) {
+  private onTransactionCommitted(keys: readonly string[]): void {
+    if (this.openCount === 0) return;
+    for (const [machine, starts] of this.startsByMachine) {
       if (!keys.includes(key.machine(machine))) continue;
       for (const start of starts.values())
-        if (start.step === 'placed') this.advance(start, 'committed', 'task.commit');
+        if (start.step === 'placed') this.endStep(start, 'committed', 'task.commit');
     }
   }
 
-  private commanded(task: TaskOnMachine): void {
-    const start = this.byMachine.get(task.machine)?.get(startKey(task));
-    if (start !== undefined && start.step !== 'commanded') this.advance(start, 'commanded', 'task.command');
+  private onStartSent(task: TaskOnMachine): void {
+    const start = this.startsByMachine.get(task.machine)?.get(startId(task));
+    if (start !== undefined && start.step !== 'commanded') this.endStep(start, 'commanded', 'task.command');
   }
 
-  private reported(heartbeat: Heartbeat): void {
-    const starts = this.byMachine.get(heartbeat.machine);
+  private onHeartbeat(heartbeat: Heartbeat): void {
+    const starts = this.startsByMachine.get(heartbeat.machine);
     if (starts === undefined) return;
     for (const task of heartbeat.tasks) {
-      const k = startKey(task);
-      const start = starts.get(k);
+      const id = startId(task);
+      const start = starts.get(id);
       if (start?.step !== 'commanded') continue;
-      this.advance(start, 'commanded', 'task.first_report');
-      starts.delete(k);
-      this.open--;
+      this.endStep(start, 'commanded', 'task.first_report');
+      starts.delete(id);
+      this.openCount--;
     }
-    if (starts.size === 0) this.byMachine.delete(heartbeat.machine);
+    if (starts.size === 0) this.startsByMachine.delete(heartbeat.machine);
   }
 
-  /** Records the span of a step, from the end of the one before it. */
-  private advance(start: OpenStart, step: OpenStart['step'], name: string): void {
+  /** Records the span of a step, which lasts from the end of the previous step until now. */
+  private endStep(start: OpenStart, step: OpenStart['step'], name: string): void {
     const now = this.now();
     const { job, index, attempt, machine } = start.task;
-    this.tracer.recordBelow(start.context, {
+    this.tracer.recordUnder(start.context, {
       name,
-      startMs: start.at,
+      startMs: start.stepEndedAt,
       endMs: now,
       attributes: { job, index, attempt, machine },
     });
     start.step = step;
-    start.at = now;
+    start.stepEndedAt = now;
   }
 
+  /** Stops tracking the starts on the machine that has been tracked for longest. */
   private dropOldestMachine(): void {
-    const oldest = this.byMachine.keys().next().value;
+    const oldest = this.startsByMachine.keys().next().value;
     if (oldest === undefined) return;
-    this.open -= this.byMachine.get(oldest)!.size;
-    this.byMachine.delete(oldest);
+    this.openCount -= this.startsByMachine.get(oldest)!.size;
+    this.startsByMachine.delete(oldest);
   }
 }
--- a/packages/tracing/src/json-lines-exporter.ts
+++ b/packages/tracing/src/json-lines-exporter.ts
@@ -1,4 +1,4 @@
-/** Writes spans to a file, one a line, and begins it anew when it has grown to its size. */
+/** Exports spans to a file, one JSON object per line, and rotates the file at its maximum size. */
 import { appendFile, rename, stat } from 'node:fs/promises';
 import { ExportResultCode } from '@opentelemetry/core';
 import type { ReadableSpan, SpanExporter } from '@opentelemetry/sdk-trace-base';
@@ -7,9 +7,10 @@
 
 const MS_PER_S = 1000;
 const NS_PER_MS = 1_000_000;
+/** Converts a time of OpenTelemetry, seconds and nanoseconds, to milliseconds. */
 const toMs = ([s, ns]: readonly [number, number]): number => s * MS_PER_S + ns / NS_PER_MS;
 
-/** One span as it stands in the file. */
+/** One line of the span file. */
 export interface SpanLine {
   readonly name: string;
   readonly traceId: string;
@@ -21,8 +22,8 @@
   readonly node: string;
 }
 
-/** The line of a span. */
-export function lineOf(span: ReadableSpan, node: string): SpanLine {
+/** Converts a span that was recorded by controller `node` to its line of the file. */
+export function toSpanLine(span: ReadableSpan, node: string): SpanLine {
   const { traceId, spanId } = span.spanContext();
   return {
     name: span.name,
@@ -36,7 +37,7 @@
   };
 }
 
-/** Appends spans to a file. */
+/** Appends spans to a file; when it would exceed `maxBytes`, it is renamed to `FILE.1`, which replaces the one before. */
 export class JsonLinesExporter implements SpanExporter {
   constructor(
     private readonly file: string,
@@ -44,9 +45,9 @@
     private readonly node: string,
   ) {}
 
-  /** Appends the spans to the file, one a line; `done` gets the outcome. */
+  /** Appends the spans to the file, one per line; `done` gets the outcome. */
   export(spans: ReadableSpan[], done: ResultCallback): void {
-    const text = spans.map((span) => `${JSON.stringify(lineOf(span, this.node))}\n`).join('');
+    const text = spans.map((span) => `${JSON.stringify(toSpanLine(span, this.node))}\n`).join('');
     this.write(text).then(
       () => {
         done({ code: ExportResultCode.SUCCESS });
@@ -69,7 +70,7 @@
     await appendFile(this.file, text);
   }
 
-  /** Nothing is held back, so that there is nothing to do. */
+  /** Does nothing, since no spans are buffered here. */
   shutdown(): Promise<void> {
     return Promise.resolve();
   }
--- a/packages/tracing/src/span-tracer.ts
+++ b/packages/tracing/src/span-tracer.ts
@@ -1,4 +1,4 @@
-/** Records spans that have ended, from times of the monotonic clock. */
+/** Records finished spans, whose times are given on the monotonic clock. */
 import {
   ROOT_CONTEXT,
   trace,
@@ -10,14 +10,14 @@
 import { BasicTracerProvider, AlwaysOnSampler, type SpanProcessor } from '@opentelemetry/sdk-trace-base';
 import type { Clock } from '../../../src/core/model/clock.js';
 import type { FinishedSpan, TraceParent, Tracer } from '../../../src/plugin-host/api.js';
-import { ReservableIds, formatTraceParent, parseTraceParent } from './trace-ids.js';
+import { ReservableIdGenerator, formatTraceParent, parseTraceParent } from './trace-ids.js';
 
-const below = (parent: SpanContext | null): Context =>
+const contextWithParent = (parent: SpanContext | null): Context =>
   parent === null ? ROOT_CONTEXT : trace.setSpanContext(ROOT_CONTEXT, parent);
 
-/** The tracer of one controller. */
+/** The tracer of one controller: passes finished spans to the span processors. */
 export class SpanTracer implements Tracer {
-  private readonly ids = new ReservableIds();
+  private readonly ids = new ReservableIdGenerator();
   private readonly tracer: ApiTracer;
 
   constructor(
@@ -34,22 +34,22 @@
     this.tracer = provider.getTracer('pepperbank');
   }
 
-  /** Records a span that has ended; see `Tracer`. */
+  /** Records a finished span; a parent that is not a valid trace context counts as none. */
   record(span: FinishedSpan): void {
-    this.recordBelow(parseTraceParent(span.parent), span);
+    this.recordUnder(parseTraceParent(span.parent), span);
   }
 
-  /** Records a span below a context, which need not be that of a span that was recorded. */
-  recordBelow(parent: SpanContext | null, { name, startMs, endMs, self, attributes }: FinishedSpan): void {
-    const toWall = this.clock.wallClock() - this.clock.now();
-    const options = { startTime: toWall + startMs, attributes: { ...attributes } };
-    const span = this.ids.using(parseTraceParent(self), () =>
-      this.tracer.startSpan(name, options, below(parent)),
+  /** Records a finished span with the given parent, which need not be a recorded span; null for a span without parent. */
+  recordUnder(parent: SpanContext | null, { name, startMs, endMs, self, attributes }: FinishedSpan): void {
+    const wallClockOffsetMs = this.clock.wallClock() - this.clock.now();
+    const options = { startTime: wallClockOffsetMs + startMs, attributes: { ...attributes } };
+    const span = this.ids.withIds(parseTraceParent(self), () =>
+      this.tracer.startSpan(name, options, contextWithParent(parent)),
     );
-    span.end(toWall + Math.max(startMs, endMs));
+    span.end(wallClockOffsetMs + Math.max(startMs, endMs));
   }
 
-  /** A context for a span that is recorded later; see `Tracer`. */
+  /** Reserves the context of a span that is recorded later, so that other spans can name it as their parent before. */
   reserve(parent?: TraceParent): TraceParent {
     return formatTraceParent(this.ids.reserve(parseTraceParent(parent)));
   }
