--- a/packages/warm-standby/src/backoff.ts
+++ b/packages/warm-standby/src/backoff.ts
@@ -1,42 +1,42 @@
-/** Spaces failovers of one shard, so that a wrong suspicion cannot make it change hands again and again. */
+/** Spaces failovers of one shard, so that repeated false suspicions cannot move it back and forth between controllers. */
 
-/** Each pause is shortened or lengthened by up to this part. */
-const JITTER = 0.25;
+/** Each pause is shortened or lengthened at random by up to this fraction. */
+const JITTER_FRACTION = 0.25;
 
-/** When the next failover may be. */
+/** The pauses of a backoff, as section `takeover` of the options has them. */
 export interface BackoffOptions {
   readonly backoff_ms: number;
   readonly longest_backoff_ms: number;
   readonly calm_ms: number;
 }
 
-/** Exponential back-off with jitter. */
+/** Exponential backoff with jitter between failovers of one shard. */
 export class Backoff {
-  private until = Number.NEGATIVE_INFINITY;
-  private lastAt = Number.NEGATIVE_INFINITY;
-  private steps = 0;
-  /** Failovers so far. */
+  private pausedUntil = Number.NEGATIVE_INFINITY;
+  private lastFailoverAt = Number.NEGATIVE_INFINITY;
+  private doublings = 0;
+  /** Number of failovers recorded. */
   count = 0;
 
   constructor(
     private readonly options: BackoffOptions,
-    /** Uniform in [0, 1). */
+    /** Returns random numbers, uniform in [0, 1). */
     private readonly random: () => number,
   ) {}
 
-  /** Something has happened that must not happen again soon. */
+  /** Records a failover: the next one has to wait for the pause, which doubles unless there was none for `calm_ms`. */
   note(nowMs: number): void {
     const { backoff_ms, longest_backoff_ms, calm_ms } = this.options;
-    if (nowMs - this.lastAt > calm_ms) this.steps = 0;
-    const pause = Math.min(longest_backoff_ms, backoff_ms * 2 ** this.steps);
-    this.until = nowMs + pause * (1 - JITTER + 2 * JITTER * this.random());
-    this.lastAt = nowMs;
-    this.steps++;
+    if (nowMs - this.lastFailoverAt > calm_ms) this.doublings = 0;
+    const pauseMs = Math.min(longest_backoff_ms, backoff_ms * 2 ** this.doublings);
+    this.pausedUntil = nowMs + pauseMs * (1 - JITTER_FRACTION + 2 * JITTER_FRACTION * this.random());
+    this.lastFailoverAt = nowMs;
+    this.doublings++;
     this.count++;
   }
 
-  /** Milliseconds until the next failover may be; 0: it may be now. */
+  /** Milliseconds until the next failover is allowed; 0 where it is allowed now. */
   leftMs(nowMs: number): number {
-    return Math.max(0, this.until - nowMs);
+    return Math.max(0, this.pausedUntil - nowMs);
   }
 }
--- a/packages/warm-standby/src/cluster.ts
+++ b/packages/warm-standby/src/cluster.ts
@@ -1,19 +1,21 @@
-/** Which controllers stand by for which shard, by what is committed now. */
+/** Which controllers are standbys of which shard, according to the committed state. */
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import type { FailureDomains } from './failure-domains.js';
 import { placeStandbys } from './standby-placement.js';
 
-/** The controllers as this package sees them. */
+/** The controllers of the cluster, their failure domains and their roles for shards. */
 export class Cluster {
   constructor(
     private readonly service: PluginServices,
     readonly domains: FailureDomains,
+    /** Failure domain by name of controller. */
     readonly domainOf: ReadonlyMap<string, string>,
+    /** Number of standbys of each shard. */
     private readonly degree: number,
   ) {}
 
-  /** The standbys of a shard, the first in order first. */
+  /** The standbys of a shard, the first to take over first. Controllers without session and draining ones are left out. */
   standbysOf({ name: shard, holder }: ShardFact): NodeName[] {
     const candidates = this.service.facts
       .sessions()
@@ -22,19 +24,19 @@
     return placeStandbys({ shard, holder, candidates, domainOf: this.domainOf, degree: this.degree });
   }
 
-  /** Whether the settings name a controller, and so a shard, like this. */
+  /** Whether the settings have a controller of this name; each controller has a shard of the same name. */
   isController(name: NodeName): boolean {
     return this.domainOf.has(name);
   }
 
-  /** Shards that this process holds and knows all about. */
+  /** Shards that this process holds and whose committed state its view has completely. */
   heldShards(): ShardFact[] {
     const { facts, incarnation } = this.service;
     return facts.shards().filter((s) => s.incarnation === incarnation && facts.isHeldCompletely(s.name));
   }
 
-  /** All controllers but this one and the one given. */
-  othersThan(node: NodeName): NodeName[] {
+  /** All other controllers except the one given. */
+  peersExcept(node: NodeName): NodeName[] {
     return this.service.peers.map((p) => p.node).filter((n) => n !== node);
   }
 }
--- a/packages/warm-standby/src/failover-history.ts
+++ b/packages/warm-standby/src/failover-history.ts
@@ -1,65 +1,79 @@
-/** What became of the last failovers: their phases, for operators, metrics and traces. */
+/** The latest failovers to this controller and the duration of their phases, for operators, metrics and traces. */
 import type { ServiceEvent } from '../../../src/core/events.js';
 import type { Incarnation, MachineName, NodeName, Version } from '../../../src/core/model/ids.js';
 import type { PluginServices, TraceParent } from '../../../src/plugin-host/api.js';
 
 /** Why a shard came to this controller. */
 export type FailoverCause =
-  /** This standby took the holder for failed. */
+  /** This controller was a standby of the shard and took it over from a holder that it suspected. */
   | 'suspicion'
-  /** Its holder gave it. */
+  /** The former holder handed the shard over, as an operator had requested. */
   | 'handover'
-  /** The leader gave it, after the holder's session had run out. */
+  /** The leader assigned the shard after the holder's session had expired. */
   | 'assigned';
 
-/** The moments of a failover on this controller's monotonic clock; null: not (yet) reached. */
+/** Times of a failover's steps, in milliseconds on this controller's monotonic clock; null where a step was not reached. */
 export interface FailoverMoments {
+  /** The last message of the former holder arrived. */
   readonly lastHeard: number | null;
+  /** The former holder became suspected. */
   readonly suspected: number | null;
+  /** The former holder was confirmed unreachable. */
   readonly confirmed: number | null;
+  /** The new holder was committed, which fences off the former one. */
   fenced: number;
-  view: number | null;
+  /** This controller's view had all that was committed before the shard was acquired. */
+  viewComplete: number | null;
+  /** The first heartbeat of a machine of the shard was recorded under its new fencing token. */
   firstHeartbeat: number | null;
+  /** The first command to start a task was sent to a machine of the shard. */
   firstStart: number | null;
-  /** Every machine of the shard was heard under its new token. */
+  /** Every machine of the shard had sent a heartbeat under its new fencing token. */
   allHeartbeats: number | null;
 }
 
-/** One failover. */
+/** One failover of a shard to this controller. */
 export interface Failover {
   readonly shard: NodeName;
+  /** The former holder. */
   readonly from: NodeName;
+  /** The incarnation under which the former holder held the shard. */
   readonly fromIncarnation: Incarnation;
-  /** The session of that life was seen to be gone. */
+  /** Whether the session of that incarnation has disappeared from the view; if it reappears, the holder had not failed. */
   isSessionGone: boolean;
   readonly cause: FailoverCause;
   readonly epoch: Version;
+  /** Whether this controller was a warm standby of the shard. */
   readonly wasWarm: boolean;
-  /** What the replica knew: agents, and ended tasks whose results may not have been committed. */
+  /** Number of agents that the replica knew. */
   readonly agentsKnown: number;
+  /** Number of task exits in the replica whose results may not have been committed. */
   readonly uncommittedExits: number;
+  /** Number of the shard's machines. */
   readonly machines: number;
+  /** When this controller received the shard, on the wall clock. */
   readonly wall: number;
   readonly at: FailoverMoments;
+  /** The context reserved for the span of the failover. */
   readonly traceParent: TraceParent;
-  /** The span of the planned handover that it belongs to, if it does. */
+  /** The span of the planned handover; undefined where the shard was not handed over. */
   readonly handoverTrace: TraceParent | undefined;
-  /** The former holder turned out to be alive. */
+  /** Whether the former holder turned out to be alive. */
   isFalse: boolean;
 }
 
-/** Phases in order, with the moments between which they lie. */
+/** The phases of a failover in order: name, step at which the phase begins, step at which it ends. */
 export const PHASES: readonly (readonly [string, keyof FailoverMoments, keyof FailoverMoments])[] = [
   ['detection', 'lastHeard', 'suspected'],
   ['confirmation', 'suspected', 'confirmed'],
   ['fencing', 'confirmed', 'fenced'],
-  ['view', 'fenced', 'view'],
-  ['first_report', 'view', 'firstHeartbeat'],
-  ['first_start', 'view', 'firstStart'],
-  ['all_reports', 'view', 'allHeartbeats'],
+  ['view', 'fenced', 'viewComplete'],
+  ['first_report', 'viewComplete', 'firstHeartbeat'],
+  ['first_start', 'viewComplete', 'firstStart'],
+  ['all_reports', 'viewComplete', 'allHeartbeats'],
 ];
 
-/** How long each phase took that was reached, in milliseconds. */
+/** The durations of a failover's completed phases, in milliseconds by name. */
 export function phasesOf({ at }: Failover): Record<string, number> {
   const out: Record<string, number> = {};
   for (const [name, from, to] of PHASES) {
@@ -69,13 +83,15 @@
   return out;
 }
 
-const MAX_KEPT = 20;
-/** A failover is followed for so long at most. */
-const MAX_FOLLOWED_MS = 60_000;
+/** The history holds so many failovers. */
+const MAX_FAILOVERS = 20;
+/** A failover is tracked for so long at most: a phase does not end while no task is started or a machine is silent. */
+const MAX_TRACKED_MS = 60_000;
 
-/** Follows failovers until their last phase is over. */
+/** Keeps the latest failovers, and tracks each one until its last phase has ended. */
 export class FailoverHistory {
   readonly failovers: Failover[] = [];
+  /** Failovers being tracked, each with the machines that have sent no heartbeat yet. */
   private readonly inProgress = new Map<Failover, Set<MachineName>>();
 
   constructor(
@@ -87,36 +103,36 @@
     });
   }
 
-  /** Begins to follow a failover; the oldest one is forgotten beyond the limit. */
+  /** Adds a failover and begins to track it; the oldest one is dropped beyond `MAX_FAILOVERS`. */
   add(failover: Failover): void {
     this.failovers.push(failover);
-    if (this.failovers.length > MAX_KEPT) this.failovers.shift();
+    if (this.failovers.length > MAX_FAILOVERS) this.failovers.shift();
     this.inProgress.set(failover, new Set(this.service.facts.machinesOf(failover.shard).map((m) => m.name)));
   }
 
-  /** Ends what is complete, was overtaken, or is too old. */
+  /** Ends the tracking of failovers that are complete, too old, or whose shard has changed holder or epoch since. */
   update(): void {
     for (const [failover, missing] of this.inProgress) {
-      this.refresh(failover, missing);
+      this.updateMoments(failover, missing);
       if (!this.isOver(failover)) continue;
       this.inProgress.delete(failover);
       this.onFinished(failover);
     }
   }
 
-  private refresh({ at, shard }: Failover, missing: Set<MachineName>): void {
+  private updateMoments({ at, shard }: Failover, missing: Set<MachineName>): void {
     const { facts, clock } = this.service;
-    if (at.view === null && facts.isHeldCompletely(shard)) at.view = clock.now();
+    if (at.viewComplete === null && facts.isHeldCompletely(shard)) at.viewComplete = clock.now();
     for (const name of missing) if (facts.machine(name)?.owner !== shard) missing.delete(name);
-    if (at.view !== null && missing.size === 0) at.allHeartbeats ??= clock.now();
+    if (at.viewComplete !== null && missing.size === 0) at.allHeartbeats ??= clock.now();
   }
 
   private isOver({ at, shard, epoch }: Failover): boolean {
     const { facts, clock, incarnation } = this.service;
-    const fact = facts.shard(shard);
-    if (fact?.epoch !== epoch || fact.incarnation !== incarnation) return true;
+    const current = facts.shard(shard);
+    if (current?.epoch !== epoch || current.incarnation !== incarnation) return true;
     if (at.allHeartbeats !== null && at.firstStart !== null) return true;
-    return clock.now() - at.fenced >= MAX_FOLLOWED_MS;
+    return clock.now() - at.fenced >= MAX_TRACKED_MS;
   }
 
   private onEvent(event: ServiceEvent): void {
@@ -126,9 +142,9 @@
 
   private recordHeartbeat(machine: MachineName): void {
     const { clock } = this.service;
-    for (const [{ at }, missing] of this.inProgressFor(machine)) {
-      // The first event of a machine may come before this package has looked at the view again.
-      at.view ??= clock.now();
+    for (const [{ at }, missing] of this.inProgressOf(machine)) {
+      // The event may come between the completion of the view and the next call of `update`.
+      at.viewComplete ??= clock.now();
       at.firstHeartbeat ??= clock.now();
       missing.delete(machine);
     }
@@ -136,14 +152,14 @@
 
   private recordCommand(machine: MachineName, isStart: boolean): void {
     const { clock } = this.service;
-    for (const [{ at }] of this.inProgressFor(machine)) {
-      at.view ??= clock.now();
+    for (const [{ at }] of this.inProgressOf(machine)) {
+      at.viewComplete ??= clock.now();
       if (isStart) at.firstStart ??= clock.now();
     }
   }
 
-  /** Failovers that are followed of the shard that the machine belongs to. */
-  private inProgressFor(machine: MachineName): [Failover, Set<MachineName>][] {
+  /** Failovers in progress of the shard that owns the machine, each with the machines that have sent no heartbeat yet. */
+  private inProgressOf(machine: MachineName): [Failover, Set<MachineName>][] {
     const owner = this.service.facts.machine(machine)?.owner;
     return [...this.inProgress].filter(([{ shard }]) => shard === owner);
   }
--- a/packages/warm-standby/src/failover-loop.ts
+++ b/packages/warm-standby/src/failover-loop.ts
@@ -1,13 +1,19 @@
 /**
- * The standby's loop: watches the holders of the shards that this controller stands by for, confirms a suspicion with the
- * other controllers, and takes the shard. Suspicion starts a failover and proves nothing; the state service decides.
+ * The standby's loop: monitors the holders of the shards that this controller is a standby of, confirms a suspicion with
+ * the other controllers, and takes the shard over. A suspicion may be false: only the guarded transaction in the state
+ * service decides who holds the shard.
  */
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
 import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
 import { Backoff } from './backoff.js';
 import type { Cluster } from './cluster.js';
 import type { Failover, FailoverCause, FailoverHistory, FailoverMoments } from './failover-history.js';
-import { decideFailover, unconfirmedReason, type DeferralReason, type Witness } from './failover-policy.js';
+import {
+  decideFailover,
+  unconfirmedReason,
+  type DeferralReason,
+  type WitnessAnswer,
+} from './failover-policy.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import { LOG_EVENT } from './log-events.js';
 import { TOPIC, decodeProbeAnswer, encodeProbe, readAnswer } from './messages.js';
@@ -16,48 +22,54 @@
 import type { Receiver } from './receiver.js';
 import type { ReplicatedState } from './replicated-state.js';
 
-/** Holders are looked at so often. */
-const WATCH_INTERVAL_MS = 100;
+/** Interval at which holders are checked. */
+const CHECK_INTERVAL_MS = 100;
 /** Pause after a probe that did not lead to a failover. */
 const PROBE_RETRY_MS = 300;
-/** A handover that was accepted and has not come after so long was given up. */
+/** A handover that was accepted but has not arrived after so long is taken as abandoned by the holder. */
 const HANDOVER_TIMEOUT_MS = 30_000;
-/** Nothing is taken while the state service was out of reach within this time. */
-const STATE_FRESH_MS = 1000;
+/** No shard is taken over unless the state service answered the last request or one sent within this time. */
+const STATE_REACHABLE_WITHIN_MS = 1000;
 
-/** The rank of a controller that does not stand by for a shard. */
+/** The rank of a controller that is not a standby of the shard. */
 const NOT_A_STANDBY = -1;
-/** What a controller says that does not answer. */
+/** The entry of a witness that did not answer. */
 const NO_ANSWER = { reaches: null, applied: null };
 
-/** A holder that is under suspicion. */
+/** The suspicion of one shard's holder. */
 interface Suspicion {
+  /** The shard's epoch under the suspected holder. */
   readonly epoch: Version;
+  /** When the suspicion began, on the monotonic clock. */
   readonly since: number;
+  /** Since when the holder has been confirmed unreachable, on the monotonic clock; null where it is not. */
   confirmedAt: number | null;
   isProbing: boolean;
+  /** Time of the next probe, on the monotonic clock. */
   notBefore: number;
+  /** Why the last decision deferred the failover; null before the first one. */
   deferredBy: DeferralReason | null;
 }
 
-/** Counts for operators. */
+/** Counts since the start of the process, for operators. */
 export interface FailoverCounts {
   suspicions: number;
-  /** Suspicions of a holder that answered, here or elsewhere. */
+  /** Deferrals because the holder answered a probe of this controller or of a witness. */
   refuted: number;
+  /** Shards received through a suspicion. */
   taken: number;
-  /** Failovers of holders that turned out to be alive. */
+  /** Failovers from holders that turned out to be alive. */
   falseTakeovers: number;
 }
 
-/** Takes over shards of holders that have failed. */
+/** Takes over shards whose holders have failed, and records the shards that this controller receives. */
 export class FailoverLoop {
   readonly counts: FailoverCounts = { suspicions: 0, refuted: 0, taken: 0, falseTakeovers: 0 };
   readonly suspicions = new Map<NodeName, Suspicion>();
   private readonly backoffs = new Map<NodeName, Backoff>();
-  /** The shards as they were when last looked at, to notice that one has come here. */
+  /** The shards as last seen, to notice which ones this controller has received. */
   private readonly knownShards = new Map<NodeName, ShardFact>();
-  /** Planned handovers that were accepted, and have not come yet. */
+  /** Planned handovers to this controller that were accepted and have not arrived yet, by shard. */
   private readonly expectedHandovers = new Map<
     NodeName,
     { readonly traceParent: string; readonly until: number }
@@ -78,18 +90,18 @@
     });
   }
 
-  /** Watches the holders periodically; returns only when it fails. */
+  /** Checks the holders periodically; never returns, and throws on an unexpected error. */
   async run(): Promise<never> {
     for (;;) {
       if (this.service.facts.isReady) {
-        for (const shard of this.service.facts.shards()) this.watchHolder(shard);
+        for (const shard of this.service.facts.shards()) this.checkHolder(shard);
         this.history.update();
       }
-      await this.service.clock.sleep(WATCH_INTERVAL_MS);
+      await this.service.clock.sleep(CHECK_INTERVAL_MS);
     }
   }
 
-  /** A planned handover of the shard to this controller was accepted. */
+  /** Records that a planned handover of the shard to this controller was accepted; `traceParent` is its span. */
   expectHandover(shard: NodeName, traceParent: string): void {
     this.expectedHandovers.set(shard, { traceParent, until: this.service.clock.now() + HANDOVER_TIMEOUT_MS });
   }
@@ -101,13 +113,13 @@
     return backoff;
   }
 
-  private watchHolder(shard: ShardFact): void {
+  private checkHolder(shard: ShardFact): void {
     const { clock, node } = this.service;
     const now = clock.now();
     const isFollowed = this.receiver.replicas.get(shard.name)?.epoch === shard.epoch;
-    // A holder without a session has failed, or is back this moment: the leader sees to it.
+    // A holder without a session has failed or is just restarting: the leader assigns its shard.
     const isSuspect = isFollowed && shard.hasSession && this.monitor.isSuspected(shard.holder, now);
-    // Standbys are worked out only for a suspect: every shard is looked at many times a second.
+    // Standbys are computed only for a suspected holder, since every shard is checked many times a second.
     const rank = isSuspect ? this.cluster.standbysOf(shard).indexOf(node) : NOT_A_STANDBY;
     if (rank === NOT_A_STANDBY) {
       this.suspicions.delete(shard.name);
@@ -130,13 +142,13 @@
         LOG_EVENT.holderSuspected,
       );
     }
-    if (!suspicion.isProbing && now >= suspicion.notBefore) this.investigate(shard, suspicion, rank);
+    if (!suspicion.isProbing && now >= suspicion.notBefore) this.startProbe(shard, suspicion, rank);
   }
 
-  private investigate(shard: ShardFact, suspicion: Suspicion, rank: number): void {
+  private startProbe(shard: ShardFact, suspicion: Suspicion, rank: number): void {
     const { clock, log } = this.service;
     suspicion.isProbing = true;
-    this.tryFailover(shard, suspicion, rank)
+    this.probeAndDecide(shard, suspicion, rank)
       .catch((error: unknown) => {
         log.error({ err: error, shard: shard.name }, LOG_EVENT.failoverFailed);
       })
@@ -146,7 +158,7 @@
       });
   }
 
-  private async tryFailover(shard: ShardFact, suspicion: Suspicion, rank: number): Promise<void> {
+  private async probeAndDecide(shard: ShardFact, suspicion: Suspicion, rank: number): Promise<void> {
     const { clock, facts, log } = this.service;
     const { holderAnswers, witnesses } = await this.probe(shard);
     const witnessesNeeded = this.options.detection.witnesses;
@@ -154,7 +166,7 @@
     if (unconfirmedReason({ holderAnswers, witnesses, witnessesNeeded }) === null)
       suspicion.confirmedAt ??= now;
     else suspicion.confirmedAt = null;
-    // It may have been heard while the others were asked.
+    // A message of the holder may have arrived while the other controllers were asked.
     if (!this.monitor.isSuspected(shard.holder, now)) return;
     const decision = decideFailover({
       isWarm: this.receiver.isWarm(shard),
@@ -166,7 +178,7 @@
       confirmedForMs: suspicion.confirmedAt === null ? 0 : now - suspicion.confirmedAt,
       rankDelayMs: this.options.takeover.rank_delay_ms,
       backoffLeftMs: this.backoffOf(shard.name).leftMs(now),
-      isStateReachable: facts.isStateReachable(STATE_FRESH_MS),
+      isStateReachable: facts.isStateReachable(STATE_REACHABLE_WITHIN_MS),
     });
     if (decision.kind === 'wait') {
       if (suspicion.deferredBy !== decision.reason) {
@@ -180,24 +192,24 @@
       suspicion.deferredBy = decision.reason;
       return;
     }
-    await this.takeShard(shard);
+    await this.attemptFailover(shard);
   }
 
-  private async takeShard(shard: ShardFact): Promise<void> {
+  private async attemptFailover(shard: ShardFact): Promise<void> {
     const { clock, log, shardControl } = this.service;
-    // Counted before the outcome is known: a change without an answer may be applied yet.
+    // Recorded before the outcome is known: a transaction without an answer may still be applied.
     this.backoffOf(shard.name).note(clock.now());
     const outcome = await shardControl.failOver(shard);
     log.info({ shard: shard.name, from: shard.holder, outcome: outcome.kind }, LOG_EVENT.failoverAttempted);
   }
 
-  private async probe(shard: ShardFact): Promise<{ holderAnswers: boolean; witnesses: Witness[] }> {
+  private async probe(shard: ShardFact): Promise<{ holderAnswers: boolean; witnesses: WitnessAnswer[] }> {
     const { channel } = this.service;
     const { probe_ms } = this.options.detection;
     const payload = encodeProbe({ holder: shard.holder, shard: shard.name, epoch: shard.epoch });
     const [holderAnswers, ...witnesses] = await Promise.all([
       channel.isAnswering(shard.holder, probe_ms),
-      ...this.cluster.othersThan(shard.holder).map(async (node): Promise<Witness> => {
+      ...this.cluster.peersExcept(shard.holder).map(async (node): Promise<WitnessAnswer> => {
         const reply = await channel.ask(node, TOPIC.probe, payload, probe_ms);
         return { node, ...(readAnswer(decodeProbeAnswer, reply) ?? NO_ANSWER) };
       }),
@@ -205,95 +217,99 @@
     return { holderAnswers, witnesses };
   }
 
-  /** Shards that have come to this controller, whoever gave them. */
+  /** Detects shards that this controller has received, by failover, handover or assignment. */
   private onShardChanges(): void {
     const { facts, incarnation, node } = this.service;
-    for (const fact of facts.shards()) {
-      const before = this.knownShards.get(fact.name);
-      if (before?.epoch === fact.epoch) continue;
-      this.knownShards.set(fact.name, fact);
-      // What its own former life held has not come from another controller.
-      const cameHere = before !== undefined && fact.incarnation === incarnation && before.holder !== node;
-      if (cameHere) this.onShardReceived(fact, before);
+    for (const shard of facts.shards()) {
+      const previous = this.knownShards.get(shard.name);
+      if (previous?.epoch === shard.epoch) continue;
+      this.knownShards.set(shard.name, shard);
+      // A shard that an earlier incarnation of this controller held was not received from another controller.
+      const isReceived =
+        previous !== undefined && shard.incarnation === incarnation && previous.holder !== node;
+      if (isReceived) this.onShardReceived(shard, previous);
     }
   }
 
-  /** The confirmed suspicion that led to the failover, if one did. */
-  private suspicionOf(shard: NodeName, before: ShardFact): Suspicion | null {
+  /** The confirmed suspicion that led to the failover; null where the shard was received otherwise. */
+  private suspicionOf(shard: NodeName, previous: ShardFact): Suspicion | null {
     const suspicion = this.suspicions.get(shard);
-    return suspicion?.epoch === before.epoch && suspicion.confirmedAt !== null ? suspicion : null;
+    return suspicion?.epoch === previous.epoch && suspicion.confirmedAt !== null ? suspicion : null;
   }
 
-  /** This controller has the shard: what the replica knows is learned, and the phases are followed from here. */
-  private onShardReceived(fact: ShardFact, before: ShardFact): void {
+  /** Applies what the replica knows of a shard that was received, and begins to track the phases of the failover. */
+  private onShardReceived(shard: ShardFact, previous: ShardFact): void {
     const { clock, log } = this.service;
-    const { name: shard } = fact;
-    const replica = this.receiver.replicas.get(shard);
-    const state = replica?.epoch === before.epoch ? replica.state : null;
-    const failover = this.describeFailover(fact, before, state);
+    const { name } = shard;
+    const replica = this.receiver.replicas.get(name);
+    const state = replica?.epoch === previous.epoch ? replica.state : null;
+    const failover = this.describeFailover(shard, previous, state);
     for (const hint of state?.hints(clock.wallClock()) ?? []) this.service.learn(hint);
-    this.publisher.continueWith(fact, state?.entries() ?? []);
+    this.publisher.continueWith(shard, state?.entries() ?? []);
     this.history.add(failover);
     const { from, cause, wasWarm } = failover;
     if (cause === 'suspicion') this.counts.taken++;
-    log.info({ shard, from, cause, epoch: fact.epoch, warm: wasWarm }, LOG_EVENT.shardReceived);
-    this.receiver.forget(shard);
-    this.suspicions.delete(shard);
-    this.expectedHandovers.delete(shard);
+    log.info({ shard: name, from, cause, epoch: shard.epoch, warm: wasWarm }, LOG_EVENT.shardReceived);
+    this.receiver.forget(name);
+    this.suspicions.delete(name);
+    this.expectedHandovers.delete(name);
   }
 
-  /** Where the span of the handover belongs that was accepted for the shard, if one was. */
+  /** The span of the accepted handover of the shard; undefined where there is none or it has timed out. */
   private handoverTraceOf(shard: NodeName): string | undefined {
-    const prepared = this.expectedHandovers.get(shard);
-    const isDue = prepared !== undefined && this.service.clock.now() < prepared.until;
-    return isDue ? prepared.traceParent : undefined;
+    const expected = this.expectedHandovers.get(shard);
+    const isPending = expected !== undefined && this.service.clock.now() < expected.until;
+    return isPending ? expected.traceParent : undefined;
   }
 
-  private describeFailover(fact: ShardFact, before: ShardFact, state: ReplicatedState | null): Failover {
+  private describeFailover(shard: ShardFact, previous: ShardFact, state: ReplicatedState | null): Failover {
     const { clock, facts, tracer } = this.service;
-    const { name: shard } = fact;
-    const handoverTrace = this.handoverTraceOf(shard);
-    const suspicion = handoverTrace === undefined ? this.suspicionOf(shard, before) : null;
+    const { name } = shard;
+    const handoverTrace = this.handoverTraceOf(name);
+    const suspicion = handoverTrace === undefined ? this.suspicionOf(name, previous) : null;
     return {
-      shard,
-      from: before.holder,
-      fromIncarnation: before.incarnation,
+      shard: name,
+      from: previous.holder,
+      fromIncarnation: previous.incarnation,
       isSessionGone: false,
       cause: causeOf(handoverTrace, suspicion),
-      epoch: fact.epoch,
-      wasWarm: state !== null && this.receiver.isWarm(before),
+      epoch: shard.epoch,
+      wasWarm: state !== null && this.receiver.isWarm(previous),
       agentsKnown: state?.agentCount ?? 0,
       uncommittedExits: state?.uncommittedExits ?? 0,
-      machines: facts.machinesOf(shard).length,
+      machines: facts.machinesOf(name).length,
       wall: clock.wallClock(),
-      at: this.momentsOf(before.holder, suspicion),
+      at: this.initialMoments(previous.holder, suspicion),
       traceParent: tracer.reserve(handoverTrace),
       handoverTrace,
       isFalse: false,
     };
   }
 
-  /** The moments reached when the shard comes here: now it is fenced against its former holder. */
-  private momentsOf(holder: NodeName, suspicion: Suspicion | null): FailoverMoments {
+  /** The steps reached when the shard is received: its former holder is fenced off as of now. */
+  private initialMoments(holder: NodeName, suspicion: Suspicion | null): FailoverMoments {
     return {
       lastHeard: suspicion === null ? null : this.monitor.lastHeardAt(holder),
       suspected: suspicion?.since ?? null,
       confirmed: suspicion?.confirmedAt ?? null,
       fenced: this.service.clock.now(),
-      view: null,
+      viewComplete: null,
       firstHeartbeat: null,
       firstStart: null,
       allHeartbeats: null,
     };
   }
 
-  /** A holder whose shard was taken on suspicion and that is back in the same life had not failed. */
+  /**
+   * Marks failovers as false: a former holder that was suspected and whose session reappears with the same incarnation
+   * had not failed.
+   */
   private onSessionChanges(): void {
     const { facts } = this.service;
-    const lives = new Set(facts.sessions().map((s) => s.incarnation));
+    const liveIncarnations = new Set(facts.sessions().map((s) => s.incarnation));
     for (const failover of this.history.failovers) {
       if (failover.cause !== 'suspicion' || failover.isFalse) continue;
-      if (!lives.has(failover.fromIncarnation)) {
+      if (!liveIncarnations.has(failover.fromIncarnation)) {
         failover.isSessionGone = true;
         continue;
       }
--- a/packages/warm-standby/src/failover-policy.ts
+++ b/packages/warm-standby/src/failover-policy.ts
@@ -1,34 +1,36 @@
-/** Decides whether a standby takes a shard now, from what it knows; without input or output. */
+/** Decides whether a standby takes a shard over now; pure functions of what the standby knows. */
 import type { NodeName } from '../../../src/core/model/ids.js';
 
-/** What one other controller said of a holder that does not answer. */
-export interface Witness {
+/** The answer of another controller to a probe about a suspected holder. */
+export interface WitnessAnswer {
   readonly node: NodeName;
-  /** Null: no answer. */
+  /** Whether the holder answers the witness; null where the witness itself did not answer. */
   readonly reaches: boolean | null;
-  /** How far it is with the shard, where it is a warm standby of it itself. */
+  /** Number of the last log entry that the witness has applied; null where it is not a warm standby of the shard. */
   readonly applied: number | null;
 }
 
-/** What is known at the moment of the decision. */
+/** What a standby knows when it decides about a failover. */
 export interface FailoverInput {
   readonly isWarm: boolean;
-  /** The last entry that this standby has applied. */
+  /** Number of the last log entry that this standby has applied. */
   readonly applied: number;
-  /** The holder answered this standby itself. */
+  /** Whether the holder answered a probe of this standby. */
   readonly holderAnswers: boolean;
-  readonly witnesses: readonly Witness[];
+  readonly witnesses: readonly WitnessAnswer[];
+  /** So many witnesses must confirm that they do not reach the holder. */
   readonly witnessesNeeded: number;
-  /** This standby's place in the order of the shard's standbys, from 0. */
+  /** Index of this standby in the order of the shard's standbys, from 0. */
   readonly rank: number;
-  /** How long the holder has been confirmed out of reach. */
+  /** Milliseconds since the holder was confirmed unreachable; 0 where it is not. */
   readonly confirmedForMs: number;
+  /** How long a standby waits for each one that precedes it. */
   readonly rankDelayMs: number;
   readonly backoffLeftMs: number;
   readonly isStateReachable: boolean;
 }
 
-/** Why a failover waits or is left out. */
+/** Why a failover is deferred. */
 export type DeferralReason =
   | 'not_warm'
   | 'holder_answers'
@@ -39,15 +41,16 @@
   | 'backoff'
   | 'state_unreachable';
 
-/** The decision. */
+/** Whether to take the shard over now; `wait` gives the reason for deferring it. */
 export type FailoverDecision =
   { readonly kind: 'take' } | { readonly kind: 'wait'; readonly reason: DeferralReason };
 
 const wait = (reason: DeferralReason): FailoverDecision => ({ kind: 'wait', reason });
 
 /**
- * Why the holder is not confirmed to be out of reach, or null where it is: nobody who was asked reaches it, and enough of
- * them said so. A cut between two controllers must not be taken for the death of one of them.
+ * Why the holder is not confirmed unreachable, or null where it is: neither this standby nor a witness reaches it, and
+ * enough witnesses have said so. A network partition between two controllers must not be mistaken for the failure of one
+ * of them.
  */
 export function unconfirmedReason(
   input: Pick<FailoverInput, 'holderAnswers' | 'witnesses' | 'witnessesNeeded'>,
@@ -58,22 +61,25 @@
   return confirming < input.witnessesNeeded ? 'no_witness' : null;
 }
 
-/** Whether another warm standby of the shard should go first: it has applied more, or as much and is before this one. */
-function reasonToDefer({ witnesses, applied, rank }: FailoverInput): DeferralReason | null {
+/**
+ * Why another standby should take the shard before this one: it is warm and has applied more entries, or has a lower rank.
+ * Null where none should.
+ */
+function precedingStandbyReason({ witnesses, applied, rank }: FailoverInput): DeferralReason | null {
   if (witnesses.some((w) => w.applied !== null && w.applied > applied)) return 'fresher_standby';
   return rank > 0 ? 'not_first' : null;
 }
 
-/** Whether to take the shard now. */
+/** Decides whether to take the shard over now. */
 export function decideFailover(input: FailoverInput): FailoverDecision {
-  const doubt = unconfirmedReason(input);
-  if (doubt !== null) return wait(doubt);
+  const unconfirmed = unconfirmedReason(input);
+  if (unconfirmed !== null) return wait(unconfirmed);
   if (!input.isStateReachable) return wait('state_unreachable');
   if (!input.isWarm) return wait('not_warm');
   if (input.backoffLeftMs > 0) return wait('backoff');
-  // Whoever should go first is given its time, and not more: it may be gone as well.
-  const turnAfterMs = input.rankDelayMs * Math.max(1, input.rank);
-  const ahead = reasonToDefer(input);
-  if (ahead !== null && input.confirmedForMs < turnAfterMs) return wait(ahead);
+  // A preceding standby may have failed as well, so this one waits for it only for a bounded time.
+  const delayMs = input.rankDelayMs * Math.max(1, input.rank);
+  const preceding = precedingStandbyReason(input);
+  if (preceding !== null && input.confirmedForMs < delayMs) return wait(preceding);
   return { kind: 'take' };
 }
--- a/packages/warm-standby/src/failure-domains.ts
+++ b/packages/warm-standby/src/failure-domains.ts
@@ -1,6 +1,6 @@
 /**
- * Which controllers may fail together. Domains are given by IP networks; an address belongs to the domain of the longest
- * network that holds it. Without networks a controller's zone is its domain.
+ * Failure domains: groups of controllers that may fail together. A domain is a set of IP networks; an address belongs to
+ * the domain of the network with the longest prefix that contains it. Without networks a controller's zone is its domain.
  */
 import ipaddr from 'ipaddr.js';
 import type { PlatformSettings } from '../../../src/config/platform-settings.js';
@@ -13,102 +13,111 @@
   readonly domain: string;
   readonly base: Address;
   readonly prefix: number;
+  /** The network as it was configured. */
   readonly text: string;
 }
 
-/** A domain as the options give it. */
+/** A failure domain as the options have it. */
 export interface DomainOptions {
   readonly name: string;
   readonly networks: readonly string[];
 }
 
-/** Networks that cannot be used; the message begins with the path. */
+/** Invalid failure domains; the message begins with the path of the option. */
 export class FailureDomainError extends CodedError {
   readonly code = 'invalid_failure_domains';
 }
 
-/** IPv4 addresses may arrive in the form for IPv6 sockets. */
+/** Parses an IP address; null where it is none. IPv4-mapped addresses, as IPv6 sockets report IPv4 peers, become IPv4. */
 function parseAddress(text: string): Address | null {
   return ipaddr.isValid(text) ? ipaddr.process(text) : null;
 }
 
+/** Parses a network in CIDR notation. Throws `FailureDomainError` where it is none or has bits beyond its prefix. */
 function parseNetwork(text: string, domain: string, path: string): Network {
   if (!ipaddr.isValidCIDR(text))
     throw new FailureDomainError(`${path}: ${text} is not a network such as 10.0.0.0/24`);
   const [base, prefix] = ipaddr.parseCIDR(text);
-  const first =
+  const networkAddress =
     base.kind() === 'ipv4'
       ? ipaddr.IPv4.networkAddressFromCIDR(text)
       : ipaddr.IPv6.networkAddressFromCIDR(text);
-  if (first.toNormalizedString() !== base.toNormalizedString())
+  if (networkAddress.toNormalizedString() !== base.toNormalizedString())
     throw new FailureDomainError(
-      `${path}: ${text} has bits beyond its prefix, ${first.toString()}/${prefix} was meant?`,
+      `${path}: ${text} has bits beyond its prefix, ${networkAddress.toString()}/${prefix} would be valid`,
     );
   return { domain, base, prefix, text };
 }
 
-const isIn = (address: Address, { base, prefix }: Network): boolean =>
+const isInNetwork = (address: Address, { base, prefix }: Network): boolean =>
   address.kind() === base.kind() && address.match(base, prefix);
 
-/** The same network twice can't be told apart; one within another is decided by the longer prefix. */
-function refuseTwins(networks: readonly Network[], network: Network, path: string): void {
-  const twin = networks.find(
+/**
+ * Throws `FailureDomainError` where the network is configured already: its addresses would have two domains. Nested
+ * networks are allowed, since the longer prefix decides.
+ */
+function rejectDuplicate(networks: readonly Network[], network: Network, path: string): void {
+  const duplicate = networks.find(
     (n) => n.prefix === network.prefix && n.base.toNormalizedString() === network.base.toNormalizedString(),
   );
-  if (twin === undefined) return;
-  throw new FailureDomainError(`${path}: ${network.text} stands in domain "${twin.domain}" already`);
+  if (duplicate === undefined) return;
+  throw new FailureDomainError(`${path}: ${network.text} stands in domain "${duplicate.domain}" already`);
 }
 
-/** Failure domains by network. */
+/** The failure domains of the options, looked up by IP address. */
 export class FailureDomains {
+  /** Longest prefix first. */
   private readonly networks: Network[] = [];
 
-  /** Throws `DomainError` with the path of what is wrong. */
+  /** Throws `FailureDomainError` with the path of the first invalid option. */
   constructor(domains: readonly DomainOptions[]) {
     domains.forEach(({ name, networks }, i) => {
       const path = `failure_domains.${i}`;
       if (domains.findIndex((d) => d.name === name) !== i)
-        throw new FailureDomainError(`${path}.name: "${name}" stands there twice`);
+        throw new FailureDomainError(`${path}.name: "${name}" is used twice`);
       networks.forEach((text, j) => {
         const network = parseNetwork(text, name, `${path}.networks.${j}`);
-        refuseTwins(this.networks, network, `${path}.networks.${j}`);
+        rejectDuplicate(this.networks, network, `${path}.networks.${j}`);
         this.networks.push(network);
       });
     });
     this.networks.sort((a, b) => b.prefix - a.prefix);
   }
 
-  /** Whether any networks are given; else zones count. */
+  /** Whether any networks are configured; without them the zones are the failure domains. */
   get hasNetworks(): boolean {
     return this.networks.length > 0;
   }
 
-  /** The domain of an IP address, or null where no network holds it. */
+  /** The domain of an IP address; null where no network contains it. */
   domainOf(ip: string): string | null {
     const address = parseAddress(ip);
     if (address === null) return null;
-    return this.networks.find((n) => isIn(address, n))?.domain ?? null;
+    return this.networks.find((n) => isInNetwork(address, n))?.domain ?? null;
   }
 
-  /** Whether a connection from the address may ask anything of this package. */
+  /** Whether messages from the IP address are answered: where networks are configured, one must contain it. */
   accepts(ip: string): boolean {
     return !this.hasNetworks || this.domainOf(ip) !== null;
   }
 }
 
-/** The domain of each controller by name. Throws `DomainError` where networks are given and one is in none. */
+/**
+ * The failure domain of each controller by name. Throws `FailureDomainError` where networks are configured and none
+ * contains the controller's address.
+ */
 export function domainsOfControllers(
   domains: FailureDomains,
   settings: PlatformSettings,
 ): ReadonlyMap<string, string> {
   const own = { node: settings.node, zone: settings.zone, address: settings.peerBind };
-  const out = new Map<string, string>();
+  const domainByNode = new Map<string, string>();
   for (const { node, zone, address } of [own, ...settings.peers]) {
     const [host] = splitAddress(address);
     const domain = domains.hasNetworks ? domains.domainOf(host) : zone;
     if (domain === null)
-      throw new FailureDomainError(`failure_domains: ${host} of ${node} is in none of them`);
-    out.set(node, domain);
+      throw new FailureDomainError(`failure_domains: ${host} of ${node} is in none of the networks`);
+    domainByNode.set(node, domain);
   }
-  return out;
+  return domainByNode;
 }
--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -1,4 +1,4 @@
-/** Planned handover: what a controller holds goes to warm standbys before it is restarted, without waiting for detection. */
+/** Planned handover: moves the shards of a controller to warm standbys before a restart, without a failure to detect. */
 import { Type } from '@sinclair/typebox';
 import { firstSchemaError } from '../../../src/config/platform-settings.js';
 import type { NodeName } from '../../../src/core/model/ids.js';
@@ -14,19 +14,19 @@
   { additionalProperties: false },
 );
 
-/** A shard that stays, and why. */
+/** A shard that is not handed over, and the reason. */
 interface Refusal {
   readonly slice: NodeName;
   readonly reason: string;
 }
 
-/** A shard that goes. */
-interface Move {
-  readonly fact: ShardFact;
+/** A shard to hand over, and the standby that is prepared for it. */
+interface Transfer {
+  readonly shard: ShardFact;
   readonly to: NodeName;
 }
 
-/** Hands shards over on an operator's word. */
+/** Hands the shards of this controller over when an operator requests it. */
 export class Handover {
   private isRunning = false;
 
@@ -37,12 +37,12 @@
     private readonly options: Options,
   ) {}
 
-  /** The operator's command. */
+  /** Handles the operator's command: status 200 where all shards were handed over, 409 where some were refused. */
   async request(body: unknown): Promise<CommandReply> {
-    const asked = body ?? {};
-    const wrong = firstSchemaError(RequestSchema, asked);
-    if (wrong !== null) return { status: 400, body: { error: wrong } };
-    const to = (asked as { to?: string }).to as NodeName | undefined;
+    const request = body ?? {};
+    const schemaError = firstSchemaError(RequestSchema, request);
+    if (schemaError !== null) return { status: 400, body: { error: schemaError } };
+    const to = (request as { to?: string }).to as NodeName | undefined;
     if (to !== undefined && !this.service.peers.some((p) => p.node === to))
       return { status: 400, body: { error: `to: ${to} is no other controller` } };
     if (!this.service.facts.isReady) return { status: 503, body: { error: 'not ready' } };
@@ -60,39 +60,44 @@
     const startMs = clock.now();
     const span = tracer.reserve();
     const refused: Refusal[] = [];
-    const moves: Move[] = [];
-    for (const fact of this.cluster.heldShards()) {
-      const prepared = await this.prepare(fact, to, span);
-      if (typeof prepared === 'string') refused.push({ slice: fact.name, reason: prepared });
-      else moves.push(prepared);
+    const transfers: Transfer[] = [];
+    for (const shard of this.cluster.heldShards()) {
+      const prepared = await this.prepare(shard, to, span);
+      if (typeof prepared === 'string') refused.push({ slice: shard.name, reason: prepared });
+      else transfers.push(prepared);
     }
-    const handedOver = await this.commit(moves, refused);
+    const handedOver = await this.commit(transfers, refused);
     log.info({ handedOver, refused }, LOG_EVENT.handoverFinished);
     tracer.record({ name: 'handover', startMs, endMs: clock.now(), self: span });
     return { status: refused.length === 0 ? 200 : 409, body: { handedOver, refused } };
   }
 
-  /** A warm standby that is ready for the shard, or why there is none. */
-  private async prepare(fact: ShardFact, to: NodeName | undefined, span: string): Promise<Move | string> {
-    const standbys = this.cluster.standbysOf(fact);
+  /** Finds a standby that has the whole log and accepts the shard, or returns why there is none. */
+  private async prepare(
+    shard: ShardFact,
+    to: NodeName | undefined,
+    span: string,
+  ): Promise<Transfer | string> {
+    const standbys = this.cluster.standbysOf(shard);
     if (to !== undefined && !standbys.includes(to)) return `${to} is no standby of this slice`;
     let reason = 'it has no standby in another failure domain';
     for (const node of to === undefined ? standbys : [to]) {
-      if (!(await this.publisher.drain(fact, node, this.options.handover.drain_ms))) {
+      if (!(await this.publisher.drain(shard, node, this.options.handover.drain_ms))) {
         reason = `${node} does not keep up with the log`;
         continue;
       }
-      const refusal = await this.ask(fact, node, span);
-      if (refusal === null) return { fact, to: node };
+      const refusal = await this.askToPrepare(shard, node, span);
+      if (refusal === null) return { shard, to: node };
       reason = `${node} ${refusal}`;
     }
     return reason;
   }
 
-  private async ask(fact: ShardFact, node: NodeName, traceParent: string): Promise<string | null> {
-    const { name: shard, epoch } = fact;
-    const head = this.publisher.shards.get(shard)?.followers.get(node)?.acknowledged ?? 0;
-    const payload = encodePrepare({ shard, epoch, head, traceParent });
+  /** Asks a standby to accept the shard; null where it does, otherwise the reason why not. */
+  private async askToPrepare(shard: ShardFact, node: NodeName, traceParent: string): Promise<string | null> {
+    const { name, epoch } = shard;
+    const head = this.publisher.shards.get(name)?.followers.get(node)?.acknowledged ?? 0;
+    const payload = encodePrepare({ shard: name, epoch, head, traceParent });
     const reply = await this.service.channel.ask(
       node,
       TOPIC.prepare,
@@ -105,20 +110,21 @@
     return answer.accepted ? null : answer.reason;
   }
 
+  /** Commits the transfers, one transaction for each target; adds those that fail to `refused`. */
   private async commit(
-    moves: readonly Move[],
+    transfers: readonly Transfer[],
     refused: Refusal[],
   ): Promise<{ slice: NodeName; to: NodeName }[]> {
-    const out: { slice: NodeName; to: NodeName }[] = [];
-    const targets = new Set(moves.map((m) => m.to));
+    const handedOver: { slice: NodeName; to: NodeName }[] = [];
+    const targets = new Set(transfers.map((t) => t.to));
     for (const to of targets) {
-      const facts = moves.filter((m) => m.to === to).map((m) => m.fact);
-      const outcome = await this.service.shardControl.handOver(facts, to, this.options.handover.hold_ms);
-      for (const { name: shard } of facts) {
-        if (outcome.kind === 'committed') out.push({ slice: shard, to });
-        else refused.push({ slice: shard, reason: `the change was not committed: ${outcome.kind}` });
+      const shards = transfers.filter((t) => t.to === to).map((t) => t.shard);
+      const outcome = await this.service.shardControl.handOver(shards, to, this.options.handover.hold_ms);
+      for (const { name } of shards) {
+        if (outcome.kind === 'committed') handedOver.push({ slice: name, to });
+        else refused.push({ slice: name, reason: `the change was not committed: ${outcome.kind}` });
       }
     }
-    return out;
+    return handedOver;
   }
 }
--- a/packages/warm-standby/src/holder-monitor.ts
+++ b/packages/warm-standby/src/holder-monitor.ts
@@ -1,43 +1,46 @@
-/** How long holders have been silent, and how suspicious that is. */
+/** Failure detection for the holders of shards, from the messages that they send to this controller. */
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { MonotonicMs } from '../../../src/core/model/time.js';
 import type { Options } from './options.js';
 import { PhiAccrual } from './phi-accrual.js';
 
-/** Intervals of more heartbeats than this were a failure or a pause, not the sender's usual rhythm. */
-const LONGEST_USUAL_HEARTBEATS = 8;
+/**
+ * Longest interval between messages, in heartbeats, that enters a detector's history: a longer one is due to a failure or a
+ * pause and would make the detector slower.
+ */
+const MAX_INTERVAL_HEARTBEATS = 8;
 
-/** Watches the holders that send to this controller. */
+/** One failure detector for each holder that sends to this controller. */
 export class HolderMonitor {
-  private readonly holders = new Map<NodeName, PhiAccrual>();
+  private readonly detectors = new Map<NodeName, PhiAccrual>();
 
   constructor(
     private readonly heartbeatMs: number,
     private readonly options: Options['detection'],
   ) {}
 
-  /** A message of the holder has arrived. */
+  /** Records that a message of the holder has arrived. */
   heard(holder: NodeName, now: MonotonicMs): void {
-    const watched = this.holders.get(holder) ?? new PhiAccrual(this.heartbeatMs * LONGEST_USUAL_HEARTBEATS);
-    this.holders.set(holder, watched);
-    watched.heard(now);
+    const detector = this.detectors.get(holder) ?? new PhiAccrual(this.heartbeatMs * MAX_INTERVAL_HEARTBEATS);
+    this.detectors.set(holder, detector);
+    detector.heard(now);
   }
 
-  /** The level of suspicion of the holder; 0 where too little is known. */
+  /** The suspicion level phi of the holder; 0 where too few messages have arrived. */
   phi(holder: NodeName, now: MonotonicMs): number {
-    return this.holders.get(holder)?.phi(now) ?? 0;
+    return this.detectors.get(holder)?.phi(now) ?? 0;
   }
 
-  /** When the holder last sent a message, on the monotonic clock; null: never. */
+  /** When the last message of the holder arrived, on the monotonic clock; null where none has. */
   lastHeardAt(holder: NodeName): number | null {
-    return this.holders.get(holder)?.lastHeardAt ?? null;
+    return this.detectors.get(holder)?.lastHeardAt ?? null;
   }
 
-  /** Whether the holder has been silent for long enough, and unlikely so, to be probed. */
+  /** Whether the holder is to be probed: its silence has reached `least_silence_ms`, and phi the configured level. */
   isSuspected(holder: NodeName, now: MonotonicMs): boolean {
-    const watched = this.holders.get(holder);
-    const silenceMs = watched?.silenceMs(now) ?? null;
-    if (watched === undefined || silenceMs === null) return false;
-    return silenceMs >= this.options.least_silence_ms && watched.phi(now) >= this.options.phi;
+    const detector = this.detectors.get(holder);
+    const silenceMs = detector?.silenceMs(now) ?? null;
+    if (detector === undefined || silenceMs === null) return false;
+    return silenceMs >= this.options.least_silence_ms && detector.phi(now) >= this.options.phi;
   }
 }
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * Warm standby: for each shard another controller follows what its holder decides and learns, watches the holder, and takes
- * over within seconds once it has surely lost the shard. docs/warm-standby.md has the design.
+ * Warm standby: for each shard another controller replicates what its holder decides and learns, monitors the holder, and
+ * takes the shard over within seconds of a failure, by a transaction after which the holder has surely lost the shard.
+ * docs/warm-standby.md has the design.
  */
 import type { RunningPlugin, PluginServices, PluginDefinition } from '../../../src/plugin-host/api.js';
 import { Cluster } from './cluster.js';
@@ -15,14 +16,14 @@
 import { Receiver } from './receiver.js';
 import { standbyStatus } from './status.js';
 
-/** Records the spans of a failover and of its phases. */
-function trace({ tracer }: PluginServices, failover: Failover): void {
+/** Records the span of a failover and, below it, one span for each phase that was completed. */
+function recordSpans({ tracer }: PluginServices, failover: Failover): void {
   const { at, traceParent, shard, from, cause } = failover;
-  const moments = Object.values(at).filter((t): t is number => t !== null);
+  const reached = Object.values(at).filter((t): t is number => t !== null);
   tracer.record({
     name: 'takeover',
-    startMs: Math.min(...moments),
-    endMs: Math.max(...moments),
+    startMs: Math.min(...reached),
+    endMs: Math.max(...reached),
     parent: failover.handoverTrace,
     self: traceParent,
     attributes: { slice: shard, from, cause, epoch: failover.epoch, warm: failover.wasWarm },
@@ -48,7 +49,7 @@
   const publisher = new Publisher(service, cluster, options.replication);
   const history = new FailoverHistory(service, (failover) => {
     metrics.recordFailover(failover);
-    trace(service, failover);
+    recordSpans(service, failover);
   });
   const receiver = new Receiver(service, cluster, monitor, options, (shard, traceParent) => {
     failovers.expectHandover(shard, traceParent);
@@ -67,7 +68,7 @@
   };
 }
 
-/** The package. */
+/** The definition of plugin `warm_standby`. */
 export const servicePackage: PluginDefinition<Options> = {
   schema: OptionsSchema,
   validate(options, settings) {
