--- a/packages/warm-standby/measure/takeovers.ts
+++ b/packages/warm-standby/measure/takeovers.ts
@@ -1,6 +1,7 @@
 /**
- * Measures takeovers with real processes on loopback, with warm standbys and without: how long a shard is without a holder, until its
- * agents are answered and start tasks, and how long users wait. Writes one JSON line a failover. Not part of CI:
+ * Measures failovers of real controller processes on loopback, with and without warm standbys: the time until the shard has
+ * a new holder, until its agents are answered and start tasks, and how long users wait. Writes one JSON line per failover.
+ * Not part of CI:
  *
  *     npm run --silent measure:takeovers -- --kind kill --runs 30 --standby on
  */
@@ -17,27 +18,27 @@
 
 const SHORT_PAUSE_MS = 700;
 const LONG_PAUSE_MS = 12_000;
-const CUT_MS = 12_000;
-const PER_ZONE = 14;
+const PARTITION_MS = 12_000;
+const MACHINES_PER_ZONE = 14;
 const SUBMIT_EVERY_MS = 200;
-/** A short pause that moves nothing within this time causes no failover. */
-const NO_MOVE_MS = 3000;
-const MOVE_TIMEOUT_MS = 40_000;
-/** How long agents may take to be answered and to start tasks. */
+/** A short pause after which the shard has not moved within this time counts as causing no failover. */
+const SHORT_PAUSE_OBSERVED_MS = 3000;
+const FAILOVER_TIMEOUT_MS = 40_000;
+/** How long after the fault agents may take to be answered and to start tasks. */
 const COMPLETION_TIMEOUT_MS = 30_000;
-/** Submissions so long before the fault may be delayed by it, too. */
-const WAITS_BEFORE_FAULT_MS = 5000;
+/** Submissions up to so long before the fault count as well, since the fault may delay their acceptance. */
+const SUBMITTED_BEFORE_FAULT_MS = 5000;
 
 const KINDS = ['kill', 'short-pause', 'long-pause', 'cut', 'planned'] as const;
 type Kind = (typeof KINDS)[number];
 
-// The backoff between failovers of one shard would delay the next round, so it is practically off here.
-const OPERATOR = {
+// The backoff between failovers of one shard would delay the next round, so its pauses are reduced to 100 ms here.
+const OPERATOR_SETTINGS = {
   on: `[slices]\nsettled_s = 3.0\n[packages.warm_standby.takeover]\nbackoff_ms = 100\nlongest_backoff_ms = 100\n`,
   off: `[slices]\nsettled_s = 3.0\n`,
 };
 
-/** One takeover, in milliseconds after the fault; null: it did not happen. */
+/** The result of one round, times in milliseconds after the fault; null where something did not happen. */
 interface Round {
   readonly kind: Kind;
   readonly standby: 'on' | 'off';
@@ -52,12 +53,13 @@
   warm: boolean | null;
 }
 
+/** A fault to inject, and how it ends. */
 interface Fault {
   begin(): Promise<void>;
   end(): Promise<void>;
 }
 
-function faultOf(kind: Kind, victim: ControllerProcess, cluster: LoopbackCluster): Fault {
+function createFault(kind: Kind, victim: ControllerProcess, cluster: LoopbackCluster): Fault {
   const pause = (ms: number): Fault => ({
     begin: () => {
       victim.pause();
@@ -88,7 +90,7 @@
           return Promise.resolve();
         },
         end: async () => {
-          await sleep(CUT_MS);
+          await sleep(PARTITION_MS);
           cluster.setPartitioned(victim.name, false);
         },
       };
@@ -97,7 +99,7 @@
         begin: async () => {
           const path = '/v1/packages/warm_standby/handover';
           const reply = await victim.ask('POST', path, {}, 30_000);
-          // Without the package a planned restart is a kill.
+          // Without the plugin there is no handover: the planned restart is a kill.
           if (reply?.status !== 200) await victim.kill();
         },
         end: async () => {
@@ -108,6 +110,7 @@
   }
 }
 
+/** What a controller's status shows of the plugin, and the holder of each shard; null where it does not answer. */
 const statusOf = async (
   c: ControllerProcess,
 ): Promise<{ standby: Shown | null; holders: Map<string, string> } | null> => {
@@ -123,6 +126,7 @@
   };
 };
 
+/** Whether all controllers answer, see each shard with its default holder, and all standbys are warm. */
 async function isSettled(cluster: LoopbackCluster): Promise<boolean> {
   for (const node of NODES) {
     const status = await statusOf(cluster.controllers.get(node)!);
@@ -132,7 +136,7 @@
   return true;
 }
 
-/** Live machines of the shard, as their records have it. */
+/** Names of the live agents whose machines belong to the shard according to their records. */
 const agentsOf = (cluster: LoopbackCluster, shard: string) =>
   new Set(
     cluster.simulatedCluster
@@ -144,7 +148,7 @@
 const shardOf = (cluster: LoopbackCluster, machine: string) =>
   (cluster.state.rows.get(key.machine(machineName(machine)))?.value as { owner: string } | undefined)?.owner;
 
-const newRound = (of: Pick<Round, 'kind' | 'standby' | 'round' | 'workers'>): Round => ({
+const createRound = (of: Pick<Round, 'kind' | 'standby' | 'round' | 'workers'>): Round => ({
   ...of,
   holderMs: null,
   firstReportMs: null,
@@ -155,7 +159,7 @@
   warm: null,
 });
 
-/** Injects one fault and measures the failover that follows. */
+/** Injects one fault and measures the failover that it causes. */
 async function measureFailover(
   cluster: LoopbackCluster,
   users: Users,
@@ -164,35 +168,35 @@
   const victim = cluster.controllers.get(NODES[round % NODES.length]!)!;
   const shard = victim.name;
   const agents = agentsOf(cluster, shard);
-  const result = newRound({ kind, standby, round, workers: agents.size });
+  const result = createRound({ kind, standby, round, workers: agents.size });
   const start = performance.now();
-  const since = () => Math.round(performance.now() - start);
-  cluster.agentObserver = agentObserverOf(cluster, shard, agents, result, since);
-  const fault = faultOf(kind, victim, cluster);
+  const elapsedMs = () => Math.round(performance.now() - start);
+  cluster.agentObserver = createAgentObserver(cluster, shard, agents, result, elapsedMs);
+  const fault = createFault(kind, victim, cluster);
   await fault.begin();
-  const isMoved = () => cluster.holderOf(shard)?.holder !== shard;
-  const timeoutMs = kind === 'short-pause' ? NO_MOVE_MS : MOVE_TIMEOUT_MS;
-  while (!isMoved() && since() < timeoutMs) await sleep(5);
-  if (isMoved()) {
-    result.holderMs = since();
-    while (!isComplete(result) && since() < COMPLETION_TIMEOUT_MS) await sleep(10);
+  const isTakenOver = () => cluster.holderOf(shard)?.holder !== shard;
+  const timeoutMs = kind === 'short-pause' ? SHORT_PAUSE_OBSERVED_MS : FAILOVER_TIMEOUT_MS;
+  while (!isTakenOver() && elapsedMs() < timeoutMs) await sleep(5);
+  if (isTakenOver()) {
+    result.holderMs = elapsedMs();
+    while (!isComplete(result) && elapsedMs() < COMPLETION_TIMEOUT_MS) await sleep(10);
     await recordCause(cluster, shard, result);
   }
   cluster.agentObserver = null;
   await fault.end();
   await cluster.until('settled', () => isSettled(cluster), 120_000);
-  const waits = users.acceptedAfterMs.filter(({ at }) => at >= start - WAITS_BEFORE_FAULT_MS);
+  const waits = users.acceptedAfterMs.filter(({ at }) => at >= start - SUBMITTED_BEFORE_FAULT_MS);
   result.usersLongestMs = Math.round(Math.max(0, ...waits.map(({ ms }) => ms)));
   return result;
 }
 
-/** Records when the new holder answers the shard's agents and starts tasks on them. */
-function agentObserverOf(
+/** Creates an observer that records when the new holder answers the shard's agents and starts tasks on them. */
+function createAgentObserver(
   cluster: LoopbackCluster,
   shard: string,
   agents: ReadonlySet<string>,
   result: Round,
-  since: () => number,
+  elapsedMs: () => number,
 ): AgentObserver {
   const { epoch } = cluster.holderOf(shard)!;
   const unanswered = new Set(agents);
@@ -201,13 +205,13 @@
   return {
     answered: (agent, node, token) => {
       if (!agents.has(agent.name) || token <= epoch || !isNewHolder(node)) return;
-      result.firstReportMs ??= since();
+      result.firstReportMs ??= elapsedMs();
       unanswered.delete(agent.name);
       for (const name of unanswered) if (shardOf(cluster, name) !== shard) unanswered.delete(name);
-      if (unanswered.size === 0) result.allReportsMs ??= since();
+      if (unanswered.size === 0) result.allReportsMs ??= elapsedMs();
     },
     started: (agent) => {
-      if (agents.has(agent.name) && isNewHolder(agent.controller)) result.firstStartMs ??= since();
+      if (agents.has(agent.name) && isNewHolder(agent.controller)) result.firstStartMs ??= elapsedMs();
     },
   };
 }
@@ -216,7 +220,7 @@
   return result.firstStartMs !== null && result.allReportsMs !== null;
 }
 
-/** Takes cause and warmth of the failover from the status of the new holder. */
+/** Records the cause of the failover and whether the new holder was warm, from its status. */
 async function recordCause(cluster: LoopbackCluster, shard: string, result: Round): Promise<void> {
   const holder = cluster.controllers.get(cluster.holderOf(shard)!.holder)!;
   const status = await statusOf(holder);
@@ -225,71 +229,78 @@
   result.warm = failover?.warm ?? null;
 }
 
-/** Processor time in seconds and resident memory in MB of a process. */
-function costOf(pid: number): { cpuS: number; rssMb: number } {
+/** CPU time in seconds and resident memory in MB of a process, with Linux's 100 clock ticks a second and pages of 4 KiB. */
+function resourceUsageOf(pid: number): { cpuS: number; rssMb: number } {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ');
   const ticks = Number(stat[11]) + Number(stat[12]);
   const pages = Number(readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[1]);
   return { cpuS: ticks / 100, rssMb: (pages * 4096) / 1e6 };
 }
 
+/** The command line. */
 interface Arguments {
   readonly kind: Kind | 'cost';
+  /** Number of rounds; with kind `cost` the duration in seconds. */
   readonly runs: number;
   readonly standby: 'on' | 'off';
   readonly out: string;
-  /** With every job traced to a file. */
+  /** Whether every job is traced to a file. */
   readonly traced: boolean;
 }
 
-async function measureCost(cluster: LoopbackCluster, o: Arguments, forS: number): Promise<void> {
-  const before = NODES.map((node) => costOf(cluster.controllers.get(node)!.pid));
-  await sleep(forS * 1000);
-  const after = NODES.map((node) => costOf(cluster.controllers.get(node)!.pid));
-  const shown = await Promise.all(NODES.map((node) => statusOf(cluster.controllers.get(node)!)));
-  const sent = shown.flatMap((s) =>
+/** Measures CPU, memory and replication traffic of all controllers over a period without faults. */
+async function measureCost(cluster: LoopbackCluster, options: Arguments, durationS: number): Promise<void> {
+  const before = NODES.map((node) => resourceUsageOf(cluster.controllers.get(node)!.pid));
+  await sleep(durationS * 1000);
+  const after = NODES.map((node) => resourceUsageOf(cluster.controllers.get(node)!.pid));
+  const statuses = await Promise.all(NODES.map((node) => statusOf(cluster.controllers.get(node)!)));
+  const sent = statuses.flatMap((s) =>
     (s?.standby?.slices ?? []).flatMap((x) =>
       (x.followers ?? []).map((f) => (f as { sentBytes?: number }).sentBytes ?? 0),
     ),
   );
   const line = {
     kind: 'cost',
-    standby: o.standby,
-    traced: o.traced,
-    seconds: forS,
+    standby: options.standby,
+    traced: options.traced,
+    seconds: durationS,
     machines: cluster.simulatedCluster.liveAgents().length,
-    cpuPart: after.map((a, i) => Number(((a.cpuS - before[i]!.cpuS) / forS).toFixed(4))),
+    cpuPart: after.map((a, i) => Number(((a.cpuS - before[i]!.cpuS) / durationS).toFixed(4))),
     rssMb: after.map((a) => Math.round(a.rssMb)),
     sentBytes: sent.reduce((sum, x) => sum + x, 0),
-    suspicions: shown.reduce((sum, s) => sum + (s?.standby?.counts.suspicions ?? 0), 0),
-    falseTakeovers: shown.reduce((sum, s) => sum + (s?.standby?.counts.falseTakeovers ?? 0), 0),
+    suspicions: statuses.reduce((sum, s) => sum + (s?.standby?.counts.suspicions ?? 0), 0),
+    falseTakeovers: statuses.reduce((sum, s) => sum + (s?.standby?.counts.falseTakeovers ?? 0), 0),
   };
-  appendFileSync(o.out, `${JSON.stringify(line)}\n`);
+  appendFileSync(options.out, `${JSON.stringify(line)}\n`);
 }
 
 async function main(): Promise<void> {
   const program = new Command()
     .requiredOption('--kind <kind>', `${KINDS.join(', ')} or cost`)
-    .option('--runs <n>', 'takeovers; for cost: seconds', Number, 30)
+    .option('--runs <n>', 'number of failovers; with cost: duration in seconds', Number, 30)
     .requiredOption('--standby <on|off>')
-    .option('--traced', 'every job is traced to a file', false)
-    .option('--out <file>', 'JSON lines are added to it', 'target/takeovers.jsonl')
+    .option('--traced', 'trace every job to a file', false)
+    .option('--out <file>', 'file to which JSON lines are appended', 'target/takeovers.jsonl')
     .parse();
-  const o = program.opts<Arguments>();
-  const cluster = new LoopbackCluster(PER_ZONE);
+  const options = program.opts<Arguments>();
+  const cluster = new LoopbackCluster(MACHINES_PER_ZONE);
   const users = new Users(cluster);
   try {
     const file = path.join(cluster.directory, 'spans.jsonl');
     const tracing = `[packages.tracing]\nfile = "${file}"\nsample_ratio = 1.0\n`;
-    await cluster.start(OPERATOR[o.standby] + (o.traced ? tracing : ''));
+    await cluster.start(OPERATOR_SETTINGS[options.standby] + (options.traced ? tracing : ''));
     await cluster.until('settled', () => isSettled(cluster));
     void users.run(SUBMIT_EVERY_MS);
     await cluster.until('work is under way', () => cluster.simulatedCluster.starts > 30);
-    if (o.kind === 'cost') await measureCost(cluster, o, o.runs);
+    if (options.kind === 'cost') await measureCost(cluster, options, options.runs);
     else
-      for (let round = 0; round < o.runs; round++) {
-        const result = await measureFailover(cluster, users, { kind: o.kind, standby: o.standby, round });
-        appendFileSync(o.out, `${JSON.stringify(result)}\n`);
+      for (let round = 0; round < options.runs; round++) {
+        const result = await measureFailover(cluster, users, {
+          kind: options.kind,
+          standby: options.standby,
+          round,
+        });
+        appendFileSync(options.out, `${JSON.stringify(result)}\n`);
       }
     users.stop();
     await cluster.until('all jobs are over', () => users.open().length === 0, 180_000);
