--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -1,4 +1,7 @@
-/** Jobs that fail on every machine are distinguished from machines that fail every job, and cost little until cancelled. */
+/**
+ * Jobs that fail on every machine are distinguished from machines that fail every job. Otherwise a job submitted with a
+ * mistake would get machines quarantined, and its retries would occupy machines until its user cancels it.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FailureTracker, type TaskFailure } from '../src/core/health/failure-tracker.js';
@@ -18,10 +21,10 @@
   now,
 });
 
-test('a job that fails on several machines backs off exponentially, up to a bound, and quarantines none of them', () => {
+test('a job that fails on several machines is retried with bounded exponential backoff, and none of them is faulty', () => {
   const failures = new FailureTracker(() => 0.5);
   failures.recordFailure(failure(machine(0), monotonicMs(0)));
-  assert.equal(failures.failuresOf(JOB), null, 'the machine may be faulty');
+  assert.equal(failures.failuresOf(JOB), null, 'a single failure may be the fault of the machine');
   let now = 100;
   const backoffs: number[] = [];
   for (let i = 1; i <= 8; i++) {
@@ -36,10 +39,10 @@
   assert.deepEqual(backoffs, [5000, 10_000, 20_000, 40_000, 60_000, 60_000, 60_000, 60_000]);
   for (let i = 0; i < 50; i++) assert.equal(failures.isFaulty(machine(i)), false);
   failures.recordSuccess(JOB, machine(3));
-  assert.equal(failures.failuresOf(JOB), null, 'it runs on some machine');
+  assert.equal(failures.failuresOf(JOB), null, 'a task of the job is done');
 });
 
-test('the backoffs of jobs that fail at the same time are spread', () => {
+test('the backoffs of jobs that fail at the same time differ by jitter', () => {
   const untils = [0, 0.25, 0.75, 0.999].map((random) => {
     const failures = new FailureTracker(() => random);
     for (const i of [1, 2]) failures.recordFailure(failure(machine(i), monotonicMs(0)));
@@ -49,7 +52,7 @@
   assert.equal(new Set(untils).size, 4);
 });
 
-test('another owner continues the backoff that its predecessor recorded', () => {
+test('the next owner of a job continues the backoff that the former owner recorded', () => {
   const failures = new FailureTracker(() => 0.5);
   failures.recordFailure({ ...failure(machine(1), monotonicMs(0)), knownRounds: 3 });
   const { rounds, until } = failures.failuresOf(JOB)!;
@@ -57,9 +60,9 @@
   assert.equal(until, 40_000);
 });
 
-test('a machine is faulty when it fails a job that runs elsewhere, or several jobs', () => {
+test('a machine is faulty if a job that runs well elsewhere, or several jobs, fail on it', () => {
   const failures = new FailureTracker(() => 0.5);
-  // Many tasks of one array that nobody has seen run yet: it may be the array.
+  // Many tasks of one array fail before any task of it has run long: the array itself may be at fault.
   for (let i = 0; i < 9; i++) failures.recordFailure(failure(machine(1), monotonicMs(i)));
   assert.equal(failures.isFaulty(machine(1)), false);
   failures.recordLongRun(JOB);
@@ -69,10 +72,10 @@
   failures.recordFailure({ ...failure(machine(2), monotonicMs(30)), job: jobId('wk-3') });
   assert.equal(failures.isFaulty(machine(2)), true);
   failures.recordSuccess(jobId('wk-4'), machine(2));
-  assert.equal(failures.isFaulty(machine(2)), false, 'it has finished a task');
+  assert.equal(failures.isFaulty(machine(2)), false, 'the machine has finished a task');
 });
 
-test('the failures of a job that is over are forgotten', () => {
+test('the failures of a job that has ended are forgotten', () => {
   const failures = new FailureTracker(() => 0.5);
   for (const i of [1, 2]) failures.recordFailure(failure(machine(i), monotonicMs(0)));
   assert.equal([...failures.failingJobs()].length, 1);
@@ -80,7 +83,7 @@
   assert.equal([...failures.failingJobs()].length, 0);
 });
 
-/** Starts of tasks of the job so far. */
+/** Counts the starts of the job's tasks from now on; returns a function that gives their number so far. */
 function countStarts(simulation: Simulation, id: string): () => number {
   let starts = 0;
   const recordTaskStart = simulation.cluster.recordTaskStart.bind(simulation.cluster);
@@ -101,7 +104,7 @@
   ['ensemble', 3, 30],
   ['daemon', 4, 30],
 ] as const)
-  test(`a failing ${kind} is retried rarely, drains no machine, reports its failures, and is cancelled at once`, async () => {
+  test(`a failing ${kind} is retried rarely, drains no machine, shows its failures and can be cancelled at once`, async () => {
     const simulation = await runUntilBusy(3);
     const id = simulation.submit({
       kind,
@@ -113,28 +116,31 @@
     const starts = countStarts(simulation, id);
     const drainedBefore = drainedMachines(simulation).length;
     await advance(simulation, 60_000);
-    assert.ok(starts() >= 3, `it was tried ${starts()} times`);
-    assert.ok(starts() <= maxStarts, `it was tried ${starts()} times in a minute`);
+    assert.ok(starts() >= 3, `${starts()} task starts in a minute, expected at least 3`);
+    assert.ok(starts() <= maxStarts, `${starts()} task starts in a minute, expected at most ${maxStarts}`);
     assert.equal(drainedMachines(simulation).length, drainedBefore);
     const statusRequest = currentLeader(simulation).controller!.jobs.find(jobId(id));
     await advance(simulation, 500);
     const status = await statusRequest;
     assert.equal(status?.failing?.why, 'error');
     assert.ok(status.failing.rounds >= 1 && status.failing.machines.length > 0);
-    // After a restart its backoff continues.
+    // The backoff of the job continues after a restart of all controllers.
     for (const controller of allControllers(simulation)) controller.crash();
     await advance(simulation, 500);
     for (const controller of allControllers(simulation)) controller.start();
     const startsBeforeRestart = starts();
     await advance(simulation, 6000);
-    assert.ok(starts() - startsBeforeRestart <= Math.max(3, tasks / 3), 'not all of it is tried again');
+    assert.ok(
+      starts() - startsBeforeRestart <= Math.max(3, tasks / 3),
+      'a restart must not start most of the tasks again',
+    );
     simulation.cancel(id);
     await advance(simulation, 6000);
     assert.equal(simulation.cluster.submitted.get(id)!.observedFinalState, 'cancelled');
   });
 
 faultScenario(
-  'failing jobs during an outage of the state service and a change of leader',
+  'failing jobs are cancelled although the state service has an outage and the leader changes',
   async (simulation) => {
     const ids = [...Array(6).keys()].map((i) =>
       simulation.submit({
@@ -151,10 +157,10 @@
     for (const id of ids.slice(0, 3)) simulation.cancel(id);
     await advance(simulation, 15_000);
     simulation.state.setOutage(false);
-    for (const n of allControllers(simulation)) if (n.controller === null) n.start();
+    for (const each of allControllers(simulation)) if (each.controller === null) each.start();
     await advance(simulation, 10_000);
     for (const id of ids.slice(3)) simulation.cancel(id);
     await advance(simulation, 10_000);
-    assert.ok(cancelledJobs(simulation).length >= 6, 'all were cancelled');
+    assert.ok(cancelledJobs(simulation).length >= 6, 'all failing jobs must be cancelled');
   },
 );
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -1,4 +1,8 @@
-/** Which images a machine is known to have cached, and how its record hands that to the next owner. */
+/**
+ * The health tracker. A late exit of an ended job must not count as a failure, since nothing would remove it again. A
+ * machine's record must name the images that it has cached: without them its next owner would place tasks where their
+ * images have to be fetched.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readOperatorSettings } from '../src/config/operator-settings.js';
@@ -43,10 +47,10 @@
     shards: tasks.map(([id, standing]) => ({ shard: `${id}/0`, tryNo: 1, standing })),
   })!;
 
-test('a late exit of a job that is over is not remembered', () => {
+test('a late exit of a job that has ended is not recorded as a failure', () => {
   const health = setUp(100, []);
   const allocation = { job: jobId('wk-over') } as Allocation;
-  // Failures on two machines would be taken for the job's fault.
+  // Failures on two machines would count as the fault of the job.
   for (const failed of [record, machine('n-2', [])]) health.recordExit(failed, allocation, 'error');
   assert.equal(health.failures.failuresOf(allocation.job), null);
   assert.deepEqual([...health.failures.failingJobs()], []);
@@ -59,47 +63,55 @@
     ['wk-2', 'img-b', 40],
     ['wk-3', 'img-c', 40],
   ];
-  const first = setUp(100, jobs);
-  first.observeHeartbeat(
+  const firstOwner = setUp(100, jobs);
+  firstOwner.observeHeartbeat(
     heartbeat(1, [
       ['wk-1', 'running'],
       ['wk-2', 'pulling'],
     ]),
   );
-  assert.deepEqual(first.cachedImages(record), ['img-a'], 'an image that is being fetched is not cached yet');
-  first.observeHeartbeat(
+  assert.deepEqual(
+    firstOwner.cachedImages(record),
+    ['img-a'],
+    'an image that is being fetched is not cached yet',
+  );
+  firstOwner.observeHeartbeat(
     heartbeat(2, [
       ['wk-1', 'running'],
       ['wk-2', 'running'],
     ]),
   );
-  const kept = { ...record, images: first.cachedImages(record) };
-  assert.deepEqual(kept.images, ['img-a', 'img-b']);
-  // Another controller, which never got a heartbeat of the machine.
-  const next = setUp(100, jobs);
-  assert.equal(next.hasImage(kept, 'img-a'), true);
-  assert.equal(next.hasImage(kept, 'img-c'), false);
-  assert.equal(next.hasImage(record, 'img-a'), false);
-  first.observeHeartbeat(
+  const recordWithImages = { ...record, images: firstOwner.cachedImages(record) };
+  assert.deepEqual(recordWithImages.images, ['img-a', 'img-b']);
+  // Another controller, which never received a heartbeat of the machine.
+  const nextOwner = setUp(100, jobs);
+  assert.equal(nextOwner.hasImage(recordWithImages, 'img-a'), true);
+  assert.equal(nextOwner.hasImage(recordWithImages, 'img-c'), false);
+  assert.equal(nextOwner.hasImage(record, 'img-a'), false);
+  firstOwner.observeHeartbeat(
     heartbeat(3, [
       ['wk-2', 'running'],
       ['wk-3', 'running'],
     ]),
   );
-  assert.deepEqual(first.cachedImages(kept), ['img-b', 'img-c'], 'the least recently used image is evicted');
+  assert.deepEqual(
+    firstOwner.cachedImages(recordWithImages),
+    ['img-b', 'img-c'],
+    'the least recently used image is evicted',
+  );
   // The part of the record for images is bounded, however long their names are.
-  const many = [...Array(40).keys()].map((i): [string, string, number] => [
+  const manyJobs = [...Array(40).keys()].map((i): [string, string, number] => [
     `wk-${i}`,
     `image-number-${i}`,
     1,
   ]);
-  const long = setUp(1000, many);
-  long.observeHeartbeat(
+  const healthOfManyImages = setUp(1000, manyJobs);
+  healthOfManyImages.observeHeartbeat(
     heartbeat(
       1,
-      many.map(([id]) => [id, 'running']),
+      manyJobs.map(([id]) => [id, 'running']),
     ),
   );
-  const names = long.cachedImages(record);
-  assert.ok(JSON.stringify(names).length < 320 && names.length > 10);
+  const cachedImages = healthOfManyImages.cachedImages(record);
+  assert.ok(JSON.stringify(cachedImages).length < 320 && cachedImages.length > 10);
 });
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -1,4 +1,8 @@
-/** What an owner may conclude from heartbeats that are late, copied, or from an agent that does not receive its answers. */
+/**
+ * What the owner of a machine may conclude from heartbeats. They may arrive late or twice, precede a start command that
+ * is in flight, or come from an agent that does not receive its owner's answers. An owner that concludes too much from
+ * one of them starts a task twice, or releases the resources of a task that still runs.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { agentCommands } from '../src/core/agents/agent-commands.js';
@@ -25,7 +29,8 @@
   done: { base: 0, bits: '', count: 0 },
   submitted: wallClockMs(0),
 });
-const allocation = (tasks: number[], number = 7): Allocation => allocationFor(spec, attempt(number), tasks);
+const allocation = (tasks: number[], attemptNumber = 7): Allocation =>
+  allocationFor(spec, attempt(attemptNumber), tasks);
 const machine = (...allocations: Allocation[]): MachineRecord => machineRecord('n-1', allocations);
 const task = (
   index: number,
@@ -60,7 +65,7 @@
   jobs: new Map([[spec.id, ofJob]]),
   totals: new AllocationTotals([ofMachine], types, new Map()),
 });
-/** Records a heartbeat that the agent pushed, or one that answers a direct command. */
+/** Records a pushed heartbeat, or one that answers a direct command; returns false if it is no newer than the last. */
 const record = (session: AgentSession, received: Heartbeat, atMs: number, isPushed = true): boolean =>
   recordHeartbeat(session, received, {
     now: monotonicMs(atMs),
@@ -75,7 +80,7 @@
 ): AgentCommand[] =>
   agentCommands({ machine: ofMachine, session, desired, now: monotonicMs(atMs), mayStart: true });
 
-test('a heartbeat under an older token confirms no exit: commands of the last owner may still arrive', () => {
+test('a heartbeat under an older token confirms no exit, since commands of the former owner may still arrive', () => {
   const target = machine(allocation([0]));
   const desired = desiredState(target, job('cancelling'));
   const session = newAgentSession(TOKEN, monotonicMs(0));
@@ -85,7 +90,7 @@
   assert.equal(confirmedExits(target, session, desired).length, 1);
 });
 
-test('a task whose start is in flight is not taken for exited before a newer pushed heartbeat', () => {
+test('a task whose start is in flight counts as exited only after a newer pushed heartbeat', () => {
   const target = machine(allocation([0]));
   const session = newAgentSession(TOKEN, monotonicMs(0));
   record(session, heartbeat(5, TOKEN), 0);
@@ -93,7 +98,8 @@
     commandsFor(target, session, desiredState(target, job('active')), 0).map((c) => c.op),
     ['start'],
   );
-  // A copy of that heartbeat, and an answer to a direct command that overtook it, show nothing of the start.
+  // A duplicate of that heartbeat does not show whether the start was carried out, nor does the answer to a direct
+  // command, which may be sent before the start arrives.
   assert.equal(record(session, heartbeat(5, TOKEN), 100), false);
   record(session, heartbeat(6, TOKEN), 200, false);
   assert.deepEqual(confirmedExits(target, session, desiredState(target, job('cancelling'))), []);
@@ -101,7 +107,7 @@
   assert.equal(confirmedExits(target, session, desiredState(target, job('cancelling'))).length, 1);
 });
 
-test('late copies of heartbeats change nothing and do not count as contact', () => {
+test('late and duplicate heartbeats change nothing and do not count as contact', () => {
   const target = machine(allocation([0, 1]));
   const session = newAgentSession(TOKEN, monotonicMs(0));
   record(session, heartbeat(9, TOKEN, [task(0, 'running'), task(1, 'running')], 2), 1000);
@@ -114,13 +120,14 @@
   assert.equal(session.lastContactAt, 1000);
   assert.equal(session.heartbeat?.tasks.length, 2);
   assert.deepEqual(confirmedExits(target, session, desiredState(target, job('active'))), []);
-  // After a restart a copy may arrive first. Newer heartbeats under the old token do not count as contact.
-  const next = newAgentSession(TOKEN, monotonicMs(30_000));
-  record(next, heartbeat(3, OLD_TOKEN), 30_100);
-  record(next, heartbeat(4, OLD_TOKEN), 38_000);
-  assert.equal(next.lastContactAt, 30_100);
-  record(next, heartbeat(5, TOKEN), 39_000);
-  assert.equal(next.lastContactAt, 39_000);
+  // After a restart of the owner the first heartbeat counts as contact, although it may be a late duplicate. Newer
+  // heartbeats under the old token do not.
+  const restarted = newAgentSession(TOKEN, monotonicMs(30_000));
+  record(restarted, heartbeat(3, OLD_TOKEN), 30_100);
+  record(restarted, heartbeat(4, OLD_TOKEN), 38_000);
+  assert.equal(restarted.lastContactAt, 30_100);
+  record(restarted, heartbeat(5, TOKEN), 39_000);
+  assert.equal(restarted.lastContactAt, 39_000);
 });
 
 test('heartbeats of an agent that does not receive its answers do not count as contact', () => {
@@ -129,13 +136,17 @@
   for (let i = 0; i < 4; i++) record(session, heartbeat(++sequence, TOKEN), i * 5000);
   assert.equal(session.lastContactAt, 0);
   record(session, heartbeat(++sequence, TOKEN), 17_000);
-  assert.equal(session.lastContactAt, 17_000, 'it received the last answer');
+  assert.equal(
+    session.lastContactAt,
+    17_000,
+    'a heartbeat without a gap shows that the agent received the last answer',
+  );
 });
 
-test('an exited task is not started again, and starts are limited to the free room', () => {
-  // Two old tasks whose allocations are still recorded, and a new one that uses the room of one of them.
-  const fresh: Allocation = { ...allocation([2]), job: jobId('wk-2') };
-  const target = machine(allocation([0, 1]), fresh);
+test('an exited task is not started again, and starts are limited to the free resources', () => {
+  // Two tasks whose allocations are still recorded, and a new task that was allocated the resources of one of them.
+  const newAllocation: Allocation = { ...allocation([2]), job: jobId('wk-2') };
+  const target = machine(allocation([0, 1]), newAllocation);
   const desired = desiredState(target, job('active'));
   const jobs = new Map(desired.jobs).set(jobId('wk-2'), {
     ...job('active'),
@@ -143,18 +154,18 @@
   });
   const session = newAgentSession(TOKEN, monotonicMs(0));
   record(session, heartbeat(1, TOKEN, [task(1, 'running')]), 0);
-  const started = commandsFor(target, session, { ...desired, jobs }, 0);
-  assert.equal(started.length, 1, 'one runs, one more fits');
+  const starts = commandsFor(target, session, { ...desired, jobs }, 0);
+  assert.equal(starts.length, 1, 'one task runs and one more fits');
   session.exitedTasks.set(`${spec.id}/0@7`, { exitedAt: monotonicMs(0), reason: 'done' });
   session.startSentIn.clear();
-  const again = commandsFor(target, session, { ...desired, jobs }, 0);
+  const afterExit = commandsFor(target, session, { ...desired, jobs }, 0);
   assert.deepEqual(
-    again.map((c) => c.job),
+    afterExit.map((c) => c.job),
     [jobId('wk-2')],
   );
 });
 
-test('a gang task that waited too long for the others is started again under its attempt', () => {
+test('a gang task that exited because its gang was incomplete is started again under the same attempt', () => {
   const gang = { ...job('active'), spec: { ...spec, kind: 'gang' as const, tasks: 2 } };
   const target = machine({ ...allocation([0, 1]), kind: 'gang' });
   const desired = desiredState(target, gang);
@@ -164,17 +175,17 @@
   assert.deepEqual(
     confirmedExits(target, session, desired),
     [],
-    'the attempt is not broken: nothing of it has run',
+    'the attempt stays valid, since none of its tasks has run',
   );
   const commands = commandsFor(target, session, desired, 1000).map((c) => [c.op, c.index, c.attempt]);
   assert.deepEqual(commands, [
     ['forget', 0, 7],
     ['start', 0, 7],
   ]);
-  // The answer was lost, and the agent's lease with it: the task is started again, not taken for lost.
+  // The answer was lost and the agent lost its lease: the task is started again and does not break its gang.
   record(session, heartbeat(3, TOKEN, [], 2), 9000);
   assert.equal(commandsFor(target, session, desired, 9000).length, 1);
-  // After a cancellation its exit is confirmed.
+  // After a cancellation the exits of both tasks are confirmed.
   record(session, heartbeat(4, TOKEN, [task(0, 'exited', 'incomplete')], 2), 10_000);
   assert.equal(
     confirmedExits(target, session, desiredState(target, { ...gang, phase: 'cancelling' })).length,
@@ -182,7 +193,7 @@
   );
 });
 
-test('a task that is started again is not taken for exited by the heartbeat that reported its exit', () => {
+test('the heartbeat that reported the exit of a task does not confirm it once the task is started again', () => {
   const gang = { ...job('active'), spec: { ...spec, kind: 'gang' as const, tasks: 2 } };
   const target = machine({ ...allocation([0, 1]), kind: 'gang' });
   const session = newAgentSession(TOKEN, monotonicMs(0));
@@ -190,36 +201,36 @@
   assert.equal(
     commandsFor(target, session, desiredState(target, gang), 1000).length,
     2,
-    'forgotten and started again',
+    'one forget and one start command',
   );
-  // The answer is in flight for seconds; meanwhile the job is cancelled.
+  // The job is cancelled while the answer with the start is in flight, which may take seconds.
   const cancelled = desiredState(target, { ...gang, phase: 'cancelling' });
   assert.deepEqual(confirmedExits(target, session, cancelled), []);
-  // The answer to a direct command overtakes it, and proves no more.
+  // The answer to a direct command may be sent before that start arrives, so it does not prove the exit.
   assert.ok(record(session, heartbeat(2, TOKEN, [task(0, 'exited', 'incomplete')]), 1500, false));
   assert.deepEqual(
     confirmedExits(target, session, cancelled).filter((e) => e.index === 0),
     [],
   );
-  // The agent makes its next heartbeat after it took the answer, or stopped waiting for it.
+  // The agent pushes its next heartbeat only after it has received that answer or stopped waiting for it.
   record(session, heartbeat(3, TOKEN, [task(0, 'exited', 'incomplete')]), 3000);
   assert.equal(confirmedExits(target, session, cancelled).filter((e) => e.index === 0).length, 1);
 });
 
-test('a finished task frees its machine at once, and its part of the quota only once its result is durable', () => {
+test('a finished task releases resources of its machine at once, but quota only once its result is durable', () => {
   const team = spec.team;
   const target = machine(allocation([0, 1]));
   const totals = new AllocationTotals([target], types, new Map());
-  const used = totals.usedBy(team);
-  const free = totals.freeByMachine.get(target.name)!;
+  const usedBefore = totals.usedBy(team);
+  const freeBefore = totals.freeByMachine.get(target.name)!;
   totals.releaseProvisionally(target, allocation([0]), { includesQuota: false });
-  assert.deepEqual(totals.usedBy(team), used);
-  assert.notDeepEqual(totals.freeByMachine.get(target.name), free);
+  assert.deepEqual(totals.usedBy(team), usedBefore);
+  assert.notDeepEqual(totals.freeByMachine.get(target.name), freeBefore);
   totals.restoreAllocation(target, allocation([0]), { includesQuota: false });
   totals.releaseProvisionally(target, allocation([0]), { includesQuota: true });
-  assert.equal(totals.usedBy(team)[0], used[0] / 2);
+  assert.equal(totals.usedBy(team)[0], usedBefore[0] / 2);
   totals.restoreAllocation(target, allocation([0]), { includesQuota: true });
-  assert.deepEqual([totals.usedBy(team), totals.freeByMachine.get(target.name)], [used, free]);
+  assert.deepEqual([totals.usedBy(team), totals.freeByMachine.get(target.name)], [usedBefore, freeBefore]);
 });
 
 test('totals updated record by record equal totals computed from all records', () => {
--- a/test/slow-machine-detector.test.ts
+++ b/test/slow-machine-detector.test.ts
@@ -1,10 +1,13 @@
-/** Machines whose tasks run slower than elsewhere. */
+/**
+ * Machines whose tasks run slower than elsewhere. Users' estimates are biased and a few runs may be slow by chance; a
+ * detector misled by either would quarantine machines that are not slow.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SlowMachineDetector } from '../src/core/health/slow-machine-detector.js';
 import { machineName, jobId } from '../src/core/model/ids.js';
 
-test('a machine is slow when all its latest runs take much longer than usual for their class', () => {
+test('a machine is slow if all its latest runs take much longer than other runs of their job or class', () => {
   const detector = new SlowMachineDetector({ factor: 1.7, runs: 3, samples: 8 });
   const normalMachine = machineName('n-1');
   const slowMachine = machineName('n-2');
@@ -18,15 +21,15 @@
   ) => {
     detector.recordRun(machine, { job: jobId(job), jobClass, durationS, estimateS });
   };
-  // Estimates are biased: every run takes half as long again.
+  // Estimates are biased: every run on a normal machine takes 1.5 times its estimate.
   for (let i = 0; i < 8; i++) recordRun(normalMachine, 'a', 150 + i, 100);
   for (let i = 0; i < 2; i++) recordRun(slowMachine, 'a', 310, 100);
-  assert.equal(detector.isSlow(slowMachine), false, 'two runs may be chance');
+  assert.equal(detector.isSlow(slowMachine), false, 'two slow runs may be chance');
   recordRun(slowMachine, 'a', 310, 100);
   assert.equal(detector.isSlow(slowMachine), true);
   assert.equal(detector.isSlow(normalMachine), false);
   recordRun(slowMachine, 'a', 150, 100);
-  assert.equal(detector.isSlow(slowMachine), false, 'it has recovered');
+  assert.equal(detector.isSlow(slowMachine), false, 'the latest run was not slow');
   recordRun(normalMachine, 'services', 500, 0);
   assert.equal(detector.isSlow(normalMachine), false);
 
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -1,4 +1,8 @@
-/** The HTTP contract towards users and workers, through the real server with a stand-in behind it. */
+/**
+ * The HTTP API for users and agents, through the real server with stubs of the job service and the heartbeat router.
+ * Guards against malformed requests that reach the job service, and against clients that wait for an answer while the
+ * controller is overloaded or cannot reach the state service.
+ */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -11,29 +15,29 @@
 import { buildServer } from '../src/io/users/http-server.js';
 import { submission } from './samples.js';
 
-const server = (over: Partial<Record<keyof JobService, unknown>> = {}, most = 50) => {
-  const seen: string[] = [];
+const server = (overrides: Partial<Record<keyof JobService, unknown>> = {}, maxInProgress = 50) => {
+  const submittedIds: string[] = [];
   const jobs = {
     submit: (spec: { id: string }) => {
-      seen.push(spec.id);
+      submittedIds.push(spec.id);
       return Promise.resolve<SubmissionResult>({ kind: 'accepted', state: 'pending' });
     },
     find: () => Promise.resolve(undefined),
     cancel: () => Promise.resolve({ kind: 'not_found' }),
-    ...over,
+    ...overrides,
   };
-  const reports = { answer: () => ({ kind: 'ok', token: fencingToken(7), commands: [] }) };
+  const heartbeats = { answer: () => ({ kind: 'ok', token: fencingToken(7), commands: [] }) };
   const app = buildServer({
     log: pino({ level: 'silent' }),
     jobs: jobs as unknown as JobService,
-    heartbeats: reports as unknown as HeartbeatRouter,
+    heartbeats: heartbeats as unknown as HeartbeatRouter,
     isHealthy: () => true,
     status: () => ({}),
     maxConnections: 10,
     minInProgress: 1,
-    maxInProgress: most,
+    maxInProgress,
   });
-  return { app, seen };
+  return { app, submittedIds };
 };
 const post = (app: ReturnType<typeof server>['app'], url: string, payload: unknown) =>
   app.inject({
@@ -44,16 +48,16 @@
   });
 
 test('a valid submission is accepted, with unknown fields and without nullable ones', async () => {
-  const { app, seen } = server();
-  const bare = submission({ more: { any: 1 }, flavors: undefined, vault: undefined, dueS: undefined });
-  const r = await post(app, '/v1/jobs', bare);
-  assert.equal(r.statusCode, 201);
-  assert.deepEqual(r.json(), { nameId: 'wk-000412', standing: 'pending' });
-  assert.deepEqual(seen, ['wk-000412']);
+  const { app, submittedIds } = server();
+  const minimal = submission({ more: { any: 1 }, flavors: undefined, vault: undefined, dueS: undefined });
+  const response = await post(app, '/v1/jobs', minimal);
+  assert.equal(response.statusCode, 201);
+  assert.deepEqual(response.json(), { nameId: 'wk-000412', standing: 'pending' });
+  assert.deepEqual(submittedIds, ['wk-000412']);
 });
 
-test("the README's example is a valid submission, and what a job waits for is shown", async () => {
-  const { app, seen } = server({
+test("the README's example is a valid submission, and a lookup shows what a job waits for", async () => {
+  const { app, submittedIds } = server({
     find: () =>
       Promise.resolve({
         state: 'pending',
@@ -63,12 +67,12 @@
         inherited: { priority: 'high', dueInS: 42.5 },
       }),
   });
-  const example = /\{"nameId"[^}]*\}/.exec(readFileSync('README.md', 'utf8'))?.[0];
-  assert.ok(example !== undefined);
-  assert.equal((await post(app, '/v1/jobs', example)).statusCode, 201);
-  assert.deepEqual(seen, ['wk-000413']);
-  const shown = await app.inject({ method: 'GET', url: '/v1/jobs/wk-000413' });
-  assert.deepEqual(shown.json(), {
+  const readmeExample = /\{"nameId"[^}]*\}/.exec(readFileSync('README.md', 'utf8'))?.[0];
+  assert.ok(readmeExample !== undefined);
+  assert.equal((await post(app, '/v1/jobs', readmeExample)).statusCode, 201);
+  assert.deepEqual(submittedIds, ['wk-000413']);
+  const response = await app.inject({ method: 'GET', url: '/v1/jobs/wk-000413' });
+  assert.deepEqual(response.json(), {
     nameId: 'wk-000413',
     standing: 'pending',
     done: 0,
@@ -78,9 +82,9 @@
   });
 });
 
-test('malformed submissions get 400 and are not passed on', async () => {
-  const { app, seen } = server();
-  const bad: unknown[] = [
+test('malformed submissions get 400 and do not reach the job service', async () => {
+  const { app, submittedIds } = server();
+  const malformed: unknown[] = [
     'not json',
     '',
     '[]',
@@ -105,24 +109,24 @@
     submission({ dueS: 'soon' }),
     submission({ filler: 'x'.repeat(70_000) }),
   ];
-  for (const b of bad) {
-    const r = await post(app, '/v1/jobs', b);
-    assert.equal(r.statusCode, 400, JSON.stringify(b).slice(0, 80));
+  for (const body of malformed) {
+    const response = await post(app, '/v1/jobs', body);
+    assert.equal(response.statusCode, 400, JSON.stringify(body).slice(0, 80));
   }
-  assert.deepEqual(seen, []);
+  assert.deepEqual(submittedIds, []);
 });
 
-test('each field of a submission, missing, of a wrong type or out of range, gets 400; unknown ones are ignored', async () => {
-  const { app, seen } = server();
+test('a submission gets 400 if a field is missing, of a wrong type or out of range; unknown fields are ignored', async () => {
+  const { app, submittedIds } = server();
   const fields = submission({ flavors: ['g8'], vault: 'a', awaits: ['wk-1'] });
   const nullable = new Set(['flavors', 'vault', 'dueS', 'awaits']);
-  const long = 'x'.repeat(201);
+  const tooLong = 'x'.repeat(201);
   const outOfRange: Record<string, unknown[]> = {
-    nameId: ['', 'wk-', 'wk-a b', `wk-${long}`, 'wk-a/0', 'WK-1'],
+    nameId: ['', 'wk-', 'wk-a b', `wk-${tooLong}`, 'wk-a/0', 'WK-1'],
     shards: [0, -1, 0.5, 100_001],
-    flavors: [[''], [null], [3], [[]], [long]],
+    flavors: [[''], [null], [3], [[]], [tooLong]],
     awaits: [[''], [null], [3], [[]], ['x-1'], ['wk-1', 'wk-a b'], 'wk-1', { 0: 'wk-1' }],
-    ...Object.fromEntries(['workload', 'tenant', 'bundle', 'vault'].map((f) => [f, ['', long]])),
+    ...Object.fromEntries(['workload', 'tenant', 'bundle', 'vault'].map((f) => [f, ['', tooLong]])),
     ...Object.fromEntries(['shape', 'tier'].map((f) => [f, ['', 'Sweep', 'PRODUCTION']])),
     ...Object.fromEntries(
       ['vcpus', 'cards', 'memoryGb', 'pullGb', 'expectedS', 'snapshotEveryS', 'snapshotS', 'dueS'].map(
@@ -130,36 +134,42 @@
       ),
     ),
   };
-  const status = async (over: Record<string, unknown>) =>
-    (await post(app, '/v1/jobs', { ...fields, ...over })).statusCode;
+  const status = async (overrides: Record<string, unknown>) =>
+    (await post(app, '/v1/jobs', { ...fields, ...overrides })).statusCode;
   for (const [field, value] of Object.entries(fields)) {
-    for (const none of [undefined, null])
-      assert.equal(await status({ [field]: none }), nullable.has(field) ? 201 : 400, `${field}: ${none}`);
-    const same = (x: unknown) => typeof x === typeof value && Array.isArray(x) === Array.isArray(value);
-    for (const other of ['text', 7, true, { a: 1 }, [1]])
-      if (!same(other))
-        assert.equal(await status({ [field]: other }), 400, `${field}: ${JSON.stringify(other)}`);
-    for (const bad of outOfRange[field] ?? [])
-      assert.equal(await status({ [field]: bad }), 400, `${field}: ${JSON.stringify(bad)}`);
+    for (const missing of [undefined, null])
+      assert.equal(
+        await status({ [field]: missing }),
+        nullable.has(field) ? 201 : 400,
+        `${field}: ${missing}`,
+      );
+    const hasSameType = (x: unknown) =>
+      typeof x === typeof value && Array.isArray(x) === Array.isArray(value);
+    for (const otherType of ['text', 7, true, { a: 1 }, [1]])
+      if (!hasSameType(otherType))
+        assert.equal(await status({ [field]: otherType }), 400, `${field}: ${JSON.stringify(otherType)}`);
+    for (const invalid of outOfRange[field] ?? [])
+      assert.equal(await status({ [field]: invalid }), 400, `${field}: ${JSON.stringify(invalid)}`);
   }
-  assert.equal(seen.length, 2 * nullable.size, 'what was refused reached nobody');
+  assert.equal(submittedIds.length, 2 * nullable.size, 'rejected submissions must not reach the job service');
   assert.equal(await status({ unknown: { deep: [1] }, '': 0 }), 201);
-  // Not a number, in whatever way JSON lets one say it.
-  for (const raw of ['NaN', '1e999', '"8"', '08'])
+  // No finite number: invalid JSON tokens, a number beyond the range of a double, and a number in quotes.
+  for (const rawNumber of ['NaN', '1e999', '"8"', '08'])
     assert.equal(
-      (await post(app, '/v1/jobs', JSON.stringify(fields).replace('"vcpus":8', `"vcpus":${raw}`))).statusCode,
+      (await post(app, '/v1/jobs', JSON.stringify(fields).replace('"vcpus":8', `"vcpus":${rawNumber}`)))
+        .statusCode,
       400,
-      raw,
+      rawNumber,
     );
 });
 
-test('a request that cannot be decided now gets 503 with a time to retry', async () => {
+test('a request that cannot be decided now gets 503 with a retry-after header', async () => {
   const { app } = server({
     submit: () => Promise.resolve({ kind: 'later' }),
     find: () => Promise.reject(new UnavailableError('state')),
     cancel: () => Promise.resolve({ kind: 'later' }),
   });
-  // What is malformed is so in every state of the service.
+  // Whether a submission is malformed does not depend on the state service: it gets 400 all the same.
   assert.equal((await post(app, '/v1/jobs', submission({ awaits: 'wk-1' }))).statusCode, 400);
   for (const r of [
     await post(app, '/v1/jobs', submission()),
@@ -171,13 +181,13 @@
   }
 });
 
-test('beyond the limit on requests in progress the next one is refused with 429, none waits', async () => {
-  let go: (() => void) | undefined;
+test('a request beyond the limit on requests in progress is rejected with 429 at once instead of waiting', async () => {
+  let finishSubmit: (() => void) | undefined;
   const { app } = server(
     {
       submit: () =>
         new Promise((resolve) => {
-          go = () => {
+          finishSubmit = () => {
             resolve({ kind: 'accepted', state: 'pending' });
           };
         }),
@@ -185,37 +195,37 @@
     1,
   );
   const first = post(app, '/v1/jobs', submission());
-  while (go === undefined) await new Promise((r) => setImmediate(r));
+  while (finishSubmit === undefined) await new Promise((r) => setImmediate(r));
   const second = await post(app, '/v1/jobs', submission({ nameId: 'wk-2' }));
   assert.equal(second.statusCode, 429);
   assert.ok(Number(second.headers['retry-after']) >= 1);
-  go();
+  finishSubmit();
   assert.equal((await first).statusCode, 201);
 });
 
-test('slow lookups do not keep submissions out', async () => {
-  let answer: (() => void) | undefined;
+test('slow lookups use up only their own limit on requests in progress and do not block submissions', async () => {
+  let finishLookup: (() => void) | undefined;
   const find = () =>
     new Promise((resolve) => {
-      answer = () => {
+      finishLookup = () => {
         resolve(undefined);
       };
     });
-  const { app, seen } = server({ find }, 1);
-  const slow = app.inject({ method: 'GET', url: '/v1/jobs/wk-1' });
-  // inject() begins when it is waited for.
-  void slow.then(() => undefined);
-  while (answer === undefined) await new Promise((r) => setImmediate(r));
-  const asked = await app.inject({ method: 'GET', url: '/v1/jobs/wk-2' });
-  assert.equal(asked.statusCode, 429);
-  assert.ok(Number(asked.headers['retry-after']) >= 1);
+  const { app, submittedIds } = server({ find }, 1);
+  const pending = app.inject({ method: 'GET', url: '/v1/jobs/wk-1' });
+  // inject() sends the request only once `then` is called on its result.
+  void pending.then(() => undefined);
+  while (finishLookup === undefined) await new Promise((r) => setImmediate(r));
+  const refused = await app.inject({ method: 'GET', url: '/v1/jobs/wk-2' });
+  assert.equal(refused.statusCode, 429);
+  assert.ok(Number(refused.headers['retry-after']) >= 1);
   assert.equal((await post(app, '/v1/jobs', submission())).statusCode, 201);
-  assert.equal(seen.length, 1);
-  answer();
-  await slow;
+  assert.equal(submittedIds.length, 1);
+  finishLookup();
+  await pending;
 });
 
-test('unknown jobs get 404, impossible ones 422, heartbeats an answer or 400', async () => {
+test('unknown jobs get 404, jobs that can never run 422, malformed heartbeats 400 and valid ones an answer', async () => {
   const { app } = server({ submit: () => Promise.resolve({ kind: 'impossible', why: 'unknown_team' }) });
   assert.equal((await app.inject({ method: 'GET', url: '/v1/jobs/wk-9' })).statusCode, 404);
   assert.equal((await app.inject({ method: 'GET', url: '/v1/jobs/%20' })).statusCode, 404);
@@ -231,6 +241,6 @@
     mandate: 0,
     shards: [],
   };
-  const r = await post(app, '/v1/report', heartbeat);
-  assert.deepEqual(r.json(), { mandate: 7, orders: [] });
+  const response = await post(app, '/v1/report', heartbeat);
+  assert.deepEqual(response.json(), { mandate: 7, orders: [] });
 });
