--- a/test/demand-forecast.test.ts
+++ b/test/demand-forecast.test.ts
@@ -1,4 +1,7 @@
-/** The headroom that the forecast keeps for jobs that are likely to arrive. */
+/**
+ * The headroom that the forecast keeps for jobs that are likely to arrive. With too little, they wait for machines to
+ * boot; with too much, rented machines stay empty.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import type { JobSpec } from '../src/core/model/jobs.js';
@@ -8,15 +11,15 @@
 
 const WINDOW_S = 600;
 
-/** A job whose tasks run for 100 s, whose image takes no time to fetch. */
+/** A job whose tasks run for 100 s and whose image takes no time to fetch. */
 const spec = (id: string, fields: Record<string, unknown> = {}): JobSpec =>
   job(id, { shards: 4, expectedS: 100, pullGb: 0, ...fields }).spec;
 
-/** A forecast without an allowance for spread or overhead: it keeps the mean. */
+/** A forecast that by default adds neither standard deviations nor overhead to the mean. */
 const newForecast = (options = { spread: 0, overheadS: 0 }) =>
   new DemandForecast({ windowS: WINDOW_S, ...options });
 
-/** The tasks of the headroom, with so many tasks of the class unfinished. */
+/** The tasks of the headroom of each class, with `unfinished` tasks of class `train` pending or running. */
 const headroomTasks = (forecast: DemandForecast, nowS: number, unfinished = 0): number[] =>
   forecast
     .headroom({ nowS, unfinishedTasks: new Map([['train', unfinished]]), machineTypeFor: () => type })
@@ -29,17 +32,17 @@
 };
 
 describe('demand forecast', () => {
-  test('the mean number of running tasks follows from arrival rate, run time and tasks of a job', () => {
+  test('the headroom is the mean number of running tasks, from arrival rate, run time and tasks per job', () => {
     const forecast = newForecast();
     recordOnePerMinute(forecast);
-    // 9 jobs of 4 tasks in the window of 600 s, each for 100 s: that of time 0 is out of it.
+    // 9 jobs of 4 tasks in the window of 600 s, each for 100 s; the arrival at time 0 is outside the window.
     assert.deepEqual(headroomTasks(forecast, WINDOW_S), [6]);
   });
 
-  test('standard deviations and overhead add to it, unfinished tasks are taken off', () => {
+  test('standard deviations and overhead add to the headroom, unfinished tasks are subtracted', () => {
     const withSpread = newForecast({ spread: 2, overheadS: 0 });
     recordOnePerMinute(withSpread);
-    // Mean 6; the standard deviation is the root of 1.5 jobs at once times 16.
+    // The mean is 6; the standard deviation is the square root of 1.5 jobs at once times the square of 4 tasks.
     assert.deepEqual(headroomTasks(withSpread, WINDOW_S), [Math.round(6 + 2 * Math.sqrt(1.5 * 16))]);
     const withOverhead = newForecast({ spread: 0, overheadS: 100 });
     recordOnePerMinute(withOverhead);
@@ -48,7 +51,7 @@
     assert.deepEqual(headroomTasks(withOverhead, WINDOW_S, 12), []);
   });
 
-  test('a service needs headroom until a further machine has booted, whatever runs', () => {
+  test('a service needs headroom for the time a machine takes to boot, however many tasks are running', () => {
     const forecast = newForecast();
     recordOnePerMinute(forecast, { shape: 'daemon' });
     // 9 jobs of 4 tasks in 600 s, each for the 30 s of a boot.
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,4 +1,7 @@
-/** Which tasks a pass places, and which machines it reserves. */
+/**
+ * Which tasks a placement pass places, and which machines it reserves. Guards against gangs that starve because smaller
+ * jobs take each machine that becomes free, and against passes that write more records than necessary.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Team } from '../src/core/model/cluster.js';
@@ -43,29 +46,29 @@
 
 test('the tasks of an array share machines that fit equally well, so that few records are written', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue', cards: 4, vcpus: 4 });
-  const shard = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [allocated(busy, i)]));
+  const shardMachines = [0, 1, 2, 3, 4, 5].map((i) => machine(`n-${i}`, [allocated(busy, i)]));
   const array = job('wk-2', { shards: 12, cards: 0, vcpus: 1, memoryGb: 6 });
-  const cached = (m: MachineRecord) => (m.name === 'n-4' || m.name === 'n-5' ? 0 : 2);
-  const usedMachines = (fetchRank: PlacementInput['fetchRank'], wanted = array) =>
+  const cachedOnTwo = (m: MachineRecord) => (m.name === 'n-4' || m.name === 'n-5' ? 0 : 2);
+  const usedMachines = (fetchRank: PlacementInput['fetchRank'], pendingJob = array) =>
     new Set(
-      placementPass([wanted], shard, { fitnessTolerance: 0.6, fetchRank }).placements.map(
+      placementPass([pendingJob], shardMachines, { fitnessTolerance: 0.6, fetchRank }).placements.map(
         (p) => p.machine.name as string,
       ),
     );
-  // Eight of them fit on one of the machines, and all have the image.
+  // Eight tasks of the array fit on each machine, and all machines have cached its image.
   assert.equal(usedMachines(() => 0).size, 2);
-  // A cached image comes before a record that is written anyway.
-  assert.deepEqual([...usedMachines(cached)].sort(), ['n-4', 'n-5']);
-  // Replicas are kept apart: the failure of one machine must not end several of them.
+  // A machine that has cached the image is preferred to one whose record is written anyway.
+  assert.deepEqual([...usedMachines(cachedOnTwo)].sort(), ['n-4', 'n-5']);
+  // Tasks of a service are placed on different machines: the failure of one machine must not end several of them.
   const service = job('wk-3', { shape: 'daemon', shards: 4, cards: 0, vcpus: 1, memoryGb: 6 });
   assert.equal(usedMachines(() => 0, service).size, 4);
 });
 
-test('an empty machine is used only when no partly used one fits, so that gangs find whole ones', () => {
+test('an empty machine is used only when no partly used one fits, so that gangs find whole machines', () => {
   const busy = job('wk-1', { shards: 9, tenant: 'blue' });
   const small = job('wk-2', { shards: 4 });
-  const shard = [machine('n-1', []), machine('n-2', [allocated(busy, 0)])];
-  const place = (jobs: JobRecord[]) => placementPass(jobs, shard).placements;
+  const shardMachines = [machine('n-1', []), machine('n-2', [allocated(busy, 0)])];
+  const place = (jobs: JobRecord[]) => placementPass(jobs, shardMachines).placements;
   assert.deepEqual(
     place([small]).map((p) => p.machine.name),
     ['n-2', 'n-2', 'n-2', 'n-1'],
@@ -75,15 +78,15 @@
   assert.equal(
     place([job('wk-4', { shape: 'ensemble', shards: 8 })]).length,
     0,
-    'a gang goes whole or not at all',
+    'all tasks of a gang are placed or none',
   );
 });
 
 test('the waiting team with the lowest weighted share is served first', () => {
   const red = job('wk-1', { shards: 6, tenant: 'red' });
   const blue = job('wk-2', { shards: 6, tenant: 'blue' });
-  const shard = [machine('n-1', [allocated(blue, 0)]), machine('n-2', [])];
-  const { placements } = placementPass([red, blue], shard, {
+  const shardMachines = [machine('n-1', [allocated(blue, 0)]), machine('n-2', [])];
+  const { placements } = placementPass([red, blue], shardMachines, {
     maxPlacements: 4,
     preferPartlyUsedMachines: false,
     fitnessTolerance: 0,
@@ -100,20 +103,20 @@
   const running = job('wk-1', { shards: 1 });
   const gang = job('wk-2', { shape: 'ensemble', shards: 4, tier: 'urgent' });
   const small = job('wk-3', { shards: 3, tier: 'low' });
-  const shard = [machine('n-1', [allocated(running, 0)]), machine('n-2', [])];
+  const shardMachines = [machine('n-1', [allocated(running, 0)]), machine('n-2', [])];
   const place = (jobs: JobRecord[], machines: MachineRecord[]) => placementPass(jobs, machines, {}, limited);
-  const result = place([running, gang, small], shard);
+  const result = place([running, gang, small], shardMachines);
   assert.equal(result.placements.length, 0);
   assert.equal(result.waitReasons.get(small.spec.id), 'behind_gang');
-  // A starving job starts all the same: it must not wait beside free machines.
-  const late = placementPass(
+  // A starving job is placed all the same: it must not wait while there are free machines for it.
+  const withStarvingJob = placementPass(
     [running, gang, small],
-    shard,
+    shardMachines,
     { isStarving: (j) => j.spec.id === small.spec.id },
     limited,
   );
-  assert.equal(late.placements.length, 3);
-  // Where a service uses the quota for good, waiting would help no job.
+  assert.equal(withStarvingJob.placements.length, 3);
+  // Quota that a service uses does not become free, so holding the small job back would not help the gang.
   const service = job('wk-4', { shards: 1, shape: 'daemon' });
   assert.equal(
     place([service, gang, small], [machine('n-1', [allocated(service, 0)]), machine('n-2', [])]).placements
@@ -122,7 +125,7 @@
   );
 });
 
-test('machines are reserved for a gang that is next in its order; only jobs of higher priority may take them', () => {
+test('machines are reserved for the gang that is next in the order of its team; only jobs of higher priority may take them', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 3, tier: 'urgent', vcpus: 14, samePlace: true });
   const later = job('wk-2', {
     shape: 'ensemble',
@@ -134,16 +137,20 @@
   });
   const small = job('wk-3', { shards: 8, tenant: 'blue', tier: 'standard' });
   const service = job('wk-4', { shape: 'daemon', shards: 1, tier: 'production', tenant: 'blue' });
-  const shard = [machine('n-1', []), machine('n-2', []), machine('n-3', [], 'b')];
-  assert.equal(placementPass([gang, small], shard).waitReasons.get(gang.spec.id), 'no_room');
-  const first = placementPass([gang, later], shard);
-  assert.equal(first.placements.length, 0, 'two gangs never take what the first one waits for');
-  const red = placementPass([gang, job('wk-5', { shards: 8, tier: 'standard' })], shard);
-  assert.deepEqual(new Set(red.placements.map((p) => p.machine.name)), new Set(['n-3']));
-  const prod = placementPass([gang, service], shard).placements;
-  assert.equal(prod.length, 1);
-  // Once its last machine is available it starts, before any other job.
-  const complete = placementPass([gang, later], [...shard, machine('n-4', [])]).placements;
+  const shardMachines = [machine('n-1', []), machine('n-2', []), machine('n-3', [], 'b')];
+  assert.equal(placementPass([gang, small], shardMachines).waitReasons.get(gang.spec.id), 'no_room');
+  const firstPass = placementPass([gang, later], shardMachines);
+  assert.equal(
+    firstPass.placements.length,
+    0,
+    'the second gang must not take machines that the first one waits for',
+  );
+  const withSameTeam = placementPass([gang, job('wk-5', { shards: 8, tier: 'standard' })], shardMachines);
+  assert.deepEqual(new Set(withSameTeam.placements.map((p) => p.machine.name)), new Set(['n-3']));
+  const withHigherPriority = placementPass([gang, service], shardMachines).placements;
+  assert.equal(withHigherPriority.length, 1);
+  // Once the last machine that the gang needs is available, the gang is placed before any other job.
+  const complete = placementPass([gang, later], [...shardMachines, machine('n-4', [])]).placements;
   assert.deepEqual(new Set(complete.map((p) => p.job.id)), new Set([gang.spec.id]));
   assert.equal(complete.length, 3);
 });
@@ -161,7 +168,7 @@
     );
     const { placements } = placementPass(waiting, fleet);
     if (placements.some((p) => p.job.id === gang.spec.id)) {
-      assert.equal(round, 31, 'as soon as there are 32');
+      assert.equal(round, 31, 'the gang starts as soon as 32 machines are free');
       return;
     }
     assert.equal(placements.length, 0);
@@ -173,10 +180,10 @@
   const array = job('wk-1', { shards: 6, loaner: true });
   const service = job('wk-9', { shape: 'daemon', shards: 9, tier: 'production' });
   const spot = { ...machine('n-3', []), spot: true };
-  const shard = [machine('n-1', []), machine('n-2', [allocated(service, 0)]), spot];
+  const shardMachines = [machine('n-1', []), machine('n-2', [allocated(service, 0)]), spot];
   const usedMachines = (leavesWholeMachines: boolean) =>
     new Set(
-      placementPass([array], shard, {
+      placementPass([array], shardMachines, {
         leavesWholeMachinesToGangs: () => leavesWholeMachines,
         preferPartlyUsedMachines: false,
       }).placements.map((p) => p.machine.name),
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -11,7 +11,7 @@
 import { jobFromWire } from '../src/io/users/job-messages.js';
 import { submission, type, types } from './samples.js';
 
-/** A team with a guarantee of so many GPUs and no limit. */
+/** A team with a guarantee of `gpus` GPUs and no limit. */
 export const team = (name: string, gpus: number) => ({
   name: teamName(name),
   guarantee: [0, 0, gpus * MICRO_UNITS] as const,
@@ -19,7 +19,7 @@
   limitGpu: null,
 });
 
-/** Two teams with the same guarantee. */
+/** Two teams with the same guarantee: `red` and `blue`. */
 export const teams = new Map([team('red', 4), team('blue', 4)].map((each) => [each.name, each]));
 
 /** The record of an active job of team `red`, with the given fields of its submission. */
@@ -44,7 +44,7 @@
 export const allocated = ({ spec }: JobRecord, ...tasks: number[]): Allocation =>
   allocationFor(spec, attempt(1), tasks);
 
-/** A plan for a cloud that has no machines, unless the input says otherwise. */
+/** The scaling plan for shards `c-0` (team `red`) and `c-1` (`blue`); by default the cloud has no machines to rent. */
 export const scalingPlan = (
   jobs: JobRecord[],
   machines: MachineRecord[],
--- a/test/reclaim.test.ts
+++ b/test/reclaim.test.ts
@@ -1,4 +1,7 @@
-/** Background work and teams without a guarantee are preempted for jobs with a higher priority or a guarantee. */
+/**
+ * Low-priority arrays and teams without a guarantee are preempted for jobs with a higher priority or a guarantee.
+ * Otherwise those jobs would wait until long arrays end, while the cloud has no machines to rent.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nodeName, teamName } from '../src/core/model/ids.js';
@@ -15,14 +18,14 @@
 
 const byId = (jobs: readonly JobRecord[]) => new Map(jobs.map((each) => [each.spec.id, each]));
 
-test('all tasks of a team without a guarantee may be preempted for a guarantee, and its share is defined', () => {
-  const wanted = job('wk-1', { shape: 'daemon', tier: 'low', shards: 1 });
+test('all tasks of a team without a guarantee may be preempted for a team within its guarantee, and its share is finite', () => {
+  const preemptor = job('wk-1', { shape: 'daemon', tier: 'low', shards: 1 });
   const unguaranteed = job('wk-2', { tier: 'urgent', tenant: UNGUARANTEED, shards: 4 });
   const machines = [machine('n-1', [allocated(unguaranteed, 0, 1, 2, 3)])];
   const totals = new AllocationTotals(machines, types, teamsWithUnguaranteed);
   const found = selectVictims({
-    job: wanted.spec,
-    jobs: byId([wanted, unguaranteed]),
+    job: preemptor.spec,
+    jobs: byId([preemptor, unguaranteed]),
     machines,
     totals,
     teams: teamsWithUnguaranteed,
@@ -34,24 +37,30 @@
   assert.equal(totals.dominantShareOf(teamName('red')), 0);
 });
 
-test('a gang of higher priority preempts low-priority arrays on whole machines, the cheapest of one zone', () => {
+test('a gang above normal priority preempts low-priority arrays on the machines of one zone where that costs least', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 2, tier: 'urgent', vcpus: 14, samePlace: true });
   const low = job('wk-2', { tier: 'low', tenant: 'blue', shards: 9, snapshotEveryS: 10, snapshotS: 2 });
-  const costly = job('wk-3', { tier: 'low', tenant: 'blue', shards: 9, snapshotEveryS: 0, expectedS: 600 });
+  const withoutCheckpoints = job('wk-3', {
+    tier: 'low',
+    tenant: 'blue',
+    shards: 9,
+    snapshotEveryS: 0,
+    expectedS: 600,
+  });
   const normal = job('wk-4', { tier: 'standard', tenant: 'blue', shards: 9 });
-  const victimCounts = (wanted: JobRecord, machines: MachineRecord[]) =>
+  const victimCounts = (preemptor: JobRecord, machines: MachineRecord[]) =>
     selectGangVictims({
-      job: wanted.spec,
-      jobs: byId([gang, low, costly, normal]),
+      job: preemptor.spec,
+      jobs: byId([gang, low, withoutCheckpoints, normal]),
       machines,
       totals: new AllocationTotals(machines, types, teams),
       teams,
       isClaimed: () => false,
-    })?.map((place) => [place.machine.name, place.victims.length]);
+    })?.map((choice) => [choice.machine.name, choice.victims.length]);
   const machines = [
     machine('n-1', [allocated(low, 0, 1)], 'a'),
     machine('n-2', [allocated(normal, 0)], 'a'),
-    machine('n-3', [allocated(costly, 0, 1)], 'a'),
+    machine('n-3', [allocated(withoutCheckpoints, 0, 1)], 'a'),
     machine('n-4', [allocated(low, 2, 3)], 'b'),
     machine('n-5', [], 'b'),
   ];
@@ -65,10 +74,10 @@
     'tasks of normal priority are not preempted',
   );
   const standard = job('wk-1', { shape: 'ensemble', shards: 2, tier: 'standard', vcpus: 14 });
-  assert.equal(victimCounts(standard, machines), undefined, 'only for a priority above normal');
+  assert.equal(victimCounts(standard, machines), undefined, 'only a gang above normal priority preempts');
 });
 
-test('machines with nothing but low-priority arrays are reclaimed for higher priorities that the cloud has none for', () => {
+test('machines that run only low-priority arrays are reclaimed for priorities above normal while the cloud has no machines', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 2, tier: 'urgent', vcpus: 14, samePlace: true });
   const low = job('wk-2', { tier: 'low', tenant: 'blue', shards: 40 });
   const normal = job('wk-3', { tier: 'standard', tenant: 'blue', shards: 40 });
@@ -87,6 +96,6 @@
     scalingPlan([gang], machines, { isAvailable: () => isCloudAvailable }).moves.map(
       (move) => move.machine.name as string,
     );
-  assert.deepEqual(movedMachines(false), ['n-1', 'n-3'], 'as many as it needs, in one zone');
-  assert.deepEqual(movedMachines(true), [], 'new machines are rented where they can be');
+  assert.deepEqual(movedMachines(false), ['n-1', 'n-3'], 'as many as the gang needs, in one zone');
+  assert.deepEqual(movedMachines(true), [], 'machines are rented instead while the cloud has some');
 });
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -1,4 +1,8 @@
-/** Which machines a scaling plan rents, moves and releases. */
+/**
+ * Which machines a scaling plan rents, moves and releases. Guards against releasing or moving machines that are needed
+ * where they are, renting more than is missing, rebalancing that never settles, and plans that take too long to
+ * compute for a large fleet.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nodeName } from '../src/core/model/ids.js';
@@ -8,29 +12,31 @@
 import { allocated, job, scalingPlan } from './planning.js';
 import { machine } from './samples.js';
 
-test('machines reserved for a gang are not released, and one without contact to its owner does not change shard', () => {
+test('machines reserved for a gang are not released, and a machine without contact with its owner is not moved', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 3, tier: 'urgent', vcpus: 14, samePlace: true });
-  const own = [machine('n-1', []), machine('n-2', [])];
-  assert.deepEqual(scalingPlan([gang], own).releases, []);
-  assert.equal(scalingPlan([], own).releases.length, 2);
-  const other = { ...machine('n-3', []), owner: nodeName('c-1') };
+  const ownMachines = [machine('n-1', []), machine('n-2', [])];
+  assert.deepEqual(scalingPlan([gang], ownMachines).releases, []);
+  assert.equal(scalingPlan([], ownMachines).releases.length, 2);
+  const otherShardMachine = { ...machine('n-3', []), owner: nodeName('c-1') };
   assert.deepEqual(
-    scalingPlan([gang], [...own, other]).moves.map((record) => record.machine.name),
+    scalingPlan([gang], [...ownMachines, otherShardMachine]).moves.map((move) => move.machine.name),
     ['n-3'],
   );
   assert.deepEqual(
-    scalingPlan([gang], [...own, other], { isMovable: (record) => record.owner === 'c-0' }).moves,
+    scalingPlan([gang], [...ownMachines, otherShardMachine], {
+      isMovable: (record) => record.owner === 'c-0',
+    }).moves,
     [],
   );
 });
 
-test('the plan for a grown fleet rents what is missing, once, and reads each machine a few times only', () => {
-  const full = job('wk-0', { shards: 4000, tenant: 'blue' });
+test('the plan for a large fleet rents the missing machines once and reads each machine only a few times', () => {
+  const runningJob = job('wk-0', { shards: 4000, tenant: 'blue' });
   let reads = 0;
   const fleet = [...Array(600).keys()].map((i) => {
     const record = machine(
       `n-${i}`,
-      [allocated(full, ...[0, 1, 2, 3].map((k) => i * 4 + k))],
+      [allocated(runningJob, ...[0, 1, 2, 3].map((k) => i * 4 + k))],
       i % 2 === 0 ? 'a' : 'b',
     );
     return new Proxy(record, {
@@ -42,37 +48,44 @@
   });
   const waiting = [...Array(300).keys()].map((i) => job(`wk-${i + 1}`, { shards: 10 }));
   const plan = scalingPlan(waiting, fleet, { isAvailable: () => true });
-  assert.equal(plan.rentals.length, 750, 'four tasks a machine');
+  assert.equal(plan.rentals.length, 750, 'four tasks fit on a machine');
   assert.deepEqual(plan.moves, []);
   // Full machines are excluded once, not for each job or task.
-  assert.ok(reads < 600 * 5, `${reads} reads`);
+  assert.ok(reads < 600 * 5, `${reads} reads of 600 machines`);
 });
 
-test('without capacity for all, shards are rebalanced by weight, a few machines at a time, and stay so', () => {
+test('while capacity is short, shards are rebalanced by weight, a few machines per plan, until they are stable', () => {
   const blue = job('wk-0', { shards: 4000, tenant: 'blue' });
   const red = job('wk-1', { shards: 4000 });
   const service = job('wk-2', { shards: 4, tenant: 'blue', shape: 'daemon' });
-  // As in a burst: blue came first, has all of a fleet of 900, and keeps it busy with its pending jobs.
+  // As after a burst of submissions: team blue came first, has all 900 machines and keeps them busy with pending jobs.
   let fleet: MachineRecord[] = [...Array(900).keys()].map((i) => ({
     ...machine(`n-${i}`, [allocated(i === 0 ? service : blue, ...[0, 1, 2, 3].map((k) => i * 4 + k))]),
     owner: nodeName('c-1'),
   }));
-  const count = () => fleet.filter((record) => record.owner === 'c-0').length;
-  const step = (jobs: JobRecord[], over: Partial<ScalingInput> = {}) => {
-    const { moves } = scalingPlan(jobs, fleet, over);
-    const to = new Map(moves.map((record) => [record.machine.name, record.to]));
-    assert.equal(to.size, moves.length);
-    fleet = fleet.map((record) => ({ ...record, owner: to.get(record.name) ?? record.owner }));
+  const redMachineCount = () => fleet.filter((record) => record.owner === 'c-0').length;
+  const applyPlan = (jobs: JobRecord[], overrides: Partial<ScalingInput> = {}) => {
+    const { moves } = scalingPlan(jobs, fleet, overrides);
+    const newShards = new Map(moves.map((move) => [move.machine.name, move.to]));
+    assert.equal(newShards.size, moves.length);
+    fleet = fleet.map((record) => ({ ...record, owner: newShards.get(record.name) ?? record.owner }));
     return moves.length;
   };
-  assert.equal(step([blue]), 0, 'nobody else waits');
-  assert.equal(step([blue, red], { isAvailable: () => true }), 0, 'more can be rented');
+  assert.equal(applyPlan([blue]), 0, 'no other team has pending jobs');
+  assert.equal(applyPlan([blue, red], { isAvailable: () => true }), 0, 'machines can be rented instead');
   let plans = 0;
-  for (let n = step([blue, red]); n > 0; n = step([blue, red])) {
-    assert.ok(n <= 2, `${n} moves in one plan`);
-    assert.ok(++plans < 240, 'it never converges');
+  for (let moved = applyPlan([blue, red]); moved > 0; moved = applyPlan([blue, red])) {
+    assert.ok(moved <= 2, `${moved} moves in one plan`);
+    assert.ok(++plans < 240, 'rebalancing does not converge');
   }
-  // Teams of equal weight and without an end to their work: half each, within what is not worth a move.
-  assert.ok(Math.abs(count() - 450) <= 2, `${count()} of 900`);
-  assert.equal(fleet[0]!.owner, 'c-1', 'a service has its machine for long');
+  // Teams of equal weight that both want more get half of the machines each, within the tolerance of rebalancing.
+  assert.ok(
+    Math.abs(redMachineCount() - 450) <= 2,
+    `the shard of team red has ${redMachineCount()} of 900 machines`,
+  );
+  assert.equal(
+    fleet[0]!.owner,
+    'c-1',
+    'a machine is not moved while it runs a service, which would keep it busy for long',
+  );
 });
