--- a/test/done-tasks.test.ts
+++ b/test/done-tasks.test.ts
@@ -1,4 +1,7 @@
-/** The set of done tasks of a job. */
+/**
+ * The set of done tasks of a job. An inexact set would run tasks twice or never; one without a bound would make a job's
+ * record larger than the state service accepts.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -16,7 +19,7 @@
 
 const spec = (fields: Record<string, unknown> = {}): JobSpec => jobFromWire(submission(fields) as never);
 
-test('done tasks are kept exactly, within the window, whatever their order', () => {
+test('the set contains exactly the tasks marked as done within the window, whatever their order', () => {
   fc.assert(
     fc.property(
       fc
@@ -49,7 +52,7 @@
   );
 });
 
-test("a job of 100,000 tasks keeps its record below the state service's limit", () => {
+test("the record of a job of 100,000 tasks stays below the state service's limit", () => {
   let set = NO_TASKS_DONE;
   const job = {
     spec: spec({ shards: 100_000 }),
@@ -57,12 +60,12 @@
     done: set,
     submitted: wallClockMs(0),
   };
-  const open = [...unfinishedTasks(job)];
-  assert.equal(open.length, TASK_WINDOW);
+  const unfinished = [...unfinishedTasks(job)];
+  assert.equal(unfinished.length, TASK_WINDOW);
   // Every second task is the worst case for the bitmap.
   set = markDone(
     set,
-    open.filter((i) => i % 2 === 1),
+    unfinished.filter((i) => i % 2 === 1),
   );
   assert.ok(JSON.stringify({ ...job, done: set }).length < 4096);
   assert.throws(() => markDone(set, [TASK_WINDOW]));
--- a/test/feasibility.test.ts
+++ b/test/feasibility.test.ts
@@ -1,4 +1,7 @@
-/** What a job's own constraints allow. */
+/**
+ * What a job's own constraints allow. Guards against placing tasks where their job does not allow it, and against
+ * accepting jobs that can never run.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -27,10 +30,14 @@
   assert.equal(allowsMachine(spec({ vault: 'b' }), machine), false);
   assert.equal(allowsMachine(spec({ loaner: false }), { ...machine, spot: true }), false);
   assert.equal(allowsMachine(spec({ loaner: true }), { ...machine, spot: true }), true);
-  assert.equal(allowsMachine(spec({ loaner: true }), machine), true, 'spot is not required');
+  assert.equal(
+    allowsMachine(spec({ loaner: true }), machine),
+    true,
+    'a job that may use spot machines may use others, too',
+  );
 });
 
-test('only a job whose tasks share a zone chooses one, and its allocated tasks decide which', () => {
+test('a zone is chosen only for a job whose tasks must share one, and its allocated tasks determine which', () => {
   const [a, b] = [zoneName('a'), zoneName('b')];
   const oneZone = spec({ samePlace: true });
   assert.deepEqual(zoneChoices(oneZone, [b, a, b]), [a, b]);
--- a/test/resources.test.ts
+++ b/test/resources.test.ts
@@ -1,10 +1,10 @@
-/** Resource vectors. */
+/** Rounding of resource vectors. A demand that is rounded down could allocate a machine beyond its capacity. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { demandVector } from '../src/core/model/resources.js';
 
-test('demands are rounded up and capacities down, so rounding never overfills a machine', () => {
+test('demands are rounded up to whole micro-units, apart from rounding errors of decimal fractions', () => {
   fc.assert(
     fc.property(fc.double({ min: 0.001, max: 500, noNaN: true }), (x) => {
       const demand = demandVector(x, x, x);
--- a/test/samples.ts
+++ b/test/samples.ts
@@ -1,4 +1,4 @@
-/** Samples that several tests use. */
+/** A sample submission, machine type, machine and platform settings for tests. */
 import { machineName, nodeName, typeName, zoneName } from '../src/core/model/ids.js';
 import type { MachineRecord, MachineType, Allocation } from '../src/core/model/machines.js';
 import { demandVector } from '../src/core/model/resources.js';
@@ -41,7 +41,7 @@
 };
 export const types = new Map([[type.name, type]]);
 
-/** A machine of that type which is up. */
+/** The record of a machine of type `m` in shard `c-0` that is up. */
 export const machine = (name: string, placed: readonly Allocation[], zone = 'a'): MachineRecord => ({
   name: machineName(name),
   type: type.name,
@@ -54,7 +54,7 @@
   since: wallClockMs(0),
 });
 
-/** The platform's settings of the first of three controllers in two zones. */
+/** The platform file of the first of three controllers in two zones. */
 export const platformSettings = `
 node = "c-0"
 area = "a"
--- a/test/shard-assignment.test.ts
+++ b/test/shard-assignment.test.ts
@@ -1,4 +1,7 @@
-/** Which controller holds which shard, and which shard a team belongs to. */
+/**
+ * Which controller holds which shard, and which shard a team belongs to. Guards against shards without a live holder,
+ * whose jobs nobody schedules, and against shards that flap between holders.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import type { ShardRecord } from '../src/core/model/cluster.js';
@@ -30,7 +33,7 @@
     ]),
   );
 
-/** The new holders by shard. */
+/** The new holder of each shard whose holder changes. */
 const newHolders = (
   live: readonly LiveController[],
   held: ReadonlyMap<string, ShardRecord>,
@@ -43,43 +46,43 @@
   );
 
 describe('shard holders', () => {
-  const own = heldBy({ 'c-0': 'c-0', 'c-1': 'c-1', 'c-2': 'c-2' });
+  const heldByDefault = heldBy({ 'c-0': 'c-0', 'c-1': 'c-1', 'c-2': 'c-2' });
   const all = ['c-0', 'c-1', 'c-2'].map((name) => controller(name));
 
-  test('each controller gets its own shard, and nothing changes while it holds it', () => {
+  test('each controller is assigned its own shard, and nothing changes while it holds that', () => {
     assert.deepEqual(newHolders(all, new Map()), { 'c-0': 'c-0', 'c-1': 'c-1', 'c-2': 'c-2' });
-    assert.deepEqual(newHolders(all, own), {});
-    assert.deepEqual(newHolders([], own), {});
+    assert.deepEqual(newHolders(all, heldByDefault), {});
+    assert.deepEqual(newHolders([], heldByDefault), {});
   });
 
-  test('the shard of a controller without a session goes to the one that holds fewest, else by name', () => {
-    assert.deepEqual(newHolders([all[1]!, all[2]!], own), { 'c-0': 'c-1' });
+  test('the shard of a controller without a session goes to the one with the fewest shards, the first by name on a tie', () => {
+    assert.deepEqual(newHolders([all[1]!, all[2]!], heldByDefault), { 'c-0': 'c-1' });
     const heldByOne = heldBy({ 'c-0': 'c-0', 'c-1': 'c-1', 'c-2': 'c-1' });
-    const young = controller('c-2', { sessionAgeS: 0 });
-    assert.deepEqual(newHolders([all[1]!, young], heldByOne), { 'c-0': 'c-2' });
+    const unsettled = controller('c-2', { sessionAgeS: 0 });
+    assert.deepEqual(newHolders([all[1]!, unsettled], heldByOne), { 'c-0': 'c-2' });
   });
 
-  test('a restarted controller is another holder and gets its shard anew', () => {
+  test('a restarted controller counts as another holder and is assigned its shard again', () => {
     const restarted = controller('c-0', { incarnation: incarnation('c-0-second'), sessionAgeS: 0 });
-    assert.deepEqual(newHolders([restarted, all[1]!, all[2]!], own), { 'c-0': 'c-0' });
+    assert.deepEqual(newHolders([restarted, all[1]!, all[2]!], heldByDefault), { 'c-0': 'c-0' });
   });
 
-  test('a shard returns to its own controller once that has settled', () => {
+  test('a shard returns to its default holder once that has had its session for the settling time', () => {
     const held = heldBy({ 'c-0': 'c-1', 'c-1': 'c-1', 'c-2': 'c-2' });
     assert.deepEqual(newHolders(all, held), { 'c-0': 'c-0' });
-    const young = controller('c-0', { sessionAgeS: SETTLED_S - 1 });
-    assert.deepEqual(newHolders([young, all[1]!, all[2]!], held), {});
+    const unsettled = controller('c-0', { sessionAgeS: SETTLED_S - 1 });
+    assert.deepEqual(newHolders([unsettled, all[1]!, all[2]!], held), {});
   });
 
-  test('a controller that does not reach its agents loses its shard, unless none reaches them', () => {
-    const cutOff = all.map((each) => ({ ...each, canReachAgents: false }));
-    assert.deepEqual(newHolders([cutOff[0]!, all[1]!, all[2]!], own), { 'c-0': 'c-1' });
-    assert.deepEqual(newHolders(cutOff, own), {});
+  test('a controller that cannot reach its agents loses its shard, unless no controller can', () => {
+    const disconnected = all.map((each) => ({ ...each, canReachAgents: false }));
+    assert.deepEqual(newHolders([disconnected[0]!, all[1]!, all[2]!], heldByDefault), { 'c-0': 'c-1' });
+    assert.deepEqual(newHolders(disconnected, heldByDefault), {});
   });
 });
 
 describe('shards of teams', () => {
-  test('teams without a shard go to the one with the smallest guarantees, the largest team first', () => {
+  test('teams without a shard go to the one with the smallest sum of guarantees, the largest team first', () => {
     const teams = [team('red', 1), team('blue', 8), team('green', 4), team('grey', 0)];
     const assigned = new Map([[teamName('red'), { owner: nodeName('c-0') }]]);
     assert.deepEqual(Object.fromEntries(assignTeamsToShards({ shards, teams, assigned })), {
@@ -89,7 +92,7 @@
     });
   });
 
-  test('a team whose shard does not exist any more is assigned anew', () => {
+  test('a team whose shard no longer exists is reassigned', () => {
     const teams = [team('red', 4)];
     const assigned = new Map([[teamName('red'), { owner: nodeName('c-9') }]]);
     assert.deepEqual([...assignTeamsToShards({ shards, teams, assigned }).keys()], ['red']);
