--- a/packages/warm-standby/test/loopback/cluster.ts
+++ b/packages/warm-standby/test/loopback/cluster.ts
@@ -12,37 +12,44 @@
 import type { Json } from '../../../../test/sim/sizes.js';
 import { StateService } from '../../../../test/sim/state-service.js';
 import { VirtualTime } from '../../../../test/sim/virtual-time.js';
-import { BUDGET, LIMITS, NODES, TEAMS, ZONES, platformFile } from './cluster-settings.js';
+import {
+  STATE_BUDGET,
+  AGENT_TIMINGS,
+  NODES,
+  TEAMS,
+  ZONES,
+  platformSettingsToml,
+} from './cluster-settings.js';
 import { ControllerProcess } from './controller-process.js';
 import { freePort, jsonServer, listen } from './json-server.js';
 import { Link, type Address } from './link.js';
 
-/** How often simulated time catches up with real time. */
+/** Interval at which simulated time catches up with real time. */
 const TICK_MS = 4;
-/** How often a condition that is waited for is checked. */
+/** Interval at which `until` checks its condition. */
 const POLL_MS = 20;
 const HEARTBEAT_TIMEOUT_MS = 4500;
-/** Longer than any client waits. */
+/** Longer than any client of the state service waits for an answer. */
 const WATCH_TIMEOUT_MS = 60_000;
-/** Servers for direct commands; an agent's name decides which one it shares. */
+/** Number of servers for direct commands; agents share them by their names. */
 const AGENT_SERVERS = 160;
 
-/** Gets what the simulated agents observe, for measurements. */
+/** Is told what the simulated agents observe, for measurements. */
 export interface AgentObserver {
-  /** A controller answered a heartbeat with its fencing token. */
+  /** A controller has answered a heartbeat with this fencing token. */
   readonly answered: (agent: SimulatedAgent, node: string, token: number) => void;
-  /** An answer started a task. */
+  /** The answer to a heartbeat has started a task. */
   readonly started: (agent: SimulatedAgent) => void;
 }
 
-/** Real controllers with the simulated services that they need, in real time. */
+/** Controller processes and the simulated services that they need, in real time. */
 export class LoopbackCluster {
   readonly time = new VirtualTime(1);
   readonly state: StateService;
   readonly simulatedCluster: SimulatedCluster;
   readonly controllers = new Map<string, ControllerProcess>();
   readonly directory = mkdtempSync(path.join(os.tmpdir(), 'pepperbank-loopback-'));
-  /** The first violated invariant, or failure of a simulated service. */
+  /** The first violated invariant, or first failure of a simulated service or user; null: none. */
   failed: Error | null = null;
   agentObserver: AgentObserver | null = null;
   private readonly servers: http.Server[] = [];
@@ -50,15 +57,15 @@
   private isRunning = true;
   private readonly agentAddresses: string[] = [];
 
-  constructor(perZone: number) {
-    this.state = new StateService(this.time, BUDGET);
+  constructor(machinesPerZone: number) {
+    this.state = new StateService(this.time, STATE_BUDGET);
     this.state.pageRows = 500;
     this.simulatedCluster = new SimulatedCluster({
       time: this.time,
       nodes: NODES,
-      limits: LIMITS,
+      limits: AGENT_TIMINGS,
       quota: TEAMS,
-      machinesPerZone: perZone,
+      machinesPerZone,
       sendToController: (agent, node, heartbeat, done) => {
         void this.sendHeartbeat(agent, node, heartbeat, done);
       },
@@ -79,14 +86,14 @@
     });
     this.servers.push(cloud);
     const cloudPort = await listen(cloud);
-    const internal = new Map<string, Address>();
+    const internalAddresses = new Map<string, Address>();
     for (const [i, name] of NODES.entries()) {
       const host = `127.0.0.${11 + i}`;
-      internal.set(name, { host, port: await freePort(host) });
+      internalAddresses.set(name, { host, port: await freePort(host) });
     }
     writeFileSync(path.join(this.directory, 'operator.toml'), operator);
-    for (const name of NODES) await this.addController(name, cloudPort, internal);
-    void this.runTime();
+    for (const name of NODES) await this.addController(name, cloudPort, internalAddresses);
+    void this.runInRealTime();
     for (const controller of this.controllers.values()) controller.start();
   }
 
@@ -104,35 +111,44 @@
     }
   }
 
-  /** Partitions a controller from everybody, or ends its partition. */
+  /** Partitions a controller from the state service, other controllers and heartbeats of agents, or ends the partition. */
   setPartitioned(name: string, isPartitioned: boolean): void {
     this.controllers.get(name)!.isPartitioned = isPartitioned;
     for (const { from, to, link } of this.links)
       if (from === name || to === name) link.isPartitioned = isPartitioned;
   }
 
-  /** The holder of a shard as the state service has it, and its epoch. */
+  /** Holder and epoch of a shard in its stored record; null: it has no record. */
   holderOf(shard: string): { holder: string; epoch: number } | null {
     const row = this.state.rows.get(key.shard(shard));
     if (row === undefined) return null;
     return { holder: (row.value as { holder: string }).holder, epoch: row.revision };
   }
 
-  /** Waits until a condition holds; throws after the time, or when an invariant was violated. */
-  async until(what: string, holds: () => boolean | Promise<boolean>, timeoutMs = 90_000): Promise<void> {
-    const end = performance.now() + timeoutMs;
-    while (!(await holds())) {
+  /** Waits until the condition holds; throws `failed`, or an error if a controller has exited or `timeoutMs` is over. */
+  async until(
+    description: string,
+    condition: () => boolean | Promise<boolean>,
+    timeoutMs = 90_000,
+  ): Promise<void> {
+    const deadline = performance.now() + timeoutMs;
+    while (!(await condition())) {
       if (this.failed !== null) throw this.failed;
       for (const controller of this.controllers.values())
-        if (controller.hasExited) throw new Error(`${controller.name} has exited; logs in ${this.directory}`);
-      if (performance.now() > end)
-        throw new Error(`not within ${timeoutMs} ms: ${what}; logs in ${this.directory}`);
+        if (controller.hasExited)
+          throw new Error(
+            `controller ${controller.name} exited without being killed; logs in ${this.directory}`,
+          );
+      if (performance.now() > deadline)
+        throw new Error(
+          `condition not met within ${timeoutMs} ms: ${description}; logs in ${this.directory}`,
+        );
       await sleep(POLL_MS);
     }
   }
 
-  /** Lets simulated time follow real time. */
-  private async runTime(): Promise<void> {
+  /** Lets simulated time follow real time until `stop`. */
+  private async runInRealTime(): Promise<void> {
     const start = performance.now();
     while (this.isRunning) {
       try {
@@ -190,17 +206,17 @@
   private async addController(
     name: string,
     cloudPort: number,
-    internal: ReadonlyMap<string, Address>,
+    internalAddresses: ReadonlyMap<string, Address>,
   ): Promise<void> {
     const state = this.stateServer(() => this.controllers.get(name)!);
-    // A watch may stay open for longer than the server's default timeout.
+    // The server must not close a watch before its client stops waiting, whatever the server's default timeout is.
     state.requestTimeout = WATCH_TIMEOUT_MS;
     this.servers.push(state);
-    const own = internal.get(name)!;
+    const own = internalAddresses.get(name)!;
     const others: string[] = [];
     for (const [i, other] of NODES.entries()) {
       if (other === name) continue;
-      const link = new Link(internal.get(other)!);
+      const link = new Link(internalAddresses.get(other)!);
       await link.open();
       this.links.push({ from: name, to: other, link });
       others.push(
@@ -208,7 +224,7 @@
       );
     }
     const bind = `127.0.0.1:${await freePort('127.0.0.1')}`;
-    const settings = platformFile({
+    const settings = platformSettingsToml({
       name,
       zone: ZONES[NODES.indexOf(name) % 2]!,
       bind,
@@ -227,7 +243,7 @@
   }
 }
 
-/** The index of the server that takes an agent's direct commands. */
+/** Index of the server that receives an agent's direct commands. */
 function agentServerOf(name: string): number {
   return Number(name.slice('n-'.length)) % AGENT_SERVERS;
 }
--- a/packages/warm-standby/test/loopback/controller-process.ts
+++ b/packages/warm-standby/test/loopback/controller-process.ts
@@ -1,14 +1,14 @@
-/** Controller processes of a loopback cluster. */
+/** Processes of the controllers of a loopback cluster. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { openSync } from 'node:fs';
 import { HttpClient, type HttpResponse, type Method } from '../../../../src/io/http-client.js';
 
-/** The process of a controller, which can be killed, restarted and paused. */
+/** One controller's process; it can be killed, restarted, paused and resumed. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
-  /** It reaches nobody, and nobody reaches it. */
+  /** The state service does not answer this controller, and it gets no heartbeats; see `LoopbackCluster.setPartitioned`. */
   isPartitioned = false;
-  /** It has exited without being killed. */
+  /** The process has exited without a call of `kill`. */
   hasExited = false;
   readonly client: HttpClient;
 
@@ -57,7 +57,7 @@
     this.child?.kill('SIGCONT');
   }
 
-  /** Sends a request; null where no answer comes in time. */
+  /** Sends a request to the controller; null if it fails or is not answered within `timeoutMs`. */
   async ask(method: Method, url: string, body?: unknown, timeoutMs = 5000): Promise<HttpResponse | null> {
     try {
       return await this.client.request(method, url, body, timeoutMs);
--- a/packages/warm-standby/test/loopback/json-server.ts
+++ b/packages/warm-standby/test/loopback/json-server.ts
@@ -1,14 +1,14 @@
-/** Servers on loopback for the simulated services. */
+/** HTTP servers on loopback for the simulated services, and free ports. */
 import { randomInt } from 'node:crypto';
 import http from 'node:http';
 import net, { type AddressInfo } from 'node:net';
 import type { HttpResponse } from '../../../../src/io/http-client.js';
 
 const LOOPBACK = '127.0.0.1';
-/** Below the ports that the system gives to outgoing connections, any of which may take a free one in between. */
+/** Below the ephemeral ports: an outgoing connection might take one of those between the check and its use. */
 const LISTEN_PORTS = { min: 12_000, end: 30_000 };
 
-/** Answers a request by calling `reply`, or never. */
+/** Answers a request by calling `reply`, or leaves it unanswered by not calling it. */
 export type JsonHandler = (
   method: string,
   url: string,
@@ -16,13 +16,13 @@
   reply: (response: HttpResponse) => void,
 ) => void;
 
-/** Listens on any free port and returns it. */
+/** Listens on a free port that the system chooses, and returns the port. */
 export async function listen(server: net.Server, host = LOOPBACK): Promise<number> {
   await new Promise<void>((resolve) => server.listen(0, host, resolve));
   return (server.address() as AddressInfo).port;
 }
 
-/** A free port that a process can listen on anew after a restart. */
+/** A free port that a process can listen on, also again after a restart. */
 export async function freePort(host: string): Promise<number> {
   for (;;) {
     const port = randomInt(LISTEN_PORTS.min, LISTEN_PORTS.end);
@@ -44,7 +44,7 @@
   return isListening;
 }
 
-/** An HTTP server of JSON requests and answers. */
+/** An HTTP server that takes and answers JSON. */
 export function jsonServer(handle: JsonHandler): http.Server {
   return http.createServer((request, response) => {
     const chunks: Buffer[] = [];
--- a/packages/warm-standby/test/loopback/link.ts
+++ b/packages/warm-standby/test/loopback/link.ts
@@ -2,16 +2,16 @@
 import net from 'node:net';
 import { listen } from './json-server.js';
 
-/** Where a link leads. */
+/** Host and port that a link connects to. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** Forwards bytes both ways; while it is partitioned they are dropped and connections stay open. */
+/** Forwards bytes both ways. While the link is partitioned it drops them, and connections stay open. */
 export class Link {
   isPartitioned = false;
-  /** The port to connect to, once the link is open. */
+  /** Port on 127.0.0.1 at which the link accepts connections; 0 before `open`. */
   port = 0;
   private readonly server = net.createServer((socket) => {
     const target = net.connect(this.target.port, this.target.host);
--- a/packages/warm-standby/test/loopback/users.ts
+++ b/packages/warm-standby/test/loopback/users.ts
@@ -1,4 +1,4 @@
-/** Users of a loopback cluster: they submit, poll and retry, and the history of the answers is checked. */
+/** Simulated users of a loopback cluster: they submit, poll and retry, and check the states that they are answered. */
 import assert from 'node:assert/strict';
 import { submission } from '../../../../test/samples.js';
 import { newJob, type SubmittedJob } from '../../../../test/sim/submitted-job.js';
@@ -8,26 +8,26 @@
 const RETRY_MS = 300;
 const POLL_MS = 700;
 
-/** Submits jobs and checks the states that controllers answer. */
+/** Submits jobs, polls them until their final states, and checks every state that is answered. */
 export class Users {
-  /** How long each submission took to be accepted, with its retries. */
+  /** Milliseconds until each submission was accepted, retries included; `at`: when it began, by `performance.now()`. */
   readonly acceptedAfterMs: { readonly at: number; readonly ms: number }[] = [];
-  answers = 0;
+  answerCount = 0;
   failed: Error | null = null;
-  private jobs = 0;
+  private submittedCount = 0;
   private isSubmitting = true;
 
   constructor(private readonly cluster: LoopbackCluster) {}
 
-  /** Submits a job about every so many milliseconds until `stop`. */
-  async run(everyMs: number): Promise<void> {
+  /** Submits a job about every `intervalMs` until `stop`. */
+  async run(intervalMs: number): Promise<void> {
     while (this.isSubmitting) {
       this.submit().catch((e: unknown) => {
         this.failed ??= e instanceof Error ? e : new Error(String(e));
-        // A test that waits for a condition fails at once.
+        // Tests that wait in `LoopbackCluster.until` fail at once.
         this.cluster.failed ??= this.failed;
       });
-      await sleep(everyMs);
+      await sleep(intervalMs);
     }
   }
 
@@ -35,7 +35,7 @@
     this.isSubmitting = false;
   }
 
-  /** Accepted jobs without an observed final state. */
+  /** Ids of accepted jobs whose final state was not observed yet. */
   open(): string[] {
     return [...this.cluster.simulatedCluster.submitted]
       .filter(([, j]) => j.accepted && j.observedFinalState === null)
@@ -44,12 +44,12 @@
 
   private async submit(): Promise<void> {
     const { time, simulatedCluster } = this.cluster;
-    const id = `wk-${String(++this.jobs).padStart(6, '0')}`;
-    const isGang = this.jobs % 5 === 0;
+    const id = `wk-${String(++this.submittedCount).padStart(6, '0')}`;
+    const isGang = this.submittedCount % 5 === 0;
     const tasks = isGang ? 2 : time.int(1, 3);
     const body = submission({
       nameId: id,
-      tenant: ['red', 'blue', 'green'][this.jobs % 3],
+      tenant: ['red', 'blue', 'green'][this.submittedCount % 3],
       shape: isGang ? 'ensemble' : 'sweep',
       shards: tasks,
       vcpus: 2,
@@ -67,26 +67,26 @@
     const start = performance.now();
     while (!job.accepted) {
       const reply = await this.anyController().ask('POST', '/v1/jobs', body);
-      assert.ok(reply?.status !== 400 && reply?.status !== 422, `${id} is possible and was refused`);
+      assert.ok(reply?.status !== 400 && reply?.status !== 422, `the valid job ${id} was rejected`);
       job.accepted = reply?.status === 201 || reply?.status === 200;
       if (!job.accepted) await sleep(RETRY_MS);
     }
     this.acceptedAfterMs.push({ at: start, ms: performance.now() - start });
-    await this.follow(id, job);
+    await this.pollUntilFinal(id, job);
   }
 
-  private async follow(id: string, job: SubmittedJob): Promise<void> {
+  private async pollUntilFinal(id: string, job: SubmittedJob): Promise<void> {
     while (job.observedFinalState === null) {
       await sleep(POLL_MS);
       const reply = await this.anyController().ask('GET', `/v1/jobs/${id}`, undefined, 2000);
       assert.notEqual(reply?.status, 404, `forgotten: ${id}`);
-      // PROTOCOL: after any status but 200 and 404, or none, the user asks again. One that was paused answers what it finds
-      // buffered with 408.
+      // By the users' protocol a user asks again after any status other than 200 and 404, and without an answer. A
+      // controller answers requests that were buffered while it was paused with 408.
       if (reply?.status !== 200) continue;
-      this.answers++;
+      this.answerCount++;
       this.recordObservedState(id, job, (reply.body as { standing: string }).standing);
     }
-    // A final state is permanent, at every controller.
+    // A final state is permanent: every controller must answer the same.
     await sleep(POLL_MS);
     const reply = await this.anyController().ask('GET', `/v1/jobs/${id}`, undefined, 2000);
     if (reply?.status === 200)
@@ -96,7 +96,7 @@
   private recordObservedState(id: string, job: SubmittedJob, standing: string): void {
     if (job.observedFinalState !== null) assert.equal(standing, job.observedFinalState, `went_back: ${id}`);
     if (standing !== 'done') {
-      assert.notEqual(standing, 'withdrawn', `${id} was cancelled by nobody`);
+      assert.notEqual(standing, 'withdrawn', `${id} is withdrawn although nobody cancelled it`);
       return;
     }
     assert.equal(job.doneTasks.size, job.tasks, `not_done: ${id}`);
