--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -1,4 +1,8 @@
-/** What a takeover rests on: guarded transactions, and standbys that believe neither strangers nor former holders. */
+/**
+ * Fencing of failovers. Guards against two holders of one shard: a former holder that goes on acting, and a failover on an
+ * outdated view, after the shard or the holder's session has changed. Also guards against standbys that apply replication
+ * messages of unknown senders or of former holders.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
@@ -13,111 +17,123 @@
 import type { SimulatedController } from '../../../test/sim/simulated-controller.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
-import { shown, standby } from './standbys.js';
+import { standbyStatusOf, standby } from './standbys.js';
 
 const transferOf = ({ controller }: SimulatedController) =>
   new ShardTransfer(controller!.context, controller!.membership);
 const factOf = ({ controller }: SimulatedController, shard: NodeName) =>
   new ViewCommittedFacts(controller!.context).shard(shard)!;
 
-/** The outcome of what a controller does, while the run goes on. */
+/** Lets time pass until `work` is done; returns the kind of its outcome. */
 const outcomeOf = async (simulation: Simulation, work: () => Promise<ShardTransferOutcome>) =>
   (await answered(simulation, work())).kind;
 
-async function threeNodes() {
+/** A run with a shard's holder and a candidate for its failover, neither of them the leader. */
+async function runWithHolderAndCandidate() {
   const simulation = await runUntilBusy(3);
-  const [victim, taker] = allControllers(simulation).filter((node) => node !== currentLeader(simulation)) as [
-    SimulatedController,
-    SimulatedController,
-  ];
-  return { simulation, victim, taker, shard: nodeName(victim.name) };
+  const [holder, candidate] = allControllers(simulation).filter(
+    (node) => node !== currentLeader(simulation),
+  ) as [SimulatedController, SimulatedController];
+  return { simulation, holder, candidate, shard: nodeName(holder.name) };
 }
 
 describe('fencing of the former holder of a shard', () => {
-  it("a failover ends session and leadership of the holder, even where its lease can't be revoked", async () => {
+  // A paused holder would otherwise go on under its session and its leadership when it resumes.
+  it("a failover ends session and leadership of the former holder, even if its lease can't be revoked", async () => {
     const simulation = await runUntilBusy(3);
-    const victim = currentLeader(simulation);
-    const taker = allControllers(simulation).find((node) => node !== victim)!;
-    const shard = nodeName(victim.name);
-    const fact = factOf(taker, shard);
-    victim.clock.pause();
-    const before = [...simulation.state.rows.keys()].filter(
-      (k) => k === key.session(victim.name) || k === key.leader,
+    const holder = currentLeader(simulation);
+    const candidate = allControllers(simulation).find((node) => node !== holder)!;
+    const shard = nodeName(holder.name);
+    const fact = factOf(candidate, shard);
+    holder.clock.pause();
+    const ownRecords = [...simulation.state.rows.keys()].filter(
+      (k) => k === key.session(holder.name) || k === key.leader,
     );
-    assert.equal(before.length, 2);
-    taker.controller!.context.state.revokeLease = () => Promise.reject(new UnavailableError('revoke'));
-    assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(fact)), 'committed');
-    assert.equal(holderOf(simulation, shard), taker.name);
-    assert.equal(simulation.state.rows.has(key.session(victim.name)), false);
+    assert.equal(ownRecords.length, 2);
+    candidate.controller!.context.state.revokeLease = () => Promise.reject(new UnavailableError('revoke'));
+    assert.equal(await outcomeOf(simulation, () => transferOf(candidate).failOver(fact)), 'committed');
+    assert.equal(holderOf(simulation, shard), candidate.name);
+    assert.equal(simulation.state.rows.has(key.session(holder.name)), false);
     assert.notEqual(
       (simulation.state.rows.get(key.leader)?.value as { node: string } | undefined)?.node,
-      victim.name,
+      holder.name,
     );
-    victim.clock.resume();
+    holder.clock.resume();
     await advance(simulation, 8000);
   });
 });
 
 describe('rejected failovers', () => {
-  it('a failover is rejected when the shard has another holder meanwhile', async () => {
-    const { simulation, victim, taker, shard } = await threeNodes();
-    const fact = factOf(taker, shard);
+  it('a failover is rejected if the shard has got another holder meanwhile', async () => {
+    const { simulation, holder, candidate, shard } = await runWithHolderAndCandidate();
+    const fact = factOf(candidate, shard);
     const other = currentLeader(simulation);
     assert.equal(
       await outcomeOf(simulation, () => transferOf(other).failOver(factOf(other, shard))),
       'committed',
     );
-    assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(fact)), 'overtaken');
-    assert.notEqual(holderOf(simulation, shard), taker.name);
-    assert.ok(victim.controller !== null);
+    assert.equal(await outcomeOf(simulation, () => transferOf(candidate).failOver(fact)), 'overtaken');
+    assert.notEqual(holderOf(simulation, shard), candidate.name);
+    assert.ok(holder.controller !== null);
   });
 
   it('a holder that has restarted meanwhile keeps its shard', async () => {
-    const { simulation, victim, taker, shard } = await threeNodes();
-    const fact = factOf(taker, shard);
-    // The new process has written its session, and the taker's view lags behind.
-    taker.watchLagMs = 3000;
-    victim.crash();
-    victim.start();
-    for (let i = 0; i < 100 && holderOf(simulation, shard) === victim.name; i++) {
-      const session = simulation.state.rows.get(key.session(victim.name))?.value as
+    const { simulation, holder, candidate, shard } = await runWithHolderAndCandidate();
+    const fact = factOf(candidate, shard);
+    // The candidate's view lags by 3 s, so it does not show the session that the new process has written.
+    candidate.watchLagMs = 3000;
+    holder.crash();
+    holder.start();
+    for (let i = 0; i < 100 && holderOf(simulation, shard) === holder.name; i++) {
+      const session = simulation.state.rows.get(key.session(holder.name))?.value as
         { incarnation?: string } | undefined;
       if (session?.incarnation !== undefined && session.incarnation !== fact.incarnation) break;
       await advance(simulation, 10);
     }
     const shardRow = simulation.state.rows.get(key.shard(shard))!;
-    // As if the new process had not renewed its shard yet: then only its session prevents the failover.
-    const asSeen = { ...fact, epoch: version(shardRow.revision) };
-    assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(asSeen)), 'overtaken');
-    assert.equal(holderOf(simulation, shard), victim.name);
-    taker.watchLagMs = 0;
+    // The shard's current version, as if the new process had not renewed its shard yet: only the guard on the holder's
+    // session can reject the failover.
+    const observedFact = { ...fact, epoch: version(shardRow.revision) };
+    assert.equal(
+      await outcomeOf(simulation, () => transferOf(candidate).failOver(observedFact)),
+      'overtaken',
+    );
+    assert.equal(holderOf(simulation, shard), holder.name);
+    candidate.watchLagMs = 0;
   });
 
-  it('a controller without a session fails over no shard', async () => {
-    const { simulation, taker, shard } = await threeNodes();
-    const fact = factOf(taker, shard);
-    taker.unreachable.add('state');
+  it('a controller without a valid session can fail over no shard', async () => {
+    const { simulation, candidate, shard } = await runWithHolderAndCandidate();
+    const fact = factOf(candidate, shard);
+    candidate.unreachable.add('state');
     await advance(simulation, 4000);
-    assert.equal(await outcomeOf(simulation, () => transferOf(taker).failOver(fact)), 'unavailable');
-    assert.notEqual(holderOf(simulation, shard), taker.name);
+    assert.equal(await outcomeOf(simulation, () => transferOf(candidate).failOver(fact)), 'unavailable');
+    assert.notEqual(holderOf(simulation, shard), candidate.name);
   });
 });
 
 describe('authentication of replication messages', () => {
-  it('a standby rejects messages of unknown senders and of a former holder of the shard', async () => {
-    const domains = [
+  it('messages of unknown senders and of former holders are rejected, and so are malformed ones', async () => {
+    const failureDomains = [
       { name: 'one', networks: ['10.0.0.0/32', '10.0.0.2/32'] },
       { name: 'two', networks: ['10.0.0.1/32'] },
     ];
-    const simulation = await runUntilBusy(3, undefined, standby({ failure_domains: domains }));
-    // A controller without a replica of the shard, so that it does not know the epoch from one.
+    const simulation = await runUntilBusy(3, undefined, standby({ failure_domains: failureDomains }));
+    // The receiver has no replica of the shard, so it knows the shard's epoch from its view only.
     const shard = nodeName(currentLeader(simulation).name);
     const receiver = allControllers(simulation).find((node) =>
-      shown(node).slices.some((s) => s.slice === shard && s.role === 'none'),
+      standbyStatusOf(node).slices.some((s) => s.slice === shard && s.role === 'none'),
     )!;
     const { epoch } = factOf(receiver, shard);
-    const send = async (from: string, of: typeof epoch) => {
-      const payload = encodeAppend({ node: shard, shard, epoch: of, first: 1, entries: [], head: 0 });
+    const send = async (from: string, messageEpoch: typeof epoch) => {
+      const payload = encodeAppend({
+        node: shard,
+        shard,
+        epoch: messageEpoch,
+        first: 1,
+        entries: [],
+        head: 0,
+      });
       const reply = await receiver.controller!.channel.answer(TOPIC.append, payload, from);
       return decodeAcknowledgement(reply!).status;
     };
@@ -134,7 +150,7 @@
       await receiver.controller!.channel.answer('another.topic', new Uint8Array([1]), '10.0.0.1'),
       null,
     );
-    const { rejectedMessages } = shown(receiver);
+    const { rejectedMessages } = standbyStatusOf(receiver);
     assert.ok(rejectedMessages['refused']! >= 1 && rejectedMessages['malformed']! >= 1);
   });
 });
--- a/packages/warm-standby/test/loopback.test.ts
+++ b/packages/warm-standby/test/loopback.test.ts
@@ -1,4 +1,7 @@
-/** The built program with warm standbys and tracing: controllers are killed, paused and drained under load. */
+/**
+ * The built program with warm standbys and tracing, as real processes. Guards against failures that simulated runs can't
+ * show, in bundles, sockets, signals and real time: controllers are killed, paused and drained under load.
+ */
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
@@ -9,7 +12,8 @@
 import { Users } from './loopback/users.js';
 import type { Shown } from './standbys.js';
 
-const OPERATOR = (directory: string) => `
+/** Content of the operators' file: both plug-ins are enabled, and every job is traced to a file. */
+const operatorSettings = (directory: string) => `
 [slices]
 settled_s = 3.0
 [packages.warm_standby.takeover]
@@ -24,76 +28,78 @@
   readonly packages: { readonly warm_standby: Shown };
 }
 
+/** The plug-in's part of a controller's status; null if the controller does not answer with 200. */
 const statusOf = async (cluster: LoopbackCluster, node: string): Promise<Shown | null> => {
   const reply = await cluster.controllers.get(node)!.ask('GET', '/v1/status');
   return reply?.status === 200 ? (reply.body as Status).packages.warm_standby : null;
 };
 
-/** The operators' command, as they run it. */
-const handover = (address: string) =>
+/** Runs the command `handover` of the built program, as operators do. */
+const runHandover = (address: string) =>
   new Promise<{ code: number; out: string }>((resolve) => {
     execFile(process.execPath, ['target/main.cjs', 'handover', '--address', address], (e, out, err) => {
       resolve({ code: e === null ? 0 : Number(e.code), out: out + err });
     });
   });
 
-/** The names of all spans so far. */
+/** The names of all spans in the span file so far. */
 function tracedNames(cluster: LoopbackCluster): Set<string> {
   const file = path.join(cluster.directory, 'spans.jsonl');
   const lines = existsSync(file) ? readFileSync(file, 'utf8').trim().split('\n') : [];
   return new Set(lines.map((l) => (JSON.parse(l) as { name: string }).name));
 }
 
-/** Whether every shard is with its own controller and has a warm standby, as all controllers see it. */
+/** Whether every shard is held by its own controller and has a warm standby, by the status of all controllers. */
 async function isSettled(cluster: LoopbackCluster): Promise<boolean> {
   for (const node of NODES) {
     const status = await statusOf(cluster, node);
     if (status?.slices.length !== NODES.length) return false;
-    const isWell = status.slices.every(
+    const isSettledHere = status.slices.every(
       (s) =>
         s.active === s.slice &&
         (s.role !== 'holder' || s.followers?.some((f) => f.status === 'following')) &&
         (s.role !== 'standby' || s.warm === true),
     );
-    if (!isWell) return false;
+    if (!isSettledHere) return false;
   }
   return true;
 }
 
 describe('warm standbys with real processes', () => {
-  it('kills, pauses and a handover under load: no task runs twice, no job is lost, no reported state regresses', async () => {
+  it('kills, a pause and a handover under load: no task runs twice, no job is lost, no reported state regresses', async () => {
     const cluster = new LoopbackCluster(14);
     const users = new Users(cluster);
-    const settled = () => cluster.until('settled', () => isSettled(cluster));
-    const moved = (node: string) =>
+    const untilSettled = () =>
+      cluster.until('every shard has its own controller and a warm standby', () => isSettled(cluster));
+    const untilFailedOver = (node: string) =>
       cluster.until(`the shard of ${node} has another holder`, () => cluster.holderOf(node)?.holder !== node);
     try {
-      await cluster.start(OPERATOR(cluster.directory));
-      await settled();
+      await cluster.start(operatorSettings(cluster.directory));
+      await untilSettled();
       void users.run(120);
       await cluster.until('work is under way', () => cluster.simulatedCluster.starts > 20);
       const [first, second, third] = NODES.map((node) => cluster.controllers.get(node)!);
 
       await first!.kill();
-      await moved(first!.name);
+      await untilFailedOver(first!.name);
       const startsBefore = cluster.simulatedCluster.starts;
       await cluster.until('work goes on', () => cluster.simulatedCluster.starts > startsBefore + 20);
       first!.start();
-      await settled();
+      await untilSettled();
 
       second!.pause();
-      await moved(second!.name);
+      await untilFailedOver(second!.name);
       second!.resume();
-      await settled();
+      await untilSettled();
 
-      const { code, out } = await handover(third!.address);
+      const { code, out } = await runHandover(third!.address);
       assert.equal(code, 0, out);
       assert.match(out, /"handedOver": \[\n/);
       assert.notEqual(cluster.holderOf(third!.name)?.holder, third!.name);
       await cluster.until('the handover is traced', () => tracedNames(cluster).has('handover'));
       await third!.kill();
       third!.start();
-      await settled();
+      await untilSettled();
 
       users.stop();
       await cluster.until('all jobs are over', () => users.open().length === 0, 180_000);
--- a/packages/warm-standby/test/random-faults.test.ts
+++ b/packages/warm-standby/test/random-faults.test.ts
@@ -1,14 +1,18 @@
-/** Random sequences of faults with warm standbys: the invariants are checked after each step, and in the end no job is lost. */
+/**
+ * Random faults with two standbys a shard. Guards against interleavings that no written scenario covers, such as a failover
+ * while the holder resumes from a pause, or a handover during a partition. The invariants are checked after each step, and
+ * all jobs must finish after the last fault.
+ */
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
 import { expectAllJobsFinish, runUntilBusy } from '../../../test/sim/fault-scenario.js';
 import { injectFaults } from '../../../test/sim/faults.js';
 import { advance, allControllers } from '../../../test/sim/run-helpers.js';
 import type { Dependency, SimulatedController } from '../../../test/sim/simulated-controller.js';
-import { handover, standby } from './standbys.js';
+import { requestHandover, standby } from './standbys.js';
 
-/** Sequences of faults of one controller each; they may overlap. */
-const faults = fc.array(
+/** Each fault affects one controller. It begins up to 3 s after the one before and lasts up to 9 s, so faults overlap. */
+const faultSequences = fc.array(
   fc.record({
     kind: fc.constantFrom('kill', 'pause', 'cut_peers', 'cut_state', 'cut_off', 'handover'),
     node: fc.nat(2),
@@ -18,6 +22,7 @@
   { minLength: 1, maxLength: 6 },
 );
 
+/** Begins a fault and returns the function that ends it. */
 function beginFault(node: SimulatedController, kind: string): () => void {
   const partition = (...from: Dependency[]) => {
     for (const dependency of from) node.unreachable.add(dependency);
@@ -44,25 +49,25 @@
     case 'cut_off':
       return partition('state', 'workers', 'peers');
     default:
-      if (node.controller !== null) void handover(node).catch(() => undefined);
+      if (node.controller !== null) void requestHandover(node).catch(() => undefined);
       return () => undefined;
   }
 }
 
 describe('invariants through random faults with warm standbys', () => {
-  it('any sequence of faults violates no invariant and loses no job', async () => {
+  it('any sequence of faults of controllers violates no invariant and loses no job', async () => {
     await fc.assert(
-      fc.asyncProperty(faults, async (list) => {
+      fc.asyncProperty(faultSequences, async (sequence) => {
         const simulation = await runUntilBusy(5, undefined, standby({ degree: 2 }));
-        const ended: (() => void)[] = [];
-        for (const { kind, node, afterMs, forMs } of list) {
+        const endings: (() => void)[] = [];
+        for (const { kind, node, afterMs, forMs } of sequence) {
           await advance(simulation, afterMs);
           const end = beginFault(allControllers(simulation)[node]!, kind);
-          ended.push(end);
+          endings.push(end);
           simulation.time.after(forMs, end);
         }
         await advance(simulation, 9000);
-        for (const end of ended) end();
+        for (const end of endings) end();
         for (const node of allControllers(simulation)) {
           node.clock.resume();
           node.unreachable.clear();
@@ -74,7 +79,7 @@
     );
   });
 
-  it('overlapping random faults violate no invariant and lose no job', async () => {
+  it('overlapping random faults of controllers, agents and state service violate no invariant and lose no job', async () => {
     for (const seed of [21, 22, 23, 24]) {
       const simulation = await runUntilBusy(seed, undefined, standby({ degree: 2 }));
       try {
--- a/packages/warm-standby/test/standbys.ts
+++ b/packages/warm-standby/test/standbys.ts
@@ -1,4 +1,4 @@
-/** Seeded runs with the package enabled: its options, scaled as everything else is there, and what tests ask of it. */
+/** Helpers of simulated runs with warm standbys: options scaled to the timings of these runs, status and handover requests. */
 import assert from 'node:assert/strict';
 import type { PlatformSettings } from '../../../src/config/platform-settings.js';
 import type { LoadedPlugin } from '../../../src/plugin-host/api.js';
@@ -8,22 +8,22 @@
 import type { Simulation } from '../../../test/sim/simulation.js';
 import { servicePackage } from '../src/index.js';
 
-/** A session lives for 2 s in these runs, so that detection has to be faster than that. */
-export const OPTIONS = {
+/** Options of warm standby in simulated runs. Sessions expire after 2 s there, so a failure must be detected sooner. */
+export const SIMULATION_OPTIONS = {
   replication: { heartbeat_ms: 100, answer_ms: 400, max_lag_ms: 1500 },
   detection: { least_silence_ms: 400, probe_ms: 250 },
   takeover: { rank_delay_ms: 300, backoff_ms: 3000, longest_backoff_ms: 20_000 },
   handover: { drain_ms: 1500, hold_ms: 8000 },
 };
 
-/** The package for each controller of a run, with other options on top. */
+/** Enables the plug-in at each controller of a run. `overrides` replace whole sections of `SIMULATION_OPTIONS`. */
 export const standby =
-  (over: object = {}) =>
+  (overrides: object = {}) =>
   (settings: PlatformSettings): LoadedPlugin[] => [
-    configurePlugin('warm_standby', servicePackage, { ...OPTIONS, ...over }, settings),
+    configurePlugin('warm_standby', servicePackage, { ...SIMULATION_OPTIONS, ...overrides }, settings),
   ];
 
-/** What a controller shows of the package. */
+/** The plug-in's part of a controller's status, as far as tests read it. */
 export interface Shown {
   readonly slices: readonly {
     readonly slice: string;
@@ -56,35 +56,36 @@
   readonly rejectedMessages: Readonly<Record<string, number>>;
 }
 
-export function shown(node: SimulatedController): Shown {
+/** The plug-in's part of a running controller's status; fails if the plug-in could not produce it. */
+export function standbyStatusOf(node: SimulatedController): Shown {
   const { packages } = node.controller!;
-  const part = packages!.status()['warm_standby'] as Shown & { failed?: string };
-  assert.equal(part.failed, undefined);
-  return part;
+  const status = packages!.status()['warm_standby'] as Shown & { failed?: string };
+  assert.equal(status.failed, undefined);
+  return status;
 }
 
-/** The shard's first standby, as its holder sees it. */
-export function standbyOf(simulation: Simulation, shard: string): SimulatedController {
+/** The first standby in the order that the shard's holder shows; fails if there is none. */
+export function firstStandbyOf(simulation: Simulation, shard: string): SimulatedController {
   const holder = simulation.controllers.get(holderOf(simulation, shard)!)!;
-  const name = shown(holder).slices.find((s) => s.slice === shard)?.standbys[0];
+  const name = standbyStatusOf(holder).slices.find((s) => s.slice === shard)?.standbys[0];
   assert.ok(name !== undefined, `${shard} has a standby`);
   return simulation.controllers.get(name)!;
 }
 
-/** All takeovers that the controllers know of. */
-export const takeovers = (simulation: Simulation) =>
+/** Failovers to the controllers that run now, as far as each remembers its own. */
+export const allFailovers = (simulation: Simulation) =>
   [...simulation.controllers.values()].flatMap((node) =>
-    node.controller === null ? [] : shown(node).takeovers,
+    node.controller === null ? [] : standbyStatusOf(node).takeovers,
   );
 
-/** Counts over all controllers. */
-export const total = (simulation: Simulation, count: keyof Shown['counts']) =>
+/** One of the plug-in's counts, summed over the controllers that run now. */
+export const totalCount = (simulation: Simulation, count: keyof Shown['counts']) =>
   [...simulation.controllers.values()].reduce(
-    (sum, node) => sum + (node.controller === null ? 0 : shown(node).counts[count]),
+    (sum, node) => sum + (node.controller === null ? 0 : standbyStatusOf(node).counts[count]),
     0,
   );
 
-/** The answer to a handover, as the package gives it to operators. */
+/** The plug-in's reply to an operator's handover request. */
 export interface HandoverReply {
   readonly status: number;
   readonly body: {
@@ -93,8 +94,8 @@
   };
 }
 
-/** Asks a controller to hand its shards over; the request runs in the controller's process. */
-export const handover = (node: SimulatedController, body: object = {}): Promise<HandoverReply> =>
+/** Requests a handover of the controller's shards; the request runs on the clock of the controller's process. */
+export const requestHandover = (node: SimulatedController, body: object = {}): Promise<HandoverReply> =>
   new Promise((resolve, reject) => {
     node.clock.run(() => {
       node.controller!.packages!.command('warm_standby', 'handover', body).then((reply) => {
