--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -1,4 +1,8 @@
-/** The replicated log: what a standby makes of messages that are late, lost, repeated, reordered or damaged. */
+/**
+ * Replication of the decision log. Guards against a replica whose state is that of no prefix of its holder's log, after
+ * messages that are late, lost, repeated, reordered or damaged; against a standby that counts as warm beyond its bounds of
+ * lag; and against logs and messages that grow without bound.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -23,14 +27,14 @@
 const node = nodeName('c-1');
 const EPOCH = version(7);
 
-const names = fc.integer({ min: 0, max: 4 }).map((n) => machineName(`n-${n}`));
+const machineNames = fc.integer({ min: 0, max: 4 }).map((n) => machineName(`n-${n}`));
 const tasks = fc.record({
   job: fc.integer({ min: 0, max: 4 }).map((n) => jobId(`wk-${n}`)),
   index: fc.nat(5),
   attempt: fc.nat(3).map(attempt),
-  machine: names,
+  machine: machineNames,
 });
-const entries: fc.Arbitrary<LogEntry> = fc.oneof(
+const logEntries: fc.Arbitrary<LogEntry> = fc.oneof(
   fc.record({ kind: fc.constantFrom('start' as const, 'stop' as const, 'preempt' as const), task: tasks }),
   fc.record({
     kind: fc.constant('exited' as const),
@@ -39,7 +43,7 @@
   }),
   fc.record({
     kind: fc.constant('agent' as const),
-    machine: names,
+    machine: machineNames,
     address: fc.constantFrom('10.0.0.1:1', '10.0.0.2:1'),
     agentEpoch: fc.nat(3),
     sequence: fc.nat(9),
@@ -51,12 +55,12 @@
     job: fc.constant(jobId('wk-1')),
     rounds: fc.nat(4),
     why: fc.constantFrom('error', 'unknown'),
-    machines: fc.array(names, { maxLength: 3 }),
+    machines: fc.array(machineNames, { maxLength: 3 }),
     retryAt: fc.nat(99).map(wallClockMs),
   }),
   fc.record({
     kind: fc.constant('run' as const),
-    machine: names,
+    machine: machineNames,
     run: fc.record({
       job: fc.constant(jobId('wk-2')),
       jobClass: fc.constant('c'),
@@ -66,61 +70,66 @@
   }),
 );
 
-const memoryOf = (list: readonly LogEntry[]) => {
-  const memory = new ReplicatedState();
-  for (const e of list) memory.apply(e);
-  return memory;
+const stateOf = (entries: readonly LogEntry[]) => {
+  const state = new ReplicatedState();
+  for (const e of entries) state.apply(e);
+  return state;
 };
 
 describe('replica', () => {
   it('a replica holds exactly a prefix of the log, whichever messages are lost, repeated or reordered', () => {
-    // Messages mostly go on where the one before ended, or begin a little before or after that.
+    // A message begins where the one before ended, up to 4 entries before that (repeated) or up to 2 after (lost).
     const step = fc.record({
-      jump: fc.integer({ min: -4, max: 2 }),
+      offset: fc.integer({ min: -4, max: 2 }),
       count: fc.nat(6),
       epoch: fc.constantFrom(6, 7, 7, 7),
     });
     fc.assert(
-      fc.property(fc.array(entries, { maxLength: 40 }), fc.array(step, { maxLength: 40 }), (log, steps) => {
-        const replica = new Replica(shard);
-        let next = 1;
-        for (const [i, { jump, count, epoch }] of steps.entries()) {
-          const first = Math.max(1, next + jump);
-          next = Math.min(log.length + 1, first + count);
-          const message: AppendMessage = {
-            epoch: version(epoch),
-            first,
-            entries: log.slice(first - 1, first - 1 + count),
-            head: log.length,
-          };
-          const before = replica.applied;
-          const outcome = replica.append(message, monotonicMs(i));
-          if (replica.epoch > epoch) assert.equal(outcome, 'stale');
-          if (outcome !== 'applied') assert.ok(replica.applied === before || replica.applied === null);
-          // Entries of both epochs are the same here, so that each state is that of some beginning of the log.
-          assert.deepEqual(replica.state.entries(), memoryOf(log.slice(0, replica.applied ?? 0)).entries());
-        }
-      }),
+      fc.property(
+        fc.array(logEntries, { maxLength: 40 }),
+        fc.array(step, { maxLength: 40 }),
+        (log, steps) => {
+          const replica = new Replica(shard);
+          let next = 1;
+          for (const [i, { offset, count, epoch }] of steps.entries()) {
+            const first = Math.max(1, next + offset);
+            next = Math.min(log.length + 1, first + count);
+            const message: AppendMessage = {
+              epoch: version(epoch),
+              first,
+              entries: log.slice(first - 1, first - 1 + count),
+              head: log.length,
+            };
+            const appliedBefore = replica.applied;
+            const outcome = replica.append(message, monotonicMs(i));
+            if (replica.epoch > epoch) assert.equal(outcome, 'stale');
+            if (outcome !== 'applied')
+              assert.ok(replica.applied === appliedBefore || replica.applied === null);
+            // Both epochs have the same entries here, so each state must be that of a prefix of the log.
+            assert.deepEqual(replica.state.entries(), stateOf(log.slice(0, replica.applied ?? 0)).entries());
+          }
+        },
+      ),
       { seed: 5, numRuns: 300 },
     );
   });
 });
 
 describe('wire format', () => {
-  it('messages round-trip the wire, and damaged ones are rejected without effect', () => {
+  it('messages are decoded as they were encoded, and truncated ones to a prefix of their entries or not at all', () => {
     fc.assert(
-      fc.property(fc.array(entries, { maxLength: 20 }), fc.nat(), (drawn, cut) => {
-        const list = drawn.map((e) => structuredClone(e));
-        const message: Append = { node, shard, epoch: EPOCH, first: 3, entries: list, head: 30 };
+      fc.property(fc.array(logEntries, { maxLength: 20 }), fc.nat(), (generated, cutAt) => {
+        const sentEntries = generated.map((e) => structuredClone(e));
+        const message: Append = { node, shard, epoch: EPOCH, first: 3, entries: sentEntries, head: 30 };
         const bytes = encodeAppend(message);
         assert.deepEqual(decodeAppend(bytes), message);
-        const part = { node, shard, epoch: EPOCH, upTo: 9, part: 1, parts: 3, entries: list };
+        const part = { node, shard, epoch: EPOCH, upTo: 9, part: 1, parts: 3, entries: sentEntries };
         assert.deepEqual(decodeSnapshot(encodeSnapshot(part)), part);
-        const damaged = bytes.slice(0, cut % bytes.length);
+        const truncated = bytes.slice(0, cutAt % bytes.length);
         try {
-          const short = decodeAppend(damaged);
-          // What is cut between two entries is a shorter message, not another one.
-          assert.deepEqual(short.entries, list.slice(0, short.entries.length));
+          const decoded = decodeAppend(truncated);
+          // A message that is truncated between two entries is a valid message with fewer entries.
+          assert.deepEqual(decoded.entries, sentEntries.slice(0, decoded.entries.length));
         } catch (e) {
           assert.ok(e instanceof MessageError, String(e));
         }
@@ -137,9 +146,9 @@
       () => decodeAppend(newer),
       (e: unknown) => e instanceof MessageError && e.code === 'unsupported',
     );
-    for (const wrong of [{ first: 0 }, { first: 1.5 }, { head: -1 }, { epoch: version(Number.NaN) }])
+    for (const invalidFields of [{ first: 0 }, { first: 1.5 }, { head: -1 }, { epoch: version(Number.NaN) }])
       assert.throws(
-        () => decodeAppend(encodeAppend({ ...message, ...wrong })),
+        () => decodeAppend(encodeAppend({ ...message, ...invalidFields })),
         (e: unknown) => e instanceof MessageError && e.code === 'malformed',
       );
     assert.throws(() => decodeAppend(new Uint8Array()), MessageError);
@@ -147,7 +156,7 @@
 });
 
 describe('snapshots', () => {
-  it('a standby behind the tail gets a snapshot, then continues with the tail', () => {
+  it('a standby that is behind the tail of the log gets a snapshot, then continues with the tail', () => {
     const log = new DecisionLog(shard, EPOCH, 10);
     const replica = new Replica(shard);
     for (let i = 0; i < 100; i++)
@@ -160,7 +169,7 @@
         token: fencingToken(7),
         heardAt: wallClockMs(i),
       });
-    assert.equal(log.after(0, 100), null, 'the tail does not reach back that far');
+    assert.equal(log.after(0, 100), null, 'the tail no longer has the first entries');
     assert.equal(replica.append({ epoch: EPOCH, first: 95, entries: [], head: 100 }, monotonicMs(0)), 'gap');
     assert.equal(replica.isWarm(EPOCH, 1000, 1000), false);
     const all = log.state.entries();
@@ -174,7 +183,7 @@
     const next = log.after(100, 5)!;
     assert.equal(replica.append({ epoch: EPOCH, ...next, head: log.head }, monotonicMs(2)), 'applied');
     assert.equal(replica.isWarm(EPOCH, 1000, 1000), true);
-    assert.equal(replica.isWarm(version(8), 1000, 1000), false, 'not for another epoch');
+    assert.equal(replica.isWarm(version(8), 1000, 1000), false, 'a replica is warm for its own epoch only');
   });
 
   it('parts of two snapshots are never combined, and an old snapshot reverts nothing', () => {
@@ -208,9 +217,9 @@
     assert.equal(replica.isWarm(EPOCH, 499, 3000), true);
   });
 
-  it('removed keys are pruned, unchanged agents add no entry, and memory is bounded', () => {
+  it('entries of removed machines and jobs are pruned, unchanged agents add no entry, and memory is bounded', () => {
     const log = new DecisionLog(shard, EPOCH, 50);
-    const heard = (machine: string, at: number): LogEntry => ({
+    const agentEntry = (machine: string, at: number): LogEntry => ({
       kind: 'agent',
       machine: machineName(machine),
       address: 'a:1',
@@ -219,10 +228,10 @@
       token: fencingToken(7),
       heardAt: wallClockMs(at),
     });
-    log.append(heard('n-1', 0));
-    log.append(heard('n-1', 2000));
-    assert.equal(log.head, 1, 'nothing new');
-    log.append(heard('n-1', 12_000));
+    log.append(agentEntry('n-1', 0));
+    log.append(agentEntry('n-1', 2000));
+    assert.equal(log.head, 1, 'a heartbeat without a change adds no entry within 10 s');
+    log.append(agentEntry('n-1', 12_000));
     assert.equal(log.head, 2);
     for (let i = 0; i < 5000; i++)
       log.append({
@@ -233,16 +242,16 @@
     assert.ok(log.state.entries().length <= 2001);
     log.state.prune({ hasMachine: () => false, hasJob: () => false });
     assert.deepEqual(log.state.entries(), []);
-    assert.ok(entrySize(heard('n-1', 0)) < 80, 'an agent takes little of a message');
+    assert.ok(entrySize(agentEntry('n-1', 0)) < 80, 'an entry of an agent takes less than 80 bytes');
   });
 });
 
 describe('bandwidth of replication', () => {
-  it('replication of 4,000 machines fits the byte budget, and a snapshot fits its messages', () => {
+  it('replication of 4,000 machines takes less than half of the byte budget, and a snapshot less than 3 s of it', () => {
     const machines = 4000;
     const shards = 3;
     const { bytes_per_s: budget } = OptionsSchema.properties.replication.properties;
-    const mostBytes = Number(budget.default);
+    const maxBytesPerSecond = Number(budget.default);
     const log = new DecisionLog(shard, EPOCH, 4000);
     const heartbeat = (i: number, at: number) => {
       log.append({
@@ -255,13 +264,19 @@
         heardAt: wallClockMs(1_700_000_000_000 + at),
       });
     };
-    // Each reports every 2 s for a minute.
+    // Each machine of one shard reports every 2 s for one minute.
     for (let at = 0; at < 60_000; at += 2000) for (let i = 0; i < machines / shards; i++) heartbeat(i, at);
     const all = log.state.entries();
-    const bytesEach = all.reduce((n, e) => n + entrySize(e), 0) / all.length;
-    const perSecond = (log.head * bytesEach) / 60;
-    assert.ok(perSecond < mostBytes / 2, `${Math.round(perSecond)} bytes a second`);
-    const snapshot = bytesEach * all.length;
-    assert.ok(snapshot < mostBytes * 3, `a snapshot of ${snapshot} bytes is sent within seconds`);
+    const bytesPerEntry = all.reduce((n, e) => n + entrySize(e), 0) / all.length;
+    const bytesPerSecond = (log.head * bytesPerEntry) / 60;
+    assert.ok(
+      bytesPerSecond < maxBytesPerSecond / 2,
+      `replication takes ${Math.round(bytesPerSecond)} of ${maxBytesPerSecond} bytes/s`,
+    );
+    const snapshotBytes = bytesPerEntry * all.length;
+    assert.ok(
+      snapshotBytes < maxBytesPerSecond * 3,
+      `a snapshot of ${snapshotBytes} bytes takes 3 s or more at ${maxBytesPerSecond} bytes/s`,
+    );
   });
 });
