--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -1,4 +1,8 @@
-/** Spans of jobs and takeovers, and exporters that hang, refuse or fail. */
+/**
+ * Spans of jobs and failovers, and their export. Guards against one job's spans in several traces, since controllers
+ * share no ids and derive them from the job, and against exporters that hang, reject spans or fail: they must lose no more than their own batch,
+ * and the queue must not grow meanwhile.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readFileSync } from 'node:fs';
 import http from 'node:http';
@@ -31,7 +35,7 @@
 
 const OPTIONS = { queue_spans: 10, batch_spans: 4, flush_ms: 100, timeout_ms: 500 };
 
-class Collected implements SpanExporter {
+class CollectingExporter implements SpanExporter {
   readonly spans: ReadableSpan[] = [];
   export(spans: ReadableSpan[], done: Parameters<SpanExporter['export']>[1]): void {
     this.spans.push(...spans);
@@ -42,15 +46,15 @@
   }
 }
 
-const virtual = () => {
+const simulatedTime = () => {
   const time = new VirtualTime(1);
-  return { world: time, clock: new ProcessClock(time, 1, 0) };
+  return { time, clock: new ProcessClock(time, 1, 0) };
 };
 
 const job = jobId('wk-1');
 const machine = machineName('n-1');
 const task = { job, index: 2, attempt: attempt(5), machine };
-const reportOf = (tasks: readonly { state: 'fetching' }[]): ServiceEvent => ({
+const heartbeatEvent = (tasks: readonly { state: 'fetching' }[]): ServiceEvent => ({
   kind: 'heartbeat_recorded',
   heartbeat: {
     machine,
@@ -67,9 +71,11 @@
 });
 
 describe('spans of a job', () => {
-  it("a job's spans share one trace at all controllers, one span a step with its times", async () => {
-    const { world: time, clock } = virtual();
-    const exporter = new Collected();
+  // A step ends only with its own event: a transaction of another machine or with a conflict does not end the commit, and a
+  // heartbeat without the task is not its first report.
+  it("each step of a job gives one span with its times, in the trace derived from the job's id", async () => {
+    const { time, clock } = simulatedTime();
+    const exporter = new CollectingExporter();
     const queue = new SpanQueue('test', exporter, clock, OPTIONS);
     const spans = new JobSpans(new SpanTracer('c-0', clock, [queue]), 1, () => clock.now());
     const steps: [number, ServiceEvent][] = [
@@ -90,9 +96,9 @@
       ],
       [35, { kind: 'transaction', keys: [key.machine(machine)], outcome: 'ok', since: monotonicMs(20) }],
       [50, { kind: 'command_sent', machine, command: { op: 'start', job, index: 2, attempt: attempt(5) } }],
-      [55, reportOf([])],
-      [90, reportOf([{ state: 'fetching' }])],
-      [95, reportOf([{ state: 'fetching' }])],
+      [55, heartbeatEvent([])],
+      [90, heartbeatEvent([{ state: 'fetching' }])],
+      [95, heartbeatEvent([{ state: 'fetching' }])],
     ];
     for (const [at, event] of steps)
       time.at(at, () => {
@@ -118,23 +124,29 @@
 describe('sampling and reserved spans', () => {
   it('the sampled jobs are the same at every controller, at about the configured ratio', () => {
     const ids = [...Array(2000).keys()].map((i) => jobContext(`wk-${i}`));
-    const part = ids.filter((c) => isSampled(c, 0.25)).length / ids.length;
-    assert.ok(part > 0.2 && part < 0.3, `${part}`);
+    const sampledRatio = ids.filter((c) => isSampled(c, 0.25)).length / ids.length;
+    assert.ok(sampledRatio > 0.2 && sampledRatio < 0.3, `sampled ratio ${sampledRatio}, expected about 0.25`);
     assert.equal(ids.filter((c) => isSampled(c, 0)).length, 0);
     assert.equal(ids.filter((c) => isSampled(c, 1)).length, ids.length);
   });
 
   it('a reserved span is the parent of spans recorded before it, also at another controller', async () => {
-    const { clock } = virtual();
-    const exporter = new Collected();
+    const { clock } = simulatedTime();
+    const exporter = new CollectingExporter();
     const queue = new SpanQueue('test', exporter, clock, OPTIONS);
-    const [here, there] = ['c-0', 'c-1'].map((node) => new SpanTracer(node, clock, [queue]));
-    const self = here!.reserve();
-    const below = there!.reserve(self);
-    there!.record({ name: 'phase', startMs: 1, endMs: 2, parent: below });
-    there!.record({ name: 'takeover', startMs: 1, endMs: 3, parent: self, self: below });
-    here!.record({ name: 'handover', startMs: 0, endMs: 4, self });
-    here!.record({ name: 'odd', startMs: 5, endMs: 4, parent: 'no context' });
+    const [localTracer, remoteTracer] = ['c-0', 'c-1'].map((node) => new SpanTracer(node, clock, [queue]));
+    const handoverContext = localTracer!.reserve();
+    const takeoverContext = remoteTracer!.reserve(handoverContext);
+    remoteTracer!.record({ name: 'phase', startMs: 1, endMs: 2, parent: takeoverContext });
+    remoteTracer!.record({
+      name: 'takeover',
+      startMs: 1,
+      endMs: 3,
+      parent: handoverContext,
+      self: takeoverContext,
+    });
+    localTracer!.record({ name: 'handover', startMs: 0, endMs: 4, self: handoverContext });
+    localTracer!.record({ name: 'odd', startMs: 5, endMs: 4, parent: 'no context' });
     await queue.forceFlush();
     const [phase, takeover, handover, odd] = exporter.spans;
     assert.equal(phase!.parentSpanContext?.spanId, takeover!.spanContext().spanId);
@@ -146,14 +158,14 @@
 
 describe('span queue', () => {
   it('an exporter that hangs, fails or throws loses only its batch; the queue is bounded and drops are counted', async () => {
-    const { world: time, clock } = virtual();
-    const answers: ('hang' | 'fail' | 'throw' | 'ok')[] = ['hang', 'fail', 'throw', 'ok', 'ok', 'ok'];
+    const { time, clock } = simulatedTime();
+    const outcomes: ('hang' | 'fail' | 'throw' | 'ok')[] = ['hang', 'fail', 'throw', 'ok', 'ok', 'ok'];
     const exporter: SpanExporter = {
       export: (_spans, done) => {
-        const answer = answers.shift();
-        if (answer === 'throw') throw new Error('broken');
-        if (answer === 'hang') return;
-        done({ code: answer === 'ok' ? ExportResultCode.SUCCESS : ExportResultCode.FAILED });
+        const outcome = outcomes.shift();
+        if (outcome === 'throw') throw new Error('broken');
+        if (outcome === 'hang') return;
+        done({ code: outcome === 'ok' ? ExportResultCode.SUCCESS : ExportResultCode.FAILED });
       },
       shutdown: () => Promise.resolve(),
     };
@@ -166,7 +178,7 @@
     assert.deepEqual(
       queue.counts,
       { exported: 0, failed: 4, dropped: 15 },
-      'the first batch hangs until its time is over',
+      'the export that hangs fails after timeout_ms',
     );
     await time.runUntil(5000);
     assert.deepEqual([queue.queued, queue.counts], [0, { exported: 0, failed: 10, dropped: 15 }]);
@@ -177,7 +189,7 @@
 });
 
 describe('OTLP/HTTP exporter', () => {
-  it('spans are exported over OTLP/HTTP, and rejected ones are counted', async () => {
+  it('spans are exported over OTLP/HTTP, and rejected ones are counted as failed', async () => {
     const bodies: string[] = [];
     let status = 200;
     const collector = http.createServer((req, res) => {
@@ -206,7 +218,7 @@
       assert.equal(queue.counts.exported, 1);
       const text = bodies.join('');
       for (const word of ['takeover', 'c-7', 'c-3', 'pepperbank'])
-        assert.ok(text.includes(word), `${word} in ${text}`);
+        assert.ok(text.includes(word), `${word} is missing in ${text}`);
       status = 400;
       tracer.record({ name: 'takeover', startMs: 1, endMs: 2 });
       await queue.forceFlush();
@@ -220,7 +232,7 @@
 });
 
 describe('JSON lines exporter', () => {
-  it('the span file has one span a line, and is truncated at its maximum size', async () => {
+  it('the span file has one span a line, and is rotated at its maximum size', async () => {
     const file = path.join(mkdtempSync(path.join(os.tmpdir(), 'pepperbank-')), 'spans.jsonl');
     const queue = new SpanQueue('file', new JsonLinesExporter(file, 400, 'c-0'), systemClock, OPTIONS);
     const tracer = new SpanTracer('c-0', systemClock, [queue]);
