--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -1,7 +1,7 @@
 /**
- * Spans of jobs and failovers, and their export. Guards against one job's spans in several traces, since controllers
- * share no ids and derive them from the job, and against exporters that hang, reject spans or fail: they must lose no more than their own batch,
- * and the queue must not grow meanwhile.
+ * Spans of jobs and failovers, and their export. Guards against one job's spans in several traces, since controllers share no
+ * ids and derive them from the job, and against exporters that hang, reject spans or fail: they must lose no more than their
+ * own batch, and the queue must not grow meanwhile.
  */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readFileSync } from 'node:fs';
