--- a/packages/tracing/src/span-tracer.ts
+++ b/packages/tracing/src/span-tracer.ts
@@ -40,10 +40,10 @@
   }
 
   /** Records a finished span with the given parent, which need not be a recorded span; null for a span without parent. */
-  recordUnder(parent: SpanContext | null, { name, startMs, endMs, self, attributes }: FinishedSpan): void {
+  recordUnder(parent: SpanContext | null, { name, startMs, endMs, context, attributes }: FinishedSpan): void {
     const wallClockOffsetMs = this.clock.wallClock() - this.clock.now();
     const options = { startTime: wallClockOffsetMs + startMs, attributes: { ...attributes } };
-    const span = this.ids.withIds(parseTraceParent(self), () =>
+    const span = this.ids.withIds(parseTraceParent(context), () =>
       this.tracer.startSpan(name, options, contextWithParent(parent)),
     );
     span.end(wallClockOffsetMs + Math.max(startMs, endMs));
--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -143,9 +143,9 @@
       startMs: 1,
       endMs: 3,
       parent: handoverContext,
-      self: takeoverContext,
+      context: takeoverContext,
     });
-    localTracer!.record({ name: 'handover', startMs: 0, endMs: 4, self: handoverContext });
+    localTracer!.record({ name: 'handover', startMs: 0, endMs: 4, context: handoverContext });
     localTracer!.record({ name: 'odd', startMs: 5, endMs: 4, parent: 'no context' });
     await queue.forceFlush();
     const [phase, takeover, handover, odd] = exporter.spans;
--- a/packages/warm-standby/src/cluster.ts
+++ b/packages/warm-standby/src/cluster.ts
@@ -1,6 +1,6 @@
 /** Which controllers are standbys of which shard, according to the committed state. */
 import type { NodeName } from '../../../src/core/model/ids.js';
-import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
+import type { CommittedShard, PluginServices } from '../../../src/plugin-host/api.js';
 import type { FailureDomains } from './failure-domains.js';
 import { placeStandbys } from './standby-placement.js';
 
@@ -16,8 +16,8 @@
   ) {}
 
   /** The standbys of a shard, the first to take over first. Controllers without session and draining ones are left out. */
-  standbysOf({ name: shard, holder }: ShardFact): NodeName[] {
-    const candidates = this.service.facts
+  standbysOf({ name: shard, holder }: CommittedShard): NodeName[] {
+    const candidates = this.service.committedState
       .sessions()
       .filter((s) => !s.isDraining && this.domainOf.has(s.node))
       .map((s) => s.node);
@@ -30,9 +30,11 @@
   }
 
   /** Shards that this process holds and whose committed state its view has completely. */
-  heldShards(): ShardFact[] {
-    const { facts, incarnation } = this.service;
-    return facts.shards().filter((s) => s.incarnation === incarnation && facts.isHeldCompletely(s.name));
+  heldShards(): CommittedShard[] {
+    const { committedState, incarnation } = this.service;
+    return committedState
+      .shards()
+      .filter((s) => s.incarnation === incarnation && committedState.isHeldCompletely(s.name));
   }
 
   /** All other controllers except the one given. */
--- a/packages/warm-standby/src/failover-history.ts
+++ b/packages/warm-standby/src/failover-history.ts
@@ -107,7 +107,10 @@
   add(failover: Failover): void {
     this.failovers.push(failover);
     if (this.failovers.length > MAX_FAILOVERS) this.failovers.shift();
-    this.inProgress.set(failover, new Set(this.service.facts.machinesOf(failover.shard).map((m) => m.name)));
+    this.inProgress.set(
+      failover,
+      new Set(this.service.committedState.machinesOf(failover.shard).map((m) => m.name)),
+    );
   }
 
   /** Ends the tracking of failovers that are complete, too old, or whose shard has changed holder or epoch since. */
@@ -121,15 +124,15 @@
   }
 
   private updateMoments({ at, shard }: Failover, missing: Set<MachineName>): void {
-    const { facts, clock } = this.service;
-    if (at.viewComplete === null && facts.isHeldCompletely(shard)) at.viewComplete = clock.now();
-    for (const name of missing) if (facts.machine(name)?.owner !== shard) missing.delete(name);
+    const { committedState, clock } = this.service;
+    if (at.viewComplete === null && committedState.isHeldCompletely(shard)) at.viewComplete = clock.now();
+    for (const name of missing) if (committedState.machine(name)?.owner !== shard) missing.delete(name);
     if (at.viewComplete !== null && missing.size === 0) at.allHeartbeats ??= clock.now();
   }
 
   private isOver({ at, shard, epoch }: Failover): boolean {
-    const { facts, clock, incarnation } = this.service;
-    const current = facts.shard(shard);
+    const { committedState, clock, incarnation } = this.service;
+    const current = committedState.shard(shard);
     if (current?.epoch !== epoch || current.incarnation !== incarnation) return true;
     if (at.allHeartbeats !== null && at.firstStart !== null) return true;
     return clock.now() - at.fenced >= MAX_TRACKED_MS;
@@ -160,7 +163,7 @@
 
   /** Failovers in progress of the shard that owns the machine, each with the machines that have sent no heartbeat yet. */
   private inProgressOf(machine: MachineName): [Failover, Set<MachineName>][] {
-    const owner = this.service.facts.machine(machine)?.owner;
+    const owner = this.service.committedState.machine(machine)?.owner;
     return [...this.inProgress].filter(([{ shard }]) => shard === owner);
   }
 }
--- a/packages/warm-standby/src/failover-loop.ts
+++ b/packages/warm-standby/src/failover-loop.ts
@@ -4,7 +4,7 @@
  * service decides who holds the shard.
  */
 import type { NodeName, Version } from '../../../src/core/model/ids.js';
-import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
+import type { CommittedShard, PluginServices } from '../../../src/plugin-host/api.js';
 import { Backoff } from './backoff.js';
 import type { Cluster } from './cluster.js';
 import type { Failover, FailoverCause, FailoverHistory, FailoverMoments } from './failover-history.js';
@@ -68,7 +68,7 @@
   readonly suspicions = new Map<NodeName, Suspicion>();
   private readonly backoffs = new Map<NodeName, Backoff>();
   /** The shards as last seen, to notice which ones this controller has received. */
-  private readonly knownShards = new Map<NodeName, ShardFact>();
+  private readonly knownShards = new Map<NodeName, CommittedShard>();
   /** Planned handovers to this controller that were accepted and have not arrived yet, by shard. */
   private readonly expectedHandovers = new Map<
     NodeName,
@@ -84,7 +84,7 @@
     private readonly history: FailoverHistory,
     private readonly options: Options,
   ) {
-    service.facts.subscribe(({ shards, sessions }) => {
+    service.committedState.subscribe(({ shards, sessions }) => {
       if (shards.size > 0) this.onShardChanges();
       if (sessions.size > 0) this.onSessionChanges();
     });
@@ -93,8 +93,8 @@
   /** Checks the holders periodically; never returns, and throws on an unexpected error. */
   async run(): Promise<never> {
     for (;;) {
-      if (this.service.facts.isReady) {
-        for (const shard of this.service.facts.shards()) this.checkHolder(shard);
+      if (this.service.committedState.isReady) {
+        for (const shard of this.service.committedState.shards()) this.checkHolder(shard);
         this.history.update();
       }
       await this.service.clock.sleep(CHECK_INTERVAL_MS);
@@ -113,7 +113,7 @@
     return backoff;
   }
 
-  private checkHolder(shard: ShardFact): void {
+  private checkHolder(shard: CommittedShard): void {
     const { clock, node } = this.service;
     const now = clock.now();
     const isFollowed = this.receiver.replicas.get(shard.name)?.epoch === shard.epoch;
@@ -145,7 +145,7 @@
     if (!suspicion.isProbing && now >= suspicion.notBefore) this.startProbe(shard, suspicion, rank);
   }
 
-  private startProbe(shard: ShardFact, suspicion: Suspicion, rank: number): void {
+  private startProbe(shard: CommittedShard, suspicion: Suspicion, rank: number): void {
     const { clock, log } = this.service;
     suspicion.isProbing = true;
     this.probeAndDecide(shard, suspicion, rank)
@@ -158,8 +158,8 @@
       });
   }
 
-  private async probeAndDecide(shard: ShardFact, suspicion: Suspicion, rank: number): Promise<void> {
-    const { clock, facts, log } = this.service;
+  private async probeAndDecide(shard: CommittedShard, suspicion: Suspicion, rank: number): Promise<void> {
+    const { clock, committedState, log } = this.service;
     const { holderAnswers, witnesses } = await this.probe(shard);
     const witnessesNeeded = this.options.detection.witnesses;
     const now = clock.now();
@@ -178,7 +178,7 @@
       confirmedForMs: suspicion.confirmedAt === null ? 0 : now - suspicion.confirmedAt,
       rankDelayMs: this.options.takeover.rank_delay_ms,
       backoffLeftMs: this.backoffOf(shard.name).leftMs(now),
-      isStateReachable: facts.isStateReachable(STATE_REACHABLE_WITHIN_MS),
+      isStateReachable: committedState.isStateReachable(STATE_REACHABLE_WITHIN_MS),
     });
     if (decision.kind === 'wait') {
       if (suspicion.deferredBy !== decision.reason) {
@@ -195,7 +195,7 @@
     await this.attemptFailover(shard);
   }
 
-  private async attemptFailover(shard: ShardFact): Promise<void> {
+  private async attemptFailover(shard: CommittedShard): Promise<void> {
     const { clock, log, shardControl } = this.service;
     // Recorded before the outcome is known: a transaction without an answer may still be applied.
     this.backoffOf(shard.name).note(clock.now());
@@ -203,7 +203,9 @@
     log.info({ shard: shard.name, from: shard.holder, outcome: outcome.kind }, LOG_EVENT.failoverAttempted);
   }
 
-  private async probe(shard: ShardFact): Promise<{ holderAnswers: boolean; witnesses: WitnessAnswer[] }> {
+  private async probe(
+    shard: CommittedShard,
+  ): Promise<{ holderAnswers: boolean; witnesses: WitnessAnswer[] }> {
     const { channel } = this.service;
     const { probe_ms } = this.options.detection;
     const payload = encodeProbe({ holder: shard.holder, shard: shard.name, epoch: shard.epoch });
@@ -219,8 +221,8 @@
 
   /** Detects shards that this controller has received, by failover, handover or assignment. */
   private onShardChanges(): void {
-    const { facts, incarnation, node } = this.service;
-    for (const shard of facts.shards()) {
+    const { committedState, incarnation, node } = this.service;
+    for (const shard of committedState.shards()) {
       const previous = this.knownShards.get(shard.name);
       if (previous?.epoch === shard.epoch) continue;
       this.knownShards.set(shard.name, shard);
@@ -232,19 +234,19 @@
   }
 
   /** The confirmed suspicion that led to the failover; null where the shard was received otherwise. */
-  private suspicionOf(shard: NodeName, previous: ShardFact): Suspicion | null {
+  private suspicionOf(shard: NodeName, previous: CommittedShard): Suspicion | null {
     const suspicion = this.suspicions.get(shard);
     return suspicion?.epoch === previous.epoch && suspicion.confirmedAt !== null ? suspicion : null;
   }
 
   /** Applies what the replica knows of a shard that was received, and begins to track the phases of the failover. */
-  private onShardReceived(shard: ShardFact, previous: ShardFact): void {
+  private onShardReceived(shard: CommittedShard, previous: CommittedShard): void {
     const { clock, log } = this.service;
     const { name } = shard;
     const replica = this.receiver.replicas.get(name);
     const state = replica?.epoch === previous.epoch ? replica.state : null;
     const failover = this.describeFailover(shard, previous, state);
-    for (const hint of state?.hints(clock.wallClock()) ?? []) this.service.learn(hint);
+    for (const hint of state?.hints(clock.wallClock()) ?? []) this.service.applyHint(hint);
     this.publisher.continueWith(shard, state?.entries() ?? []);
     this.history.add(failover);
     const { from, cause, wasWarm } = failover;
@@ -262,8 +264,12 @@
     return isPending ? expected.traceParent : undefined;
   }
 
-  private describeFailover(shard: ShardFact, previous: ShardFact, state: ReplicatedState | null): Failover {
-    const { clock, facts, tracer } = this.service;
+  private describeFailover(
+    shard: CommittedShard,
+    previous: CommittedShard,
+    state: ReplicatedState | null,
+  ): Failover {
+    const { clock, committedState, tracer } = this.service;
     const { name } = shard;
     const handoverTrace = this.handoverTraceOf(name);
     const suspicion = handoverTrace === undefined ? this.suspicionOf(name, previous) : null;
@@ -277,7 +283,7 @@
       wasWarm: state !== null && this.receiver.isWarm(previous),
       agentsKnown: state?.agentCount ?? 0,
       uncommittedExits: state?.uncommittedExits ?? 0,
-      machines: facts.machinesOf(name).length,
+      machines: committedState.machinesOf(name).length,
       wall: clock.wallClock(),
       at: this.initialMoments(previous.holder, suspicion),
       traceParent: tracer.reserve(handoverTrace),
@@ -305,8 +311,8 @@
    * had not failed.
    */
   private onSessionChanges(): void {
-    const { facts } = this.service;
-    const liveIncarnations = new Set(facts.sessions().map((s) => s.incarnation));
+    const { committedState } = this.service;
+    const liveIncarnations = new Set(committedState.sessions().map((s) => s.incarnation));
     for (const failover of this.history.failovers) {
       if (failover.cause !== 'suspicion' || failover.isFalse) continue;
       if (!liveIncarnations.has(failover.fromIncarnation)) {
--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -2,7 +2,7 @@
 import { Type } from '@sinclair/typebox';
 import { firstSchemaError } from '../../../src/config/platform-settings.js';
 import type { NodeName } from '../../../src/core/model/ids.js';
-import type { CommandReply, PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
+import type { CommandReply, CommittedShard, PluginServices } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import { LOG_EVENT } from './log-events.js';
 import { TOPIC, decodePrepareAnswer, encodePrepare, readAnswer } from './messages.js';
@@ -22,7 +22,7 @@
 
 /** A shard to hand over, and the standby that is prepared for it. */
 interface Transfer {
-  readonly shard: ShardFact;
+  readonly shard: CommittedShard;
   readonly to: NodeName;
 }
 
@@ -45,7 +45,7 @@
     const to = (request as { to?: string }).to as NodeName | undefined;
     if (to !== undefined && !this.service.peers.some((p) => p.node === to))
       return { status: 400, body: { error: `to: ${to} is no other controller` } };
-    if (!this.service.facts.isReady) return { status: 503, body: { error: 'not ready' } };
+    if (!this.service.committedState.isReady) return { status: 503, body: { error: 'not ready' } };
     if (this.isRunning) return { status: 409, body: { error: 'a handover is under way' } };
     this.isRunning = true;
     try {
@@ -68,13 +68,13 @@
     }
     const handedOver = await this.commit(transfers, refused);
     log.info({ handedOver, refused }, LOG_EVENT.handoverFinished);
-    tracer.record({ name: 'handover', startMs, endMs: clock.now(), self: span });
+    tracer.record({ name: 'handover', startMs, endMs: clock.now(), context: span });
     return { status: refused.length === 0 ? 200 : 409, body: { handedOver, refused } };
   }
 
   /** Finds a standby that has the whole log and accepts the shard, or returns why there is none. */
   private async prepare(
-    shard: ShardFact,
+    shard: CommittedShard,
     to: NodeName | undefined,
     span: string,
   ): Promise<Transfer | string> {
@@ -94,7 +94,11 @@
   }
 
   /** Asks a standby to accept the shard; null where it does, otherwise the reason why not. */
-  private async askToPrepare(shard: ShardFact, node: NodeName, traceParent: string): Promise<string | null> {
+  private async askToPrepare(
+    shard: CommittedShard,
+    node: NodeName,
+    traceParent: string,
+  ): Promise<string | null> {
     const { name, epoch } = shard;
     const head = this.publisher.shards.get(name)?.followers.get(node)?.acknowledged ?? 0;
     const payload = encodePrepare({ shard: name, epoch, head, traceParent });
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -25,7 +25,7 @@
     startMs: Math.min(...reached),
     endMs: Math.max(...reached),
     parent: failover.handoverTrace,
-    self: traceParent,
+    context: traceParent,
     attributes: { slice: shard, from, cause, epoch: failover.epoch, warm: failover.wasWarm },
   });
   for (const [phase, start, end] of PHASES) {
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -4,7 +4,7 @@
  */
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { MonotonicMs } from '../../../src/core/model/time.js';
-import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
+import type { CommittedShard, PluginServices } from '../../../src/plugin-host/api.js';
 import { ByteBudget } from './byte-budget.js';
 import type { Cluster } from './cluster.js';
 import { DecisionLog } from './decision-log.js';
@@ -130,13 +130,13 @@
   }
 
   /** Starts the log of a shard that was just taken over with the entries that its former holder replicated. */
-  continueWith(shard: ShardFact, entries: readonly LogEntry[]): void {
+  continueWith(shard: CommittedShard, entries: readonly LogEntry[]): void {
     const { log } = this.publish(shard);
     for (const entry of entries) log.append(entry);
   }
 
   /** Waits until the standby has the shard's whole log; false if it has not after `forMs`, or no longer follows. */
-  async drain(shard: ShardFact, node: NodeName, forMs: number): Promise<boolean> {
+  async drain(shard: CommittedShard, node: NodeName, forMs: number): Promise<boolean> {
     const { clock } = this.service;
     const until = clock.now() + forMs;
     for (;;) {
@@ -151,7 +151,7 @@
   }
 
   private updateShards(): void {
-    if (!this.service.facts.isReady) return;
+    if (!this.service.committedState.isReady) return;
     const held = this.cluster.heldShards();
     const names = new Set(held.map((s) => s.name));
     for (const shard of this.shards.keys()) if (!names.has(shard)) this.shards.delete(shard);
@@ -159,7 +159,7 @@
     this.prune();
   }
 
-  private publish(shard: ShardFact): PublishedShard {
+  private publish(shard: CommittedShard): PublishedShard {
     let published = this.shards.get(shard.name);
     if (published?.log.epoch !== shard.epoch) {
       const log = new DecisionLog(shard.name, shard.epoch, this.options.tail_entries);
@@ -171,7 +171,7 @@
     return published;
   }
 
-  private updateFollowers(published: PublishedShard, shard: ShardFact): void {
+  private updateFollowers(published: PublishedShard, shard: CommittedShard): void {
     const standbys = this.cluster.standbysOf(shard);
     for (const node of published.followers.keys())
       if (!standbys.includes(node)) published.followers.delete(node);
@@ -187,18 +187,18 @@
       for (const { log } of this.shards.values()) log.append(entry);
       return;
     }
-    const owner = this.service.facts.machine(subject.machine)?.owner;
+    const owner = this.service.committedState.machine(subject.machine)?.owner;
     if (owner !== undefined) this.shards.get(owner)?.log.append(entry);
   }
 
   private prune(): void {
-    const { facts, clock } = this.service;
+    const { committedState, clock } = this.service;
     if (clock.now() - this.prunedAt < PRUNE_INTERVAL_MS) return;
     this.prunedAt = clock.now();
     for (const [shard, { log }] of this.shards)
       log.state.prune({
-        hasMachine: (name) => facts.machine(name)?.owner === shard,
-        hasJob: (job) => facts.hasJob(job),
+        hasMachine: (name) => committedState.machine(name)?.owner === shard,
+        hasJob: (job) => committedState.hasJob(job),
       });
   }
 
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -1,6 +1,6 @@
 /** The standby's side of the messages: applies the logs of shards, and answers probes and prepare requests. */
 import type { NodeName } from '../../../src/core/model/ids.js';
-import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
+import type { CommittedShard, PluginServices } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import type { HolderMonitor } from './holder-monitor.js';
 import { LOG_EVENT } from './log-events.js';
@@ -55,7 +55,7 @@
   }
 
   /** Whether this controller's replica of the shard is warm under the shard's present epoch. */
-  isWarm(shard: ShardFact): boolean {
+  isWarm(shard: CommittedShard): boolean {
     const { max_lag_entries, max_lag_ms } = this.options.replication;
     return this.replicas.get(shard.name)?.isWarm(shard.epoch, max_lag_entries, max_lag_ms) === true;
   }
@@ -86,9 +86,9 @@
       const message = decode(bytes);
       if (!this.cluster.isController(message.node) || !this.cluster.isController(message.shard))
         return this.reject('refused');
-      const fact = this.service.facts.shard(message.shard);
+      const committedShard = this.service.committedState.shard(message.shard);
       // An epoch newer than this controller's view is not stale: the view may lag behind the sender's.
-      if (fact !== null && message.epoch < fact.epoch) return this.reject('stale');
+      if (committedShard !== null && message.epoch < committedShard.epoch) return this.reject('stale');
       const status = apply(message);
       if (status === 'stale') return this.reject('stale');
       this.monitor.heard(message.node, this.service.clock.now());
@@ -124,14 +124,15 @@
 
   private async probe(bytes: Uint8Array, from: string): Promise<Uint8Array | null> {
     if (!this.cluster.domains.accepts(from)) return null;
-    const { node, channel, facts } = this.service;
+    const { node, channel, committedState } = this.service;
     const { holder, shard, epoch } = decodeProbe(bytes);
     const { probe_ms } = this.options.detection;
     const reaches =
       holder === node || (await channel.isAnswering(holder, probe_ms * WITNESS_TIMEOUT_FRACTION));
-    const fact = facts.shard(shard);
-    const isWarmUnderEpoch = fact !== null && fact.epoch === epoch && this.isWarm(fact);
-    const isStandby = isWarmUnderEpoch && this.cluster.standbysOf(fact).includes(node);
+    const committedShard = committedState.shard(shard);
+    const isWarmUnderEpoch =
+      committedShard !== null && committedShard.epoch === epoch && this.isWarm(committedShard);
+    const isStandby = isWarmUnderEpoch && this.cluster.standbysOf(committedShard).includes(node);
     const applied = isStandby ? (this.replicas.get(shard)?.applied ?? null) : null;
     return encodeProbeAnswer({ reaches, applied });
   }
@@ -145,11 +146,11 @@
   }
 
   private answerPrepare({ shard, epoch, head }: Prepare): PrepareAnswer {
-    const { facts, node } = this.service;
+    const { committedState, node } = this.service;
     const replica = this.replicas.get(shard);
     if (replica?.epoch !== epoch) return { accepted: false, reason: 'does not follow this slice' };
     if ((replica.applied ?? 0) < head) return { accepted: false, reason: 'is behind' };
-    const session = facts.sessions().find((s) => s.node === node);
+    const session = committedState.sessions().find((s) => s.node === node);
     if (session === undefined) return { accepted: false, reason: 'has no session' };
     if (session.isDraining) return { accepted: false, reason: 'is about to end itself' };
     return { accepted: true, reason: '' };
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -1,5 +1,5 @@
 /** The package's part of what `status` shows. */
-import type { PluginServices, ShardFact } from '../../../src/plugin-host/api.js';
+import type { CommittedShard, PluginServices } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import { phasesOf, type FailoverHistory } from './failover-history.js';
 import type { FailoverLoop } from './failover-loop.js';
@@ -18,8 +18,8 @@
   readonly history: FailoverHistory;
 }
 
-function holderPart({ publisher }: StatusSources, fact: ShardFact): object {
-  const published = publisher.shards.get(fact.name);
+function holderPart({ publisher }: StatusSources, shard: CommittedShard): object {
+  const published = publisher.shards.get(shard.name);
   if (published === undefined) return {};
   const { log, followers } = published;
   return {
@@ -33,21 +33,21 @@
   };
 }
 
-function standbyPart(sources: StatusSources, fact: ShardFact): object {
+function standbyPart(sources: StatusSources, shard: CommittedShard): object {
   const { receiver, monitor, takeovers: failovers, service } = sources;
-  const replica = receiver.replicas.get(fact.name);
+  const replica = receiver.replicas.get(shard.name);
   const now = service.clock.now();
-  const lag = replica?.epoch === fact.epoch ? replica.lag() : null;
-  const suspicion = failovers.suspicions.get(fact.name);
+  const lag = replica?.epoch === shard.epoch ? replica.lag() : null;
+  const suspicion = failovers.suspicions.get(shard.name);
   return {
-    warm: receiver.isWarm(fact),
+    warm: receiver.isWarm(shard),
     applied: replica?.applied ?? null,
     lagEntries: lag?.entries ?? null,
     lagMs: lag === null ? null : Math.round(lag.ms),
-    phi: Number(monitor.phi(fact.holder, now).toFixed(2)),
+    phi: Number(monitor.phi(shard.holder, now).toFixed(2)),
     suspected: suspicion !== undefined,
     waitsFor: suspicion?.deferredBy ?? null,
-    backoffS: Math.ceil(failovers.backoffOf(fact.name).leftMs(now) / 1000),
+    backoffS: Math.ceil(failovers.backoffOf(shard.name).leftMs(now) / 1000),
   };
 }
 
@@ -56,17 +56,17 @@
   const { service, cluster, receiver, takeovers: failovers, history } = sources;
   return {
     failureDomains: Object.fromEntries(cluster.domainOf),
-    slices: service.facts.shards().map((fact) => {
-      const standbys = cluster.standbysOf(fact);
-      const isHolder = fact.incarnation === service.incarnation;
+    slices: service.committedState.shards().map((shard) => {
+      const standbys = cluster.standbysOf(shard);
+      const isHolder = shard.incarnation === service.incarnation;
       const isStandby = standbys.includes(service.node);
       return {
-        slice: fact.name,
-        active: fact.holder,
-        epoch: fact.epoch,
+        slice: shard.name,
+        active: shard.holder,
+        epoch: shard.epoch,
         standbys,
         role: isHolder ? 'holder' : isStandby ? 'standby' : 'none',
-        ...(isHolder ? holderPart(sources, fact) : isStandby ? standbyPart(sources, fact) : {}),
+        ...(isHolder ? holderPart(sources, shard) : isStandby ? standbyPart(sources, shard) : {}),
       };
     }),
     counts: failovers.counts,
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
+import { ViewCommittedState } from '../../../src/controller/committed-state.js';
 import { ShardTransfer } from '../../../src/controller/membership/shard-transfer.js';
 import { UnavailableError } from '../../../src/core/errors.js';
 import { nodeName, version, type NodeName } from '../../../src/core/model/ids.js';
@@ -21,8 +21,8 @@
 
 const transferOf = ({ controller }: SimulatedController) =>
   new ShardTransfer(controller!.context, controller!.membership);
-const factOf = ({ controller }: SimulatedController, shard: NodeName) =>
-  new ViewCommittedFacts(controller!.context).shard(shard)!;
+const committedShardOf = ({ controller }: SimulatedController, shard: NodeName) =>
+  new ViewCommittedState(controller!.context).shard(shard)!;
 
 /** Lets time pass until `work` is done; returns the kind of its outcome. */
 const outcomeOf = async (simulation: Simulation, work: () => Promise<ShardTransferOutcome>) =>
@@ -44,14 +44,17 @@
     const holder = currentLeader(simulation);
     const candidate = allControllers(simulation).find((node) => node !== holder)!;
     const shard = nodeName(holder.name);
-    const fact = factOf(candidate, shard);
+    const committedShard = committedShardOf(candidate, shard);
     holder.clock.pause();
     const ownRecords = [...simulation.state.rows.keys()].filter(
       (k) => k === key.session(holder.name) || k === key.leader,
     );
     assert.equal(ownRecords.length, 2);
     candidate.controller!.context.state.revokeLease = () => Promise.reject(new UnavailableError('revoke'));
-    assert.equal(await outcomeOf(simulation, () => transferOf(candidate).failOver(fact)), 'committed');
+    assert.equal(
+      await outcomeOf(simulation, () => transferOf(candidate).failOver(committedShard)),
+      'committed',
+    );
     assert.equal(holderOf(simulation, shard), candidate.name);
     assert.equal(simulation.state.rows.has(key.session(holder.name)), false);
     assert.notEqual(
@@ -66,20 +69,23 @@
 describe('rejected failovers', () => {
   it('a failover is rejected if the shard has got another holder meanwhile', async () => {
     const { simulation, holder, candidate, shard } = await runWithHolderAndCandidate();
-    const fact = factOf(candidate, shard);
+    const committedShard = committedShardOf(candidate, shard);
     const other = currentLeader(simulation);
     assert.equal(
-      await outcomeOf(simulation, () => transferOf(other).failOver(factOf(other, shard))),
+      await outcomeOf(simulation, () => transferOf(other).failOver(committedShardOf(other, shard))),
       'committed',
     );
-    assert.equal(await outcomeOf(simulation, () => transferOf(candidate).failOver(fact)), 'overtaken');
+    assert.equal(
+      await outcomeOf(simulation, () => transferOf(candidate).failOver(committedShard)),
+      'overtaken',
+    );
     assert.notEqual(holderOf(simulation, shard), candidate.name);
     assert.ok(holder.controller !== null);
   });
 
   it('a holder that has restarted meanwhile keeps its shard', async () => {
     const { simulation, holder, candidate, shard } = await runWithHolderAndCandidate();
-    const fact = factOf(candidate, shard);
+    const committedShard = committedShardOf(candidate, shard);
     // The candidate's view lags by 3 s, so it does not show the session that the new process has written.
     candidate.watchLagMs = 3000;
     holder.crash();
@@ -87,15 +93,15 @@
     for (let i = 0; i < 100 && holderOf(simulation, shard) === holder.name; i++) {
       const session = simulation.state.rows.get(key.session(holder.name))?.value as
         { incarnation?: string } | undefined;
-      if (session?.incarnation !== undefined && session.incarnation !== fact.incarnation) break;
+      if (session?.incarnation !== undefined && session.incarnation !== committedShard.incarnation) break;
       await advance(simulation, 10);
     }
     const shardRow = simulation.state.rows.get(key.shard(shard))!;
     // The shard's current version, as if the new process had not renewed its shard yet: only the guard on the holder's
     // session can reject the failover.
-    const observedFact = { ...fact, epoch: version(shardRow.revision) };
+    const observedShard = { ...committedShard, epoch: version(shardRow.revision) };
     assert.equal(
-      await outcomeOf(simulation, () => transferOf(candidate).failOver(observedFact)),
+      await outcomeOf(simulation, () => transferOf(candidate).failOver(observedShard)),
       'overtaken',
     );
     assert.equal(holderOf(simulation, shard), holder.name);
@@ -104,10 +110,13 @@
 
   it('a controller without a valid session can fail over no shard', async () => {
     const { simulation, candidate, shard } = await runWithHolderAndCandidate();
-    const fact = factOf(candidate, shard);
+    const committedShard = committedShardOf(candidate, shard);
     candidate.unreachable.add('state');
     await advance(simulation, 4000);
-    assert.equal(await outcomeOf(simulation, () => transferOf(candidate).failOver(fact)), 'unavailable');
+    assert.equal(
+      await outcomeOf(simulation, () => transferOf(candidate).failOver(committedShard)),
+      'unavailable',
+    );
     assert.notEqual(holderOf(simulation, shard), candidate.name);
   });
 });
@@ -124,7 +133,7 @@
     const receiver = allControllers(simulation).find((node) =>
       standbyStatusOf(node).slices.some((s) => s.slice === shard && s.role === 'none'),
     )!;
-    const { epoch } = factOf(receiver, shard);
+    const { epoch } = committedShardOf(receiver, shard);
     const send = async (from: string, messageEpoch: typeof epoch) => {
       const payload = encodeAppend({
         node: shard,
--- a/packages/warm-standby/test/standbys.ts
+++ b/packages/warm-standby/test/standbys.ts
@@ -58,8 +58,8 @@
 
 /** The plug-in's part of a running controller's status; fails if the plug-in could not produce it. */
 export function standbyStatusOf(node: SimulatedController): Shown {
-  const { packages } = node.controller!;
-  const status = packages!.status()['warm_standby'] as Shown & { failed?: string };
+  const { pluginHost } = node.controller!;
+  const status = pluginHost!.status()['warm_standby'] as Shown & { failed?: string };
   assert.equal(status.failed, undefined);
   return status;
 }
@@ -98,7 +98,7 @@
 export const requestHandover = (node: SimulatedController, body: object = {}): Promise<HandoverReply> =>
   new Promise((resolve, reject) => {
     node.clock.run(() => {
-      node.controller!.packages!.command('warm_standby', 'handover', body).then((reply) => {
+      node.controller!.pluginHost!.command('warm_standby', 'handover', body).then((reply) => {
         resolve(reply as never);
       }, reject);
     });
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -6,7 +6,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { ViewCommittedFacts } from '../../../src/controller/committed-facts.js';
+import { ViewCommittedState } from '../../../src/controller/committed-state.js';
 import { attempt, jobId, machineName, nodeName } from '../../../src/core/model/ids.js';
 import { LEASE_MS, faultScenario, runUntilBusy } from '../../../test/sim/fault-scenario.js';
 import { answered } from '../../../test/sim/pipeline-helpers.js';
@@ -259,7 +259,7 @@
     async (simulation) => {
       const nodeWithoutPlugin = nonLeaders(simulation)[0]!;
       nodeWithoutPlugin.crash();
-      nodeWithoutPlugin.packages = () => [];
+      nodeWithoutPlugin.plugins = () => [];
       nodeWithoutPlugin.start();
       await advance(simulation, 6000);
       const others = allControllers(simulation).filter((node) => node !== nodeWithoutPlugin);
@@ -337,7 +337,7 @@
       const [node] = nonLeaders(simulation);
       const standbyNode = firstStandbyOf(simulation, node!.name);
       const shard = nodeName(node!.name);
-      const { epoch } = new ViewCommittedFacts(standbyNode.controller!.context).shard(shard)!;
+      const { epoch } = new ViewCommittedState(standbyNode.controller!.context).shard(shard)!;
       const machineNames = [...simulation.cluster.machines.keys()].map(machineName);
       const { applied } = standbyStatusOf(standbyNode).slices.find((s) => s.slice === shard)!;
       const taskAt = (index: number) => ({
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -189,7 +189,7 @@
       .description('hand over the slices of a controller to its warm standbys, before it is restarted')
       .option('--to <node>', 'hand over to this controller only'),
   ).action(async (options: AddressOption & { to?: string }) => {
-    const path = paths.packageCommand.replace(':name', 'warm_standby').replace(':command', 'handover');
+    const path = paths.pluginCommand.replace(':name', 'warm_standby').replace(':command', 'handover');
     const body = options.to === undefined ? {} : { to: options.to };
     await printAnswer(options.address, 'POST', path, body, { indent: 2, timeoutMs: HANDOVER_TIMEOUT_MS });
   });
--- a/src/controller/committed-facts.ts
+++ b/src/controller/committed-state.ts
@@ -3,11 +3,11 @@
 import type { MachineRecord } from '../core/model/machines.js';
 import { key } from '../core/records/keys.js';
 import type { ViewChanges } from '../core/state/view-changes.js';
-import type { CommittedFacts, SessionFact, ShardFact } from '../plugin-host/api.js';
+import type { CommittedSession, CommittedShard, CommittedState } from '../plugin-host/api.js';
 import type { ControllerContext } from './controller-context.js';
 
-/** Implements `CommittedFacts` on the view of one controller. */
-export class ViewCommittedFacts implements CommittedFacts {
+/** Implements `CommittedState` on the view of one controller. */
+export class ViewCommittedState implements CommittedState {
   constructor(private readonly context: ControllerContext) {}
 
   get isReady(): boolean {
@@ -15,12 +15,12 @@
   }
 
   /** All shards that have a record. */
-  shards(): ShardFact[] {
+  shards(): CommittedShard[] {
     return [...this.context.view.shards.keys()].map((name) => this.shard(nodeName(name))!);
   }
 
   /** The shard with this name; null where it has no record. */
-  shard(name: NodeName): ShardFact | null {
+  shard(name: NodeName): CommittedShard | null {
     const { view } = this.context;
     const record = view.shards.get(name);
     if (record === undefined) return null;
@@ -34,7 +34,7 @@
   }
 
   /** The sessions of all controllers. */
-  sessions(): SessionFact[] {
+  sessions(): CommittedSession[] {
     return [...this.context.view.sessions.values()].map((session) => ({
       node: session.node,
       incarnation: session.incarnation,
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -12,7 +12,7 @@
 import { PluginHost, ForwardingTracer } from '../plugin-host/plugin-host.js';
 import { TopicChannel } from '../plugin-host/topic-channel.js';
 import { JobService } from './api/job-service.js';
-import { ViewCommittedFacts } from './committed-facts.js';
+import { ViewCommittedState } from './committed-state.js';
 import { ControllerContext } from './controller-context.js';
 import { HealthTracker } from './health/health-tracker.js';
 import { HeartbeatRouter } from './heartbeats/heartbeat-router.js';
@@ -38,7 +38,7 @@
   readonly agents: AgentGateway;
   readonly peers: ReadonlyMap<string, Peer>;
   /** Connections for plugins, separate from `peers` so that a slow plugin does not delay other requests. */
-  readonly packageLinks?: ReadonlyMap<string, Peer>;
+  readonly pluginLinks?: ReadonlyMap<string, Peer>;
 }
 
 /** The settings, dependencies and plugins of a controller. */
@@ -47,7 +47,7 @@
   readonly operator: OperatorSettings;
   readonly log: Logger;
   readonly dependencies: ControllerDependencies;
-  readonly packages?: readonly LoadedPlugin[];
+  readonly plugins?: readonly LoadedPlugin[];
 }
 
 /** Creates the modules of one controller and runs their loops. */
@@ -62,10 +62,10 @@
   /** Requests between the plugins of different controllers. */
   readonly channel: TopicChannel;
   /** Null where no plugin is enabled. */
-  readonly packages: PluginHost | null;
+  readonly pluginHost: PluginHost | null;
   private readonly health: HealthTracker;
 
-  constructor({ settings, operator, log, dependencies, packages = [] }: ControllerOptions) {
+  constructor({ settings, operator, log, dependencies, plugins = [] }: ControllerOptions) {
     const { clock, identity, state, watch, cloud, agents, peers } = dependencies;
     this.context = new ControllerContext({
       settings,
@@ -91,8 +91,8 @@
       membership: this.membership,
       availability: this.availability,
     });
-    this.channel = new TopicChannel(dependencies.packageLinks ?? new Map());
-    this.packages = packages.length === 0 ? null : this.createPluginHost(packages, dependencies.random);
+    this.channel = new TopicChannel(dependencies.pluginLinks ?? new Map());
+    this.pluginHost = plugins.length === 0 ? null : this.createPluginHost(plugins, dependencies.random);
   }
 
   /** Runs all loops. Never resolves; rejects when one of them fails. */
@@ -104,7 +104,7 @@
       this.leader.run(),
       this.heartbeats.run(),
       this.availability.run(),
-      ...(this.packages === null ? [] : [this.packages.run()]),
+      ...(this.pluginHost === null ? [] : [this.pluginHost.run()]),
       this.logUsage(),
     ]);
   }
@@ -121,10 +121,10 @@
       clock,
       random,
       log: pluginLog,
-      facts: new ViewCommittedFacts(context),
+      committedState: new ViewCommittedState(context),
       shardControl: new ShardTransfer(context, this.membership),
       channel: this.channel,
-      learn: (hint) => {
+      applyHint: (hint) => {
         health.applyHint(hint);
       },
       onEvent: (listener) => {
--- a/src/controller/membership/shard-transfer.ts
+++ b/src/controller/membership/shard-transfer.ts
@@ -10,7 +10,7 @@
 import { REQUEST_PRIORITY } from '../../io/rate-limiter.js';
 import type { ChangeSet } from '../../io/state/change-set.js';
 import type { Guard, WriteOperation } from '../../io/state/state-messages.js';
-import type { ShardControl, ShardFact, ShardTransferOutcome } from '../../plugin-host/api.js';
+import type { CommittedShard, ShardControl, ShardTransferOutcome } from '../../plugin-host/api.js';
 import type { ControllerContext } from '../controller-context.js';
 import type { Membership } from './membership.js';
 
@@ -29,7 +29,7 @@
   ) {}
 
   /** Acquires the shard and ends its holder's session in one transaction, unless a guarded record has changed. */
-  async failOver(shard: ShardFact): Promise<ShardTransferOutcome> {
+  async failOver(shard: CommittedShard): Promise<ShardTransferOutcome> {
     const { context, membership } = this;
     if (!membership.hasValidLease) return UNAVAILABLE;
     const session = context.view.sessions.get(shard.holder);
@@ -45,7 +45,7 @@
    * `drainForMs`; the outcome `overtaken` ends the draining at once.
    */
   async handOver(
-    shards: readonly ShardFact[],
+    shards: readonly CommittedShard[],
     to: NodeName,
     drainForMs: number,
   ): Promise<ShardTransferOutcome> {
@@ -70,7 +70,7 @@
    * Changes the shard's holder and, as far as they fit into the transaction, ends the former holder's session and
    * leadership. If the session ended first, the leader might assign the shard to another controller.
    */
-  private failOverChanges(shard: ShardFact, session: SessionRecord | undefined): ChangeSet {
+  private failOverChanges(shard: CommittedShard, session: SessionRecord | undefined): ChangeSet {
     const { settings, incarnation, guards: guard, state, view } = this.context;
     const { operationsPerTransaction } = state.limits;
     const shardKey = key.shard(shard.name);
@@ -102,7 +102,7 @@
   }
 
   private handOverChanges(
-    shards: readonly ShardFact[],
+    shards: readonly CommittedShard[],
     receiver: SessionRecord,
     ownSession: SessionRecord,
   ): ChangeSet {
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -56,7 +56,7 @@
     cloud: new HttpClient(settings.cloud, CLOUD_CONNECTIONS),
     agents: new AgentClient(Math.max(MIN_AGENT_CONNECTIONS, agentConnections)),
     peers: new Map(settings.peers.map((peer) => [peer.node, new PeerLink(peer.address)])),
-    ...(hasPlugins ? { packageLinks: createPluginLinks(settings) } : {}),
+    ...(hasPlugins ? { pluginLinks: createPluginLinks(settings) } : {}),
   };
 }
 
@@ -76,7 +76,7 @@
   operator: OperatorSettings,
   log: Logger,
 ): Promise<void> {
-  const { availability, context, packages, shardController } = controller;
+  const { availability, context, pluginHost, shardController } = controller;
   const server = buildServer({
     log,
     jobs: controller.jobs,
@@ -84,12 +84,12 @@
     isHealthy: () => availability.isHealthy,
     status: () => ({
       ...status(context, shardController, availability.isHealthy),
-      ...(packages === null ? {} : { packages: packages.status() }),
+      ...(pluginHost === null ? {} : { packages: pluginHost.status() }),
     }),
     maxConnections: Math.floor(settings.limits.max_connections * HTTP_CONNECTIONS_FRACTION),
     minInProgress: operator.users.least_in_progress,
     maxInProgress: operator.users.most_in_progress,
-    ...(packages === null ? {} : { packages }),
+    ...(pluginHost === null ? {} : { plugins: pluginHost }),
   });
   const [host, port] = splitAddress(settings.bind);
   await server.listen({ host, port });
@@ -100,10 +100,10 @@
   settings: PlatformSettings,
   operator: OperatorSettings,
   log: Logger,
-  packages: readonly LoadedPlugin[] = [],
+  plugins: readonly LoadedPlugin[] = [],
 ): Promise<void> {
-  const dependencies = createDependencies(settings, packages.length > 0);
-  const controller = new Controller({ settings, operator, log, dependencies, packages });
+  const dependencies = createDependencies(settings, plugins.length > 0);
+  const controller = new Controller({ settings, operator, log, dependencies, plugins });
   await listenForPeers(controller, settings);
   await listenForHttp(controller, settings, operator, log);
   const { incarnation } = controller.context;
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -1,4 +1,4 @@
-/** Events of a controller's work, to which packages subscribe. Without a subscriber no event is created. */
+/** Events of a controller's work, to which plugins subscribe. Without a subscriber no event is created. */
 import type { JobFailures } from './health/failure-tracker.js';
 import type { TaskRun } from './health/slow-machine-detector.js';
 import type { AgentCommand, ExitReason, Heartbeat } from './model/heartbeats.js';
--- a/src/core/log-events.ts
+++ b/src/core/log-events.ts
@@ -99,7 +99,7 @@
   /** Level `error`. Renting machines failed and will be repeated. Fields: `err`. */
   machineRentalFailed: 'machine rental failed',
   /**
-   * Level `error`. A package has ended with an error; the controller continues without it. Fields: `err`, `package`.
+   * Level `error`. A plugin has ended with an error; the controller continues without it. Fields: `err`, `package`.
    */
-  packageFailed: 'package failed',
+  pluginFailed: 'package failed',
 } as const;
--- a/src/io/paths.ts
+++ b/src/io/paths.ts
@@ -7,7 +7,7 @@
   cancel: '/v1/jobs/:id/abort',
   health: '/healthz',
   status: '/v1/status',
-  packageCommand: '/v1/packages/:name/:command',
+  pluginCommand: '/v1/packages/:name/:command',
   metrics: '/metrics',
   heartbeat: '/v1/report',
   directCommands: '/do',
--- a/src/io/peers/peer-frames.ts
+++ b/src/io/peers/peer-frames.ts
@@ -35,9 +35,9 @@
   outcome: string;
   /** In a request: asks whether the receiver has contact to the state service. In the answer: whether it has. */
   contact: boolean;
-  /** Topic of a package's request; empty in all other frames. */
+  /** Topic of a plugin's request; empty in all other frames. */
   topic: string;
-  /** Content of a package's request or of the answer to it. */
+  /** Content of a plugin's request or of the answer to it. */
   payload: Uint8Array;
 }
 
--- a/src/io/peers/peer-server.ts
+++ b/src/io/peers/peer-server.ts
@@ -8,7 +8,7 @@
   readonly onCancellation: (job: string) => Promise<string>;
   /** Returns whether this controller has contact to the state service. */
   readonly hasStateContact: () => boolean;
-  /** Handles a package's request; resolves to null if no package knows the topic. `from` is the sender's IP address. */
+  /** Handles a plugin's request; resolves to null if no plugin knows the topic. `from` is the sender's IP address. */
   readonly onTopic?: (topic: string, payload: Uint8Array, from: string) => Promise<Uint8Array | null>;
   readonly maxConnections: number;
 }
--- a/src/io/peers/peer.ts
+++ b/src/io/peers/peer.ts
@@ -6,6 +6,6 @@
   cancel(job: string, timeoutMs: number): Promise<string | null>;
   /** Asks whether the peer has contact to the state service; resolves to null if no answer came in time. */
   contact(timeoutMs: number): Promise<boolean | null>;
-  /** Sends a package's request; resolves to the answer, or to null if none came in time or the peer has none. */
+  /** Sends a plugin's request; resolves to the answer, or to null if none came in time or the peer has none. */
   ask(topic: string, payload: Uint8Array, timeoutMs: number): Promise<Uint8Array | null>;
 }
--- a/src/io/users/http-server.ts
+++ b/src/io/users/http-server.ts
@@ -26,7 +26,7 @@
   readonly minInProgress: number;
   readonly maxInProgress: number;
   /** Commands and metrics of plugins; absent if no plugin is enabled. */
-  readonly packages?: PluginRequests;
+  readonly plugins?: PluginRequests;
 }
 
 /** Thrown for a request body that is not JSON; answered with 400. */
@@ -49,7 +49,7 @@
   serveJobs(app, options.jobs, { min: options.minInProgress, max: options.maxInProgress });
   serveHeartbeats(app, options.heartbeats);
   serveStatus(app, options);
-  if (options.packages !== undefined) servePlugins(app, options.packages);
+  if (options.plugins !== undefined) servePlugins(app, options.plugins);
   return app;
 }
 
--- a/src/io/users/operator-routes.ts
+++ b/src/io/users/operator-routes.ts
@@ -21,7 +21,7 @@
 
 /** Adds the routes for operators' commands to plugins and for the metrics of plugins. */
 export function servePlugins(app: FastifyInstance, plugins: PluginRequests): void {
-  app.post<CommandParams>(paths.packageCommand, async (request, reply) => {
+  app.post<CommandParams>(paths.pluginCommand, async (request, reply) => {
     const { name, command } = request.params;
     const answer = await plugins.command(name, command, request.body);
     if (answer === null) return reply.code(404).send({ error: 'no such package or command' });
--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -23,7 +23,7 @@
 import type { ViewChanges } from '../core/state/view-changes.js';
 
 /** A shard's committed record. */
-export interface ShardFact {
+export interface CommittedShard {
   readonly name: NodeName;
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
@@ -34,7 +34,7 @@
 }
 
 /** The committed record of a controller's session. */
-export interface SessionFact {
+export interface CommittedSession {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
   /** The controller gives up the shards that it holds and is assigned no others. */
@@ -42,13 +42,13 @@
 }
 
 /** Read access to the committed records in this controller's view. */
-export interface CommittedFacts {
+export interface CommittedState {
   /** Whether the view is complete. */
   readonly isReady: boolean;
-  shards(): ShardFact[];
+  shards(): CommittedShard[];
   /** The shard of that name; null if it has no record. */
-  shard(name: NodeName): ShardFact | null;
-  sessions(): SessionFact[];
+  shard(name: NodeName): CommittedShard | null;
+  sessions(): CommittedSession[];
   /** The machine of that name; null if it has no record. */
   machine(name: MachineName): MachineRecord | null;
   machinesOf(shard: NodeName): MachineRecord[];
@@ -78,11 +78,15 @@
 /** Changes the holders of shards, only in transactions that are guarded on the records as they were read. */
 export interface ShardControl {
   /** Acquires the shard and ends its holder's session in one transaction; changes nothing if a record has changed. */
-  failOver(shard: ShardFact): Promise<ShardTransferOutcome>;
+  failOver(shard: CommittedShard): Promise<ShardTransferOutcome>;
   /**
    * Hands shards that this process holds over to a controller that has a session, and acquires none for `drainForMs`.
    */
-  handOver(shards: readonly ShardFact[], to: NodeName, drainForMs: number): Promise<ShardTransferOutcome>;
+  handOver(
+    shards: readonly CommittedShard[],
+    to: NodeName,
+    drainForMs: number,
+  ): Promise<ShardTransferOutcome>;
 }
 
 /** Another controller of the cluster. */
@@ -136,11 +140,11 @@
   /** Returns a random number, uniform in [0, 1). */
   readonly random: () => number;
   readonly log: Logger;
-  readonly facts: CommittedFacts;
+  readonly committedState: CommittedState;
   readonly shardControl: ShardControl;
   readonly channel: PeerChannel;
   /** Applies an observation of another controller. */
-  learn(hint: Hint): void;
+  applyHint(hint: Hint): void;
   /** Subscribes to the events of this controller. */
   onEvent(listener: EventListener): void;
   /** Records spans through the tracing plugin; drops them if none is enabled. */
@@ -167,7 +171,7 @@
   readonly endMs: number;
   readonly parent?: TraceParent | undefined;
   /** The context that `Tracer.reserve` returned for this span; absent if none was reserved. */
-  readonly self?: TraceParent;
+  readonly context?: TraceParent;
   readonly attributes?: Readonly<Record<string, string | number | boolean>>;
 }
 
--- a/src/plugin-host/plugin-host.ts
+++ b/src/plugin-host/plugin-host.ts
@@ -68,7 +68,7 @@
 
   private recordFailure(name: string, error: unknown): void {
     this.failures.set(name, error instanceof Error ? error.message : String(error));
-    this.log.error({ err: error, package: name }, LOG_EVENT.packageFailed);
+    this.log.error({ err: error, package: name }, LOG_EVENT.pluginFailed);
   }
 
   /** The status of each plugin by name; the field `failed` has the error message of a plugin that has failed. */
--- a/test/packages.test.ts
+++ b/test/packages.test.ts
@@ -1,6 +1,6 @@
 /**
- * Packages, the plugins of the service. Guards against running code of a package that no operators' file enables, options
- * whose errors show only after the start, and a failing package that stops the others.
+ * Plugins of the service. Guards against running code of a plugin that no operators' file enables, options
+ * whose errors show only after the start, and a failing plugin that stops the others.
  */
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
@@ -36,7 +36,7 @@
     });
   });
 
-test("a package without a section is not loaded, and the operators' files in deploy/ are valid", async () => {
+test("a plugin without a section is not loaded, and the operators' files in deploy/ are valid", async () => {
   const copy = path.join(directory, 'target');
   mkdirSync(copy);
   for (const file of ['main.cjs', 'app.cjs']) cpSync(path.join('target', file), path.join(copy, file));
@@ -58,7 +58,7 @@
   rmSync(copy, { recursive: true });
 });
 
-test('an unknown package, key or value ends the program with code 2 and names file, path and reason', async () => {
+test('an unknown plugin, key or value ends the program with code 2 and names file, path and reason', async () => {
   const cases: [string, RegExp][] = [
     ['[packages.hot_standby]', /packages\.hot_standby: there is no such package/],
     ['[packages."../main"]', /packages\.\.\.\/main: there is no such package/],
@@ -93,7 +93,7 @@
   assert.throws(() => readOperatorSettingsFiles(files('', 'x')), /1\.toml: not TOML/);
 });
 
-test('a package that fails at its start or while it runs is shown in the status, and the others continue', async () => {
+test('a plugin that fails at its start or while it runs is shown in the status, and the others continue', async () => {
   const loadedPackage = (name: string, start: () => RunningPlugin): LoadedPlugin => ({
     name,
     definition: { schema: {} as never, validate: () => null, start },
--- a/test/sim/controller-connections.ts
+++ b/test/sim/controller-connections.ts
@@ -48,7 +48,7 @@
       cloud: { request: (...request) => this.requestCloud(...request) },
       agents: this.agents(),
       peers: this.peers(),
-      packageLinks: this.peers(),
+      pluginLinks: this.peers(),
     };
   }
 
--- a/test/sim/digest.ts
+++ b/test/sim/digest.ts
@@ -63,14 +63,14 @@
  */
 export async function digestRun(spec: RunSpec, onMessage?: (line: string) => void): Promise<RunDigest> {
   const isUpgrade = spec.kind !== 'standby' && spec.seed % UPGRADE_EVERY === 0;
-  const packages = spec.kind === 'standby' ? standby() : undefined;
+  const plugins = spec.kind === 'standby' ? standby() : undefined;
   const hash: Hash = createHash('sha256');
   let messages = 0;
   const simulation = new Simulation({
     seed: spec.seed,
     size: SIZES[spec.kind],
     startsWithPreviousVersion: isUpgrade,
-    packages,
+    plugins,
     observe: (from, to, message) => {
       const line = `${simulation.time.now.toFixed(3)} ${from} ${to} ${canonicalJson(message)}\n`;
       messages++;
--- a/test/sim/fault-scenario.ts
+++ b/test/sim/fault-scenario.ts
@@ -34,10 +34,10 @@
 export async function runUntilBusy(
   seed: number,
   size: SimulationSize = SMALL,
-  packages?: SimulatedController['packages'],
+  plugins?: SimulatedController['plugins'],
 ): Promise<Simulation> {
   for (let i = 0; i < MAX_TRIES; i++) {
-    const simulation = await runWithoutFaults(seed + i * SEED_STEP, size, SCENARIO_START_MS, packages);
+    const simulation = await runWithoutFaults(seed + i * SEED_STEP, size, SCENARIO_START_MS, plugins);
     if (simulation.runningJobs().length >= MIN_RUNNING_JOBS) return simulation;
   }
   return assert.fail(
@@ -71,11 +71,11 @@
   name: string,
   inject: (simulation: Simulation) => Promise<void>,
   seeds: readonly number[] = DEFAULT_SEEDS,
-  packages?: SimulatedController['packages'],
+  plugins?: SimulatedController['plugins'],
 ): void {
   for (const seed of seeds)
     it(`${name}, seed ${seed}`, async () => {
-      const simulation = await runUntilBusy(seed, SMALL, packages);
+      const simulation = await runUntilBusy(seed, SMALL, plugins);
       try {
         await inject(simulation);
         await expectAllJobsFinish(simulation);
--- a/test/sim/simulated-controller.ts
+++ b/test/sim/simulated-controller.ts
@@ -43,8 +43,8 @@
   clock: ProcessClock;
   /** Number of processes started so far. */
   starts = 0;
-  /** Creates the packages that the controller runs; called at each start. */
-  packages: (settings: PlatformSettings) => readonly LoadedPlugin[] = () => [];
+  /** Creates the plugins that the controller runs; called at each start. */
+  plugins: (settings: PlatformSettings) => readonly LoadedPlugin[] = () => [];
   /** Controllers from which the controller is partitioned in both directions. */
   readonly partitionedFrom = new Set<string>();
   /** Dependencies that the controller cannot reach now. */
@@ -83,7 +83,7 @@
       operator: readOperatorSettings(OPERATOR_FILE),
       log: pino({ level: 'silent' }),
       dependencies: new ControllerConnections(simulation, this, this.clock).dependencies(),
-      packages: this.packages(settings),
+      plugins: this.plugins(settings),
     });
     this.controller.run().catch((error: unknown) => {
       simulation.fail(error);
--- a/test/sim/simulation.ts
+++ b/test/sim/simulation.ts
@@ -24,8 +24,8 @@
   readonly size?: SimulationSize;
   /** Whether the controllers start in the previous version. */
   readonly startsWithPreviousVersion?: boolean;
-  /** Creates the packages of a controller; called at each start of each controller. */
-  readonly packages?: SimulatedController['packages'] | undefined;
+  /** Creates the plugins of a controller; called at each start of each controller. */
+  readonly plugins?: SimulatedController['plugins'] | undefined;
   readonly observe?: Observer;
 }
 
@@ -153,11 +153,11 @@
     return cluster;
   }
 
-  private startControllers({ startsWithPreviousVersion = false, packages }: SimulationOptions): void {
+  private startControllers({ startsWithPreviousVersion = false, plugins }: SimulationOptions): void {
     for (const [i, name] of NODES.entries()) {
       const node = new SimulatedController(this, name, ZONES[i % ZONES.length]!);
       node.runsPreviousVersion = startsWithPreviousVersion;
-      if (packages !== undefined) node.packages = packages;
+      if (plugins !== undefined) node.plugins = plugins;
       this.controllers.set(name, node);
       node.start();
     }
@@ -178,9 +178,9 @@
   seed: number,
   size: SimulationSize,
   ms: number,
-  packages?: SimulatedController['packages'],
+  plugins?: SimulatedController['plugins'],
 ): Promise<Simulation> {
-  const simulation = new Simulation({ seed, size, packages });
+  const simulation = new Simulation({ seed, size, plugins });
   simulation.duplicateHeartbeatProbability = 0;
   simulation.isSmooth = true;
   await simulation.time.runUntil(ms);
