--- a/packages/tracing/src/index.ts
+++ b/packages/tracing/src/index.ts
@@ -54,7 +54,7 @@
   const registry = createMetrics(queues);
   service.provideTracer(tracer);
   service.onEvent((event) => {
-    jobs.note(event);
+    jobs.onEvent(event);
   });
   return {
     run: async () => {
--- a/packages/tracing/src/job-spans.ts
+++ b/packages/tracing/src/job-spans.ts
@@ -45,7 +45,7 @@
   ) {}
 
   /** Records the spans that the event completes. */
-  note(event: ServiceEvent): void {
+  onEvent(event: ServiceEvent): void {
     switch (event.kind) {
       case 'job_accepted':
         this.onJobAccepted(event.job, event.since);
--- a/packages/tracing/test/tracing.test.ts
+++ b/packages/tracing/test/tracing.test.ts
@@ -102,7 +102,7 @@
     ];
     for (const [at, event] of steps)
       time.at(at, () => {
-        spans.note(event);
+        spans.onEvent(event);
       });
     await time.runUntil(100);
     await queue.forceFlush();
--- a/packages/warm-standby/src/backoff.ts
+++ b/packages/warm-standby/src/backoff.ts
@@ -16,7 +16,7 @@
   private lastFailoverAt = Number.NEGATIVE_INFINITY;
   private doublings = 0;
   /** Number of failovers recorded. */
-  count = 0;
+  failoverCount = 0;
 
   constructor(
     private readonly options: BackoffOptions,
@@ -25,18 +25,18 @@
   ) {}
 
   /** Records a failover: the next one has to wait for the pause, which doubles unless there was none for `calm_ms`. */
-  note(nowMs: number): void {
+  recordFailover(nowMs: number): void {
     const { backoff_ms, longest_backoff_ms, calm_ms } = this.options;
     if (nowMs - this.lastFailoverAt > calm_ms) this.doublings = 0;
     const pauseMs = Math.min(longest_backoff_ms, backoff_ms * 2 ** this.doublings);
     this.pausedUntil = nowMs + pauseMs * (1 - JITTER_FRACTION + 2 * JITTER_FRACTION * this.random());
     this.lastFailoverAt = nowMs;
     this.doublings++;
-    this.count++;
+    this.failoverCount++;
   }
 
   /** Milliseconds until the next failover is allowed; 0 where it is allowed now. */
-  leftMs(nowMs: number): number {
+  remainingMs(nowMs: number): number {
     return Math.max(0, this.pausedUntil - nowMs);
   }
 }
--- a/packages/warm-standby/src/failover-history.ts
+++ b/packages/warm-standby/src/failover-history.ts
@@ -46,13 +46,13 @@
   /** Whether this controller was a warm standby of the shard. */
   readonly wasWarm: boolean;
   /** Number of agents that the replica knew. */
-  readonly agentsKnown: number;
+  readonly knownAgentCount: number;
   /** Number of task exits in the replica whose results may not have been committed. */
   readonly uncommittedExits: number;
   /** Number of the shard's machines. */
-  readonly machines: number;
+  readonly machineCount: number;
   /** When this controller received the shard, on the wall clock. */
-  readonly wall: number;
+  readonly receivedAt: number;
   readonly at: FailoverMoments;
   /** The context reserved for the span of the failover. */
   readonly traceParent: TraceParent;
--- a/packages/warm-standby/src/failover-loop.ts
+++ b/packages/warm-standby/src/failover-loop.ts
@@ -177,7 +177,7 @@
       rank,
       confirmedForMs: suspicion.confirmedAt === null ? 0 : now - suspicion.confirmedAt,
       rankDelayMs: this.options.takeover.rank_delay_ms,
-      backoffLeftMs: this.backoffOf(shard.name).leftMs(now),
+      backoffLeftMs: this.backoffOf(shard.name).remainingMs(now),
       isStateReachable: committedState.isStateReachable(STATE_REACHABLE_WITHIN_MS),
     });
     if (decision.kind === 'wait') {
@@ -198,7 +198,7 @@
   private async attemptFailover(shard: CommittedShard): Promise<void> {
     const { clock, log, shardControl } = this.service;
     // Recorded before the outcome is known: a transaction without an answer may still be applied.
-    this.backoffOf(shard.name).note(clock.now());
+    this.backoffOf(shard.name).recordFailover(clock.now());
     const outcome = await shardControl.failOver(shard);
     log.info({ shard: shard.name, from: shard.holder, outcome: outcome.kind }, LOG_EVENT.failoverAttempted);
   }
@@ -247,12 +247,12 @@
     const state = replica?.epoch === previous.epoch ? replica.state : null;
     const failover = this.describeFailover(shard, previous, state);
     for (const hint of state?.hints(clock.wallClock()) ?? []) this.service.applyHint(hint);
-    this.publisher.continueWith(shard, state?.entries() ?? []);
+    this.publisher.seedLog(shard, state?.entries() ?? []);
     this.history.add(failover);
     const { from, cause, wasWarm } = failover;
     if (cause === 'suspicion') this.counts.taken++;
     log.info({ shard: name, from, cause, epoch: shard.epoch, warm: wasWarm }, LOG_EVENT.shardReceived);
-    this.receiver.forget(name);
+    this.receiver.dropReplica(name);
     this.suspicions.delete(name);
     this.expectedHandovers.delete(name);
   }
@@ -281,10 +281,10 @@
       cause: causeOf(handoverTrace, suspicion),
       epoch: shard.epoch,
       wasWarm: state !== null && this.receiver.isWarm(previous),
-      agentsKnown: state?.agentCount ?? 0,
-      uncommittedExits: state?.uncommittedExits ?? 0,
-      machines: committedState.machinesOf(name).length,
-      wall: clock.wallClock(),
+      knownAgentCount: state?.agentCount ?? 0,
+      uncommittedExits: state?.uncommittedExitCount ?? 0,
+      machineCount: committedState.machinesOf(name).length,
+      receivedAt: clock.wallClock(),
       at: this.initialMoments(previous.holder, suspicion),
       traceParent: tracer.reserve(handoverTrace),
       handoverTrace,
--- a/packages/warm-standby/src/failover-policy.ts
+++ b/packages/warm-standby/src/failover-policy.ts
@@ -43,7 +43,7 @@
 
 /** Whether to take the shard over now; `wait` gives the reason for deferring it. */
 export type FailoverDecision =
-  { readonly kind: 'take' } | { readonly kind: 'wait'; readonly reason: DeferralReason };
+  { readonly kind: 'fail_over' } | { readonly kind: 'wait'; readonly reason: DeferralReason };
 
 const wait = (reason: DeferralReason): FailoverDecision => ({ kind: 'wait', reason });
 
@@ -81,5 +81,5 @@
   const delayMs = input.rankDelayMs * Math.max(1, input.rank);
   const preceding = precedingStandbyReason(input);
   if (preceding !== null && input.confirmedForMs < delayMs) return wait(preceding);
-  return { kind: 'take' };
+  return { kind: 'fail_over' };
 }
--- a/packages/warm-standby/src/handover.ts
+++ b/packages/warm-standby/src/handover.ts
@@ -82,7 +82,7 @@
     if (to !== undefined && !standbys.includes(to)) return `${to} is no standby of this slice`;
     let reason = 'it has no standby in another failure domain';
     for (const node of to === undefined ? standbys : [to]) {
-      if (!(await this.publisher.drain(shard, node, this.options.handover.drain_ms))) {
+      if (!(await this.publisher.waitUntilCaughtUp(shard, node, this.options.handover.drain_ms))) {
         reason = `${node} does not keep up with the log`;
         continue;
       }
--- a/packages/warm-standby/src/holder-monitor.ts
+++ b/packages/warm-standby/src/holder-monitor.ts
@@ -2,7 +2,7 @@
 import type { NodeName } from '../../../src/core/model/ids.js';
 import type { MonotonicMs } from '../../../src/core/model/time.js';
 import type { Options } from './options.js';
-import { PhiAccrual } from './phi-accrual.js';
+import { PhiAccrualDetector } from './phi-accrual.js';
 
 /**
  * Longest interval between messages, in heartbeats, that enters a detector's history: a longer one is due to a failure or a
@@ -12,7 +12,7 @@
 
 /** One failure detector for each holder that sends to this controller. */
 export class HolderMonitor {
-  private readonly detectors = new Map<NodeName, PhiAccrual>();
+  private readonly detectors = new Map<NodeName, PhiAccrualDetector>();
 
   constructor(
     private readonly heartbeatMs: number,
@@ -20,10 +20,11 @@
   ) {}
 
   /** Records that a message of the holder has arrived. */
-  heard(holder: NodeName, now: MonotonicMs): void {
-    const detector = this.detectors.get(holder) ?? new PhiAccrual(this.heartbeatMs * MAX_INTERVAL_HEARTBEATS);
+  recordArrival(holder: NodeName, now: MonotonicMs): void {
+    const detector =
+      this.detectors.get(holder) ?? new PhiAccrualDetector(this.heartbeatMs * MAX_INTERVAL_HEARTBEATS);
     this.detectors.set(holder, detector);
-    detector.heard(now);
+    detector.recordArrival(now);
   }
 
   /** The suspicion level phi of the holder; 0 where too few messages have arrived. */
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -56,13 +56,12 @@
   });
   const failovers = new FailoverLoop(service, cluster, monitor, receiver, publisher, history, options);
   const handover = new Handover(service, cluster, publisher, options);
-  const metrics = new Metrics({ publisher, receiver, takeovers: failovers });
+  const metrics = new Metrics({ publisher, receiver, failovers });
   return {
     run: async () => {
       await Promise.all([publisher.run(), failovers.run()]);
     },
-    status: () =>
-      standbyStatus({ service, cluster, monitor, publisher, receiver, takeovers: failovers, history }),
+    status: () => standbyStatus({ service, cluster, monitor, publisher, receiver, failovers, history }),
     commands: { handover: (body) => handover.request(body) },
     metrics: () => metrics.text(),
   };
--- a/packages/warm-standby/src/log-events.ts
+++ b/packages/warm-standby/src/log-events.ts
@@ -1,4 +1,4 @@
-/** All events that the package logs; docs/operations/warm-standby.md describes what operators do about each. */
+/** All events that the plugin logs; docs/operations/warm-standby.md describes what operators do about each. */
 
 /** Messages of log lines: subject first, then a state or what has happened. */
 export const LOG_EVENT = {
--- a/packages/warm-standby/src/messages.ts
+++ b/packages/warm-standby/src/messages.ts
@@ -9,7 +9,7 @@
 /** Version of the wire format that this program writes; it reads this and older versions. */
 export const FORMAT_VERSION = 1;
 
-/** Topics of the package's messages between controllers. */
+/** Topics of the plugin's messages between controllers. */
 export const TOPIC = {
   append: 'warm_standby.append',
   snapshot: 'warm_standby.snapshot',
--- a/packages/warm-standby/src/metrics.ts
+++ b/packages/warm-standby/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of the package in the text format of Prometheus. */
+/** Metrics of the plugin in the text format of Prometheus. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import { phasesOf, type Failover } from './failover-history.js';
 import type { FailoverLoop } from './failover-loop.js';
@@ -8,21 +8,21 @@
 const PREFIX = 'pepperbank_standby_';
 const PHASE_BUCKETS_S = [0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32];
 
-/** The parts of the package that the metrics are read from. */
+/** The parts of the plugin that the metrics are read from. */
 export interface MetricSources {
   readonly publisher: Publisher;
   readonly receiver: Receiver;
-  readonly takeovers: FailoverLoop;
+  readonly failovers: FailoverLoop;
 }
 
-/** The package's metrics of one controller. */
+/** The plugin's metrics of one controller. */
 export class Metrics {
   private readonly registry = new Registry();
   private readonly phaseDurations: Histogram;
   private readonly failoversByCause: Counter;
 
   constructor(sources: MetricSources) {
-    const { publisher, receiver, takeovers: failovers } = sources;
+    const { publisher, receiver, failovers } = sources;
     this.phaseDurations = new Histogram({
       name: `${PREFIX}takeover_phase_seconds`,
       help: 'Length of the phases of takeovers by this controller',
@@ -91,7 +91,7 @@
       this.phaseDurations.observe({ phase, cause }, ms / 1000);
   }
 
-  /** The package's metrics in the text format of Prometheus. */
+  /** The plugin's metrics in the text format of Prometheus. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/warm-standby/src/options.ts
+++ b/packages/warm-standby/src/options.ts
@@ -1,4 +1,4 @@
-/** The options of the package: section `[packages.warm_standby]` of the operators' file. */
+/** The options of plugin `warm_standby`: section `[packages.warm_standby]` of the operators' file. */
 import { Type, type Static } from '@sinclair/typebox';
 
 const section = { additionalProperties: false, default: {} };
@@ -78,5 +78,5 @@
   section,
 );
 
-/** The options of the package, with defaults filled in. */
+/** The options of the plugin, with defaults filled in. */
 export type Options = Static<typeof OptionsSchema>;
--- a/packages/warm-standby/src/phi-accrual.ts
+++ b/packages/warm-standby/src/phi-accrual.ts
@@ -23,7 +23,7 @@
 }
 
 /** Phi accrual failure detector for the messages of one sender. */
-export class PhiAccrual {
+export class PhiAccrualDetector {
   private intervalsMs: number[] = [];
   private lastArrivalAt: number | null = null;
 
@@ -33,7 +33,7 @@
   ) {}
 
   /** Records that a message has arrived. */
-  heard(atMs: number): void {
+  recordArrival(atMs: number): void {
     if (this.lastArrivalAt !== null) {
       const interval = atMs - this.lastArrivalAt;
       if (interval <= this.maxIntervalMs) this.intervalsMs.push(interval);
--- a/packages/warm-standby/src/publisher.ts
+++ b/packages/warm-standby/src/publisher.ts
@@ -130,13 +130,13 @@
   }
 
   /** Starts the log of a shard that was just taken over with the entries that its former holder replicated. */
-  continueWith(shard: CommittedShard, entries: readonly LogEntry[]): void {
+  seedLog(shard: CommittedShard, entries: readonly LogEntry[]): void {
     const { log } = this.publish(shard);
     for (const entry of entries) log.append(entry);
   }
 
   /** Waits until the standby has the shard's whole log; false if it has not after `forMs`, or no longer follows. */
-  async drain(shard: CommittedShard, node: NodeName, forMs: number): Promise<boolean> {
+  async waitUntilCaughtUp(shard: CommittedShard, node: NodeName, forMs: number): Promise<boolean> {
     const { clock } = this.service;
     const until = clock.now() + forMs;
     for (;;) {
--- a/packages/warm-standby/src/receiver.ts
+++ b/packages/warm-standby/src/receiver.ts
@@ -29,7 +29,7 @@
 /** Called when a planned handover of a shard was accepted; `traceParent` is the context of the handover's span. */
 export type PreparedListener = (shard: NodeName, traceParent: string) => void;
 
-/** Serves the package's topics to other controllers and keeps replicas of their shards' logs. */
+/** Serves the plugin's topics to other controllers and keeps replicas of their shards' logs. */
 export class Receiver {
   readonly replicas = new Map<NodeName, Replica>();
   /** Numbers of rejected replication messages since the start, by status. */
@@ -61,7 +61,7 @@
   }
 
   /** Drops the replica of a shard that this controller now holds. */
-  forget(shard: NodeName): void {
+  dropReplica(shard: NodeName): void {
     this.replicas.delete(shard);
   }
 
@@ -91,7 +91,7 @@
       if (committedShard !== null && message.epoch < committedShard.epoch) return this.reject('stale');
       const status = apply(message);
       if (status === 'stale') return this.reject('stale');
-      this.monitor.heard(message.node, this.service.clock.now());
+      this.monitor.recordArrival(message.node, this.service.clock.now());
       return { status, applied: this.replicas.get(message.shard)?.applied ?? 0 };
     } catch (error) {
       if (!(error instanceof MessageError)) throw error;
@@ -119,7 +119,7 @@
   }
 
   private snapshot(message: Snapshot): ReplicaOutcome {
-    return this.replicaOf(message.shard).snapshot(message, this.service.clock.now());
+    return this.replicaOf(message.shard).applySnapshotPart(message, this.service.clock.now());
   }
 
   private async probe(bytes: Uint8Array, from: string): Promise<Uint8Array | null> {
--- a/packages/warm-standby/src/replica.ts
+++ b/packages/warm-standby/src/replica.ts
@@ -82,7 +82,7 @@
   }
 
   /** Applies one part of a snapshot; the last part replaces the replicated state. */
-  snapshot(message: SnapshotMessage, now: MonotonicMs): ReplicaOutcome {
+  applySnapshotPart(message: SnapshotMessage, now: MonotonicMs): ReplicaOutcome {
     if (message.epoch < this.epoch) return 'stale';
     if (message.epoch > this.epoch) this.resetTo(message.epoch);
     this.heardAt = now;
--- a/packages/warm-standby/src/replicated-state.ts
+++ b/packages/warm-standby/src/replicated-state.ts
@@ -77,7 +77,7 @@
   }
 
   /** Number of exited tasks of unfinished jobs: their results may not be committed yet. */
-  get uncommittedExits(): number {
+  get uncommittedExitCount(): number {
     return this.exits.size;
   }
 
--- a/packages/warm-standby/src/status.ts
+++ b/packages/warm-standby/src/status.ts
@@ -1,4 +1,4 @@
-/** The package's part of what `status` shows. */
+/** The plugin's part of what `status` shows. */
 import type { CommittedShard, PluginServices } from '../../../src/plugin-host/api.js';
 import type { Cluster } from './cluster.js';
 import { phasesOf, type FailoverHistory } from './failover-history.js';
@@ -7,14 +7,14 @@
 import type { Publisher } from './publisher.js';
 import type { Receiver } from './receiver.js';
 
-/** The parts of the package that its status is read from. */
+/** The parts of the plugin that its status is read from. */
 export interface StatusSources {
   readonly service: PluginServices;
   readonly cluster: Cluster;
   readonly monitor: HolderMonitor;
   readonly publisher: Publisher;
   readonly receiver: Receiver;
-  readonly takeovers: FailoverLoop;
+  readonly failovers: FailoverLoop;
   readonly history: FailoverHistory;
 }
 
@@ -34,7 +34,7 @@
 }
 
 function standbyPart(sources: StatusSources, shard: CommittedShard): object {
-  const { receiver, monitor, takeovers: failovers, service } = sources;
+  const { receiver, monitor, failovers, service } = sources;
   const replica = receiver.replicas.get(shard.name);
   const now = service.clock.now();
   const lag = replica?.epoch === shard.epoch ? replica.lag() : null;
@@ -47,13 +47,13 @@
     phi: Number(monitor.phi(shard.holder, now).toFixed(2)),
     suspected: suspicion !== undefined,
     waitsFor: suspicion?.deferredBy ?? null,
-    backoffS: Math.ceil(failovers.backoffOf(shard.name).leftMs(now) / 1000),
+    backoffS: Math.ceil(failovers.backoffOf(shard.name).remainingMs(now) / 1000),
   };
 }
 
-/** The package's part of what `status` shows: each shard by its role here, counts and the latest failovers. */
+/** The plugin's part of what `status` shows: each shard by its role here, counts and the latest failovers. */
 export function standbyStatus(sources: StatusSources): object {
-  const { service, cluster, receiver, takeovers: failovers, history } = sources;
+  const { service, cluster, receiver, failovers, history } = sources;
   return {
     failureDomains: Object.fromEntries(cluster.domainOf),
     slices: service.committedState.shards().map((shard) => {
@@ -77,9 +77,9 @@
       cause: failover.cause,
       epoch: failover.epoch,
       warm: failover.wasWarm,
-      at: new Date(failover.wall).toISOString(),
-      machines: failover.machines,
-      workersKnown: failover.agentsKnown,
+      at: new Date(failover.receivedAt).toISOString(),
+      machines: failover.machineCount,
+      workersKnown: failover.knownAgentCount,
       uncommittedEnds: failover.uncommittedExits,
       falseSuspicion: failover.isFalse,
       phasesMs: phasesOf(failover),
--- a/packages/warm-standby/test/replication.test.ts
+++ b/packages/warm-standby/test/replication.test.ts
@@ -176,7 +176,7 @@
     const parts = [all.slice(0, 12), all.slice(12)];
     parts.forEach((part, i) => {
       const message = { epoch: EPOCH, upTo: log.head, part: i, parts: 2, entries: part };
-      assert.equal(replica.snapshot(message, monotonicMs(1)), 'applied');
+      assert.equal(replica.applySnapshotPart(message, monotonicMs(1)), 'applied');
     });
     assert.equal(replica.applied, 100);
     assert.deepEqual(replica.state.entries(), log.state.entries());
@@ -189,14 +189,14 @@
   it('parts of two snapshots are never combined, and an old snapshot reverts nothing', () => {
     const replica = new Replica(shard);
     const part = (upTo: number, n: number) => ({ epoch: EPOCH, upTo, part: n, parts: 2, entries: [] });
-    assert.equal(replica.snapshot(part(5, 0), monotonicMs(0)), 'applied');
-    assert.equal(replica.snapshot(part(6, 1), monotonicMs(0)), 'gap');
+    assert.equal(replica.applySnapshotPart(part(5, 0), monotonicMs(0)), 'applied');
+    assert.equal(replica.applySnapshotPart(part(6, 1), monotonicMs(0)), 'gap');
     assert.equal(replica.applied, null);
-    replica.snapshot(part(6, 0), monotonicMs(0));
-    replica.snapshot(part(6, 1), monotonicMs(0));
+    replica.applySnapshotPart(part(6, 0), monotonicMs(0));
+    replica.applySnapshotPart(part(6, 1), monotonicMs(0));
     assert.equal(replica.applied, 6);
-    replica.snapshot(part(5, 0), monotonicMs(0));
-    replica.snapshot(part(5, 1), monotonicMs(0));
+    replica.applySnapshotPart(part(5, 0), monotonicMs(0));
+    replica.applySnapshotPart(part(5, 1), monotonicMs(0));
     assert.equal(replica.applied, 6);
   });
 });
--- a/packages/warm-standby/test/standby-decisions.test.ts
+++ b/packages/warm-standby/test/standby-decisions.test.ts
@@ -15,7 +15,7 @@
 import { decideFailover, type FailoverInput } from '../src/failover-policy.js';
 import { FailureDomainError, FailureDomains } from '../src/failure-domains.js';
 import { servicePackage } from '../src/index.js';
-import { PhiAccrual } from '../src/phi-accrual.js';
+import { PhiAccrualDetector } from '../src/phi-accrual.js';
 import { placeStandbys } from '../src/standby-placement.js';
 
 const domainsOf = (...networks: [string, string[]][]) =>
@@ -130,10 +130,10 @@
 describe('detection of failures', () => {
   it('suspicion grows with silence, later for an irregular sender, and stays 0 with a short history', () => {
     const phiAfterIntervals = (intervals: readonly number[]) => {
-      const phi = new PhiAccrual(3000);
+      const phi = new PhiAccrualDetector(3000);
       let at = 0;
-      phi.heard(at);
-      for (const ms of intervals) phi.heard((at += ms));
+      phi.recordArrival(at);
+      for (const ms of intervals) phi.recordArrival((at += ms));
       return (silenceMs: number) => phi.phi(at + silenceMs);
     };
     const regular = phiAfterIntervals(Array<number>(50).fill(300));
@@ -148,11 +148,11 @@
   });
 
   it("silence during a failure does not enter the detector's history", () => {
-    const phi = new PhiAccrual(2400);
+    const phi = new PhiAccrualDetector(2400);
     let at = 0;
-    for (let i = 0; i < 50; i++) phi.heard((at += 300));
-    phi.heard((at += 60_000));
-    for (let i = 0; i < 5; i++) phi.heard((at += 300));
+    for (let i = 0; i < 50; i++) phi.recordArrival((at += 300));
+    phi.recordArrival((at += 60_000));
+    for (let i = 0; i < 5; i++) phi.recordArrival((at += 300));
     assert.ok(phi.phi(at + 1200) > 8);
   });
 });
@@ -179,27 +179,27 @@
   it("a failover needs confirmation by another controller, a warm replica, a reachable state service and its rank's turn", () => {
     const outcomeOf = (over: Partial<FailoverInput>) => {
       const decision = decideFailover({ ...defaultInput, ...over });
-      return decision.kind === 'take' ? 'take' : decision.reason;
+      return decision.kind === 'fail_over' ? 'fail_over' : decision.reason;
     };
-    assert.equal(outcomeOf({}), 'take');
+    assert.equal(outcomeOf({}), 'fail_over');
     assert.equal(outcomeOf({ holderAnswers: true }), 'holder_answers');
     assert.equal(outcomeOf({ witnesses: [witness(false), witness(true)] }), 'holder_reached_by_another');
     assert.equal(outcomeOf({ witnesses: [witness(null)] }), 'no_witness');
     assert.equal(outcomeOf({ witnesses: [] }), 'no_witness');
-    assert.equal(outcomeOf({ witnesses: [], witnessesNeeded: 0 }), 'take');
+    assert.equal(outcomeOf({ witnesses: [], witnessesNeeded: 0 }), 'fail_over');
     assert.equal(outcomeOf({ isWarm: false }), 'not_warm');
     assert.equal(outcomeOf({ backoffLeftMs: 1 }), 'backoff');
     assert.equal(outcomeOf({ isStateReachable: false }), 'state_unreachable');
     assert.equal(outcomeOf({ witnesses: [witness(false, 11)] }), 'fresher_standby');
     assert.equal(
       outcomeOf({ witnesses: [witness(false, 10)] }),
-      'take',
+      'fail_over',
       'of equally fresh standbys the first in order takes the shard',
     );
     assert.equal(outcomeOf({ rank: 1 }), 'not_first');
     assert.equal(
       outcomeOf({ rank: 1, confirmedForMs: 700 }),
-      'take',
+      'fail_over',
       'the first standby in order may have failed as well',
     );
     assert.equal(outcomeOf({ rank: 2, confirmedForMs: 700 }), 'not_first');
@@ -208,11 +208,11 @@
   it('the backoff between failovers doubles up to its maximum and resets after a quiet period', () => {
     const backoff = new Backoff({ backoff_ms: 1000, longest_backoff_ms: 4000, calm_ms: 60_000 }, () => 0.5);
     const delays = [0, 10_000, 20_000, 30_000, 100_000].map((at) => {
-      backoff.note(at);
-      return backoff.leftMs(at);
+      backoff.recordFailover(at);
+      return backoff.remainingMs(at);
     });
     assert.deepEqual(delays, [1000, 2000, 4000, 4000, 1000]);
-    assert.equal(backoff.count, 5);
+    assert.equal(backoff.failoverCount, 5);
   });
 
   it('the byte budget holds the bytes of one second, may be overdrawn, and refills', () => {
