--- a/src/config/operator-settings.ts
+++ b/src/config/operator-settings.ts
@@ -54,7 +54,7 @@
     ),
     fleet: Type.Object(
       {
-        /** An empty machine is returned once it has been empty for this multiple of the usual boot time of its type. */
+        /** An empty machine is released once it has been empty for this multiple of the usual boot time of its type. */
         idle_boot_factor: seconds(1),
         /** A boot counts as late after this multiple of the usual boot time of the machine type. */
         late_boot_factor: seconds(1.5),
@@ -64,7 +64,7 @@
          * After the cloud refused a machine type in a zone, spot or on demand, it is not requested again for this long.
          */
         refused_s: seconds(8),
-        /** A machine whose latest `slow_runs` runs all took this multiple of the usual time is drained and returned. */
+        /** A machine whose latest `slow_runs` runs all took this multiple of the usual time is drained and released. */
         slow_factor: seconds(1.7),
         slow_runs: Type.Integer({ minimum: 1, default: 3 }),
         /** Arrivals are counted over this window to forecast demand. */
--- a/src/config/platform-settings.ts
+++ b/src/config/platform-settings.ts
@@ -168,7 +168,7 @@
   return {
     name: teamName(team.name),
     guarantee: capacityVector(team.cpus, 0, team.gpus),
-    limitCpu: team.cpus_max > 0 ? limit[CPU] : null,
-    limitGpu: team.gpus_max > 0 ? limit[GPU] : null,
+    cpuQuota: team.cpus_max > 0 ? limit[CPU] : null,
+    gpuQuota: team.gpus_max > 0 ? limit[GPU] : null,
   };
 }
--- a/src/controller/api/job-lookup.ts
+++ b/src/controller/api/job-lookup.ts
@@ -31,11 +31,12 @@
   }
 
   private unfinishedStatus(job: JobRecord, dependency: DependencyStatus | undefined): JobStatus {
-    // A withdrawn job can never start, even while its record still exists: its user need not wait until the record is
-    // replaced or an outage has ended. A cancellation is final, so every controller gives this answer from now on.
-    if (dependency?.kind === 'withdrawn')
+    // A job with a cancelled dependency can never start, even while its record still exists: its user need not wait
+    // until the record is replaced or an outage has ended. A cancellation is final, so every controller gives this
+    // answer from now on.
+    if (dependency?.kind === 'cancelled')
       return { state: 'cancelled', done: 0, running: 0, because: dependency.because };
-    const running = this.context.allocations.current().jobs.get(job.spec.id)?.tasks.size ?? 0;
+    const running = this.context.allocations.current().allocationsByJob.get(job.spec.id)?.tasks.size ?? 0;
     return {
       state: running > 0 ? 'running' : 'pending',
       done: job.done.count,
--- a/src/controller/api/job-submission.ts
+++ b/src/controller/api/job-submission.ts
@@ -17,8 +17,8 @@
 type DependencyVerdict =
   /** All of them were accepted and none was cancelled. */
   | { readonly kind: 'open'; readonly unfinished: readonly JobId[] }
-  /** One of them was cancelled or withdrawn; `because` is the job whose cancellation caused that. */
-  | { readonly kind: 'withdrawn'; readonly because: JobId }
+  /** One of them was or will be cancelled; `because` is the job whose cancellation is the cause. */
+  | { readonly kind: 'cancelled'; readonly because: JobId }
   /** One of them was never accepted, is the job itself, or is a service. */
   | { readonly kind: 'impossible' };
 
@@ -51,7 +51,7 @@
     switch (dependencies.kind) {
       case 'impossible':
         return this.knownOrImpossible(spec.id, 'unknown_need');
-      case 'withdrawn':
+      case 'cancelled':
         return this.acceptCancelled(spec, dependencies.because);
       case 'open':
         return this.acceptPending(spec, dependencies.unfinished);
@@ -130,9 +130,9 @@
       if (job.spec.kind === 'service') return { kind: 'impossible' };
       unfinished.push(dependency);
       const status = await dependencies.resolve(job);
-      because ??= causeOfWithdrawal(status);
+      because ??= causeOfPendingCancellation(status);
     }
-    return because === null ? { kind: 'open', unfinished } : { kind: 'withdrawn', because };
+    return because === null ? { kind: 'open', unfinished } : { kind: 'cancelled', because };
   }
 }
 
@@ -141,7 +141,7 @@
   return final.state === 'cancelled' ? (final.because ?? id) : null;
 }
 
-/** The job whose cancellation withdraws an unfinished dependency; null where none does. */
-function causeOfWithdrawal(status: DependencyStatus | undefined): JobId | null {
-  return status?.kind === 'withdrawn' ? status.because : null;
+/** The job whose cancellation also cancels an unfinished dependency; null where none does. */
+function causeOfPendingCancellation(status: DependencyStatus | undefined): JobId | null {
+  return status?.kind === 'cancelled' ? status.because : null;
 }
--- a/src/controller/api/status.ts
+++ b/src/controller/api/status.ts
@@ -47,8 +47,8 @@
     uses: fromMicroUnits(totals.usedBy(team.name)),
     guaranteed: fromMicroUnits(team.guarantee),
     limit: {
-      cpus: team.limitCpu === null ? null : team.limitCpu / MICRO_UNITS,
-      gpus: team.limitGpu === null ? null : team.limitGpu / MICRO_UNITS,
+      cpus: team.cpuQuota === null ? null : team.cpuQuota / MICRO_UNITS,
+      gpus: team.gpuQuota === null ? null : team.gpuQuota / MICRO_UNITS,
     },
   };
 }
@@ -74,7 +74,7 @@
   const now = context.clock.wallClock();
   const pending = [...context.view.jobs.values()].flatMap((job) => {
     const { id, team, kind, priority } = job.spec;
-    const placed = totals.jobs.get(id)?.tasks.size ?? 0;
+    const placed = totals.allocationsByJob.get(id)?.tasks.size ?? 0;
     const tasks = job.spec.tasks - job.done.count - placed;
     if (tasks <= 0) return [];
     const waitsS = Math.round((now - job.submitted) / 1000);
@@ -102,7 +102,7 @@
       return `waits for ${dependency.by.join(', ')}`;
     case 'unknown':
       return `waits to know how ${dependency.unread.join(', ')} ended`;
-    case 'withdrawn':
+    case 'cancelled':
       return `withdrawn with ${dependency.because}, which it needs`;
   }
 }
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -2,7 +2,7 @@
 import { UnavailableError } from '../core/errors.js';
 import {
   resolveDependencies,
-  resolveDependency,
+  resolveJobDependencies,
   unreadFinalStates,
   type DependencyGraph,
   type DependencyInput,
@@ -32,7 +32,7 @@
   readonly heartbeatIntervalS: number;
 }
 
-/** Tracks which unfinished jobs may start, are blocked, or are withdrawn because a dependency was cancelled. */
+/** Tracks which unfinished jobs may start, are blocked, or are to be cancelled because a dependency was. */
 export class DependencyTracker {
   private graph: DependencyGraph | null = null;
   /** The `jobChangeCount` of the view from which `graph` was computed. */
@@ -55,7 +55,7 @@
     return {
       jobs: view.jobs,
       finalState: (id) => finalStates.cached(id),
-      hasStarted: (job) => totals.jobs.has(job.spec.id),
+      hasStarted: (job) => totals.allocationsByJob.has(job.spec.id),
       runMs: (job) => this.estimatedRunMs(job),
     };
   }
@@ -92,7 +92,7 @@
     if (dependenciesOf(job).length === 0) return undefined;
     const { view, finalStates } = this.options;
     for (;;) {
-      const status = resolveDependency(job, this.input);
+      const status = resolveJobDependencies(job, this.input);
       const isUndecided = status?.kind === 'blocked' || status?.kind === 'unknown';
       const unread = isUndecided ? this.unreadDependenciesOf(job) : [];
       if (unread.length === 0) return status;
--- a/src/controller/health/health-tracker.ts
+++ b/src/controller/health/health-tracker.ts
@@ -48,8 +48,8 @@
     this.failures = new FailureTracker(random);
     this.slowMachines = new SlowMachineDetector({
       factor: slow_factor,
-      runs: slow_runs,
-      samples: MIN_RUN_SAMPLES,
+      latestRuns: slow_runs,
+      minSamples: MIN_RUN_SAMPLES,
     });
     this.avoidedMachines = new AvoidedMachines(context.clock);
     this.images = new ObservedImages(context);
@@ -74,7 +74,7 @@
   }
 
   /** The newest known heartbeat of the machine; null where none is known. */
-  lastHeartbeat(machine: MachineName): Heartbeat | null {
+  latestHeartbeat(machine: MachineName): Heartbeat | null {
     return this.latestHeartbeats.get(machine);
   }
 
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -95,7 +95,7 @@
   /** Creates a record for each confirmed machine that has none, in the shard that has the fewest machines. */
   async registerMachines(shards: readonly NodeName[]): Promise<void> {
     const { context } = this;
-    if (this.unregisteredMachines.size === 0) return;
+    if (this.unregisteredMachines.confirmedCount === 0) return;
     const machinesPerShard = new Map<NodeName, number>();
     for (const { owner } of context.view.machines.values()) addToCount(machinesPerShard, owner, 1);
     const operations: WriteOperation[] = [];
@@ -130,7 +130,7 @@
       operations.push(markForRelease(machine));
     }
     if (operations.length > 0) await this.transactions.commitEach(operations, REQUEST_PRIORITY.starts);
-    if (this.unregisteredMachines.size > 0) this.options.onMachinesFound();
+    if (this.unregisteredMachines.confirmedCount > 0) this.options.onMachinesFound();
   }
 
   /**
--- a/src/controller/leader/headroom-planner.ts
+++ b/src/controller/leader/headroom-planner.ts
@@ -16,7 +16,7 @@
     const { forecast_window_s, spare_spread, overhead_s } = context.operator.fleet;
     this.forecast = new DemandForecast({
       windowS: forecast_window_s,
-      spread: spare_spread,
+      stdDevs: spare_spread,
       overheadS: overhead_s,
     });
   }
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -158,7 +158,7 @@
   private async assignTeams(shards: readonly NodeName[]): Promise<boolean> {
     const { teams, view, log } = this.context;
     const operations: WriteOperation[] = [];
-    const assignments = assignTeamsToShards({ shards, teams: [...teams.values()], assigned: view.teams });
+    const assignments = assignTeamsToShards({ shards, teams: [...teams.values()], teamRecords: view.teams });
     for (const [team, shard] of assignments) {
       log.info({ team, shard }, LOG_EVENT.teamAssigned);
       const value: TeamRecord = { owner: shard };
@@ -171,8 +171,8 @@
     const { view, clock, operator, log } = this.context;
     const leadingMs = clock.now() - this.leadingSince!;
     const operations: WriteOperation[] = [];
-    const settledS = operator.slices.settled_s;
-    for (const [shard, to] of assignShardHolders({ shards, live, held: view.shards, settledS })) {
+    const returnAfterS = operator.slices.settled_s;
+    for (const [shard, to] of assignShardHolders({ shards, live, shardRecords: view.shards, returnAfterS })) {
       if (leadingMs < INITIAL_ASSIGNMENT_DELAY_MS && !view.shards.has(shard)) continue;
       log.info({ shard, from: view.shards.get(shard)?.holder, to: to.node }, LOG_EVENT.shardAssigned);
       const value: ShardRecord = { holder: to.node, incarnation: to.incarnation };
--- a/src/controller/leader/unregistered-machines.ts
+++ b/src/controller/leader/unregistered-machines.ts
@@ -50,7 +50,7 @@
   constructor(private readonly context: ControllerContext) {}
 
   /** The number of confirmed machines. */
-  get size(): number {
+  get confirmedCount(): number {
     return this.confirmed.size;
   }
 
--- a/src/controller/scheduling-policy.ts
+++ b/src/controller/scheduling-policy.ts
@@ -52,7 +52,7 @@
           !spec.spot &&
           phase === 'active' &&
           failing === undefined &&
-          !totals.jobs.has(spec.id),
+          !totals.allocationsByJob.has(spec.id),
       );
   }
 }
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -119,7 +119,7 @@
   private sendMessage(machine: MachineRecord, desired: DesiredState): void {
     const { name } = machine;
     const session = this.current(machine);
-    const heartbeat = session.heartbeat ?? this.health.lastHeartbeat(name);
+    const heartbeat = session.heartbeat ?? this.health.latestHeartbeat(name);
     const address = heartbeat?.address ?? machine.address;
     if (address === undefined || machine.phase === 'releasing' || this.inFlight.has(name)) return;
     const stops = this.directCommandsFor(machine, session, heartbeat, desired);
--- a/src/controller/shard/job-reconciler.ts
+++ b/src/controller/shard/job-reconciler.ts
@@ -134,9 +134,10 @@
     const changes: ChangeSet[] = [];
     for (const [id, dependency] of context.dependencies.current().byJob) {
       if (changes.length >= MAX_DEPENDENTS_PER_PASS) break;
-      if (dependency.kind !== 'withdrawn') continue;
+      if (dependency.kind !== 'cancelled') continue;
       const job = context.view.jobs.get(id);
-      if (job === undefined || !context.ownership.ownsTeam(job.spec.team) || totals.jobs.has(id)) continue;
+      if (job === undefined || !context.ownership.ownsTeam(job.spec.team) || totals.allocationsByJob.has(id))
+        continue;
       changes.push(this.finish(job, { state: 'cancelled', done: 0, because: dependency.because }));
     }
     return changes;
@@ -151,7 +152,7 @@
     for (const job of context.view.jobs.values()) {
       const { id, team } = job.spec;
       if (job.phase !== 'cancelling' || finishedJobs.has(id) || !context.ownership.ownsTeam(team)) continue;
-      if (dependencies.get(id)?.kind === 'withdrawn' || totals.jobs.has(id)) continue;
+      if (dependencies.get(id)?.kind === 'cancelled' || totals.allocationsByJob.has(id)) continue;
       const { count } = unfinishedJobs.get(id) ?? job.done;
       changes.push(this.finish(job, { state: 'cancelled', done: count }));
     }
--- a/src/controller/shard/preemptor.ts
+++ b/src/controller/shard/preemptor.ts
@@ -94,7 +94,7 @@
     if (failing !== undefined) return false;
     const claimed = this.claimsOf(spec.id);
     if (isMultiTaskGang(job)) return claimed === 0;
-    const allocated = this.context.allocations.current().jobs.get(spec.id)?.tasks.size ?? 0;
+    const allocated = this.context.allocations.current().allocationsByJob.get(spec.id)?.tasks.size ?? 0;
     if (claimed >= spec.tasks - done.count - allocated) return false;
     return spec.priority === 'production' || this.isEntitled(job);
   }
@@ -165,7 +165,7 @@
         events.emit({
           kind: 'task_preempted',
           task: { job, index, attempt, machine: machine.name },
-          inFavourOf: preemptingId,
+          preemptor: preemptingId,
         });
     log.info(
       { job, tasks, attempt, machine: machine.name, for: preemptingId, entitled: isEntitled },
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -224,7 +224,7 @@
       this.isPlacementDue = true;
       return true;
     }
-    const tasks = context.allocations.current().jobs.get(id)?.tasks.values() ?? [];
+    const tasks = context.allocations.current().allocationsByJob.get(id)?.tasks.values() ?? [];
     for (const { machine } of tasks) this.dirtyMachines.add(machine);
     return true;
   }
--- a/src/controller/shard/task-exits.ts
+++ b/src/controller/shard/task-exits.ts
@@ -173,7 +173,7 @@
     if (!context.ownership.ownsTeam(team)) return 0;
     const totals = context.allocations.current();
     if (!totals.isWithinQuota(team, demand, 1)) return 0;
-    for (const [index, { machine }] of totals.jobs.get(id)?.tasks ?? [])
+    for (const [index, { machine }] of totals.allocationsByJob.get(id)?.tasks ?? [])
       if (!isDone(done, index) && this.ownsMachine(machine)) return Math.min(estimateS * 1000, MAX_BATCH_MS);
     return 0;
   }
--- a/src/core/agents/agent-commands.ts
+++ b/src/core/agents/agent-commands.ts
@@ -87,7 +87,7 @@
   recorded: RecordedTask | undefined,
 ): AgentCommand | null {
   const reason =
-    recorded === undefined ? 'over' : stopReasonFor(recorded.allocation, recorded.index, desired);
+    recorded === undefined ? 'job_ended' : stopReasonFor(recorded.allocation, recorded.index, desired);
   if (reason === null) return null;
   const graceS = gracePeriodFor(desired.jobs.get(job), reason);
   const requestedAt = session.stopRequestedAt.get(key) ?? now;
--- a/src/core/concurrency-limit.ts
+++ b/src/core/concurrency-limit.ts
@@ -20,7 +20,7 @@
   /** Multiple of the best mean response time above which a mean indicates overload. */
   readonly tolerance: number;
   /** A mean response time up to this many milliseconds never indicates overload. */
-  readonly floorMs: number;
+  readonly minOverloadMs: number;
 }
 
 /** An adaptive limit on requests in progress: additive increase, multiplicative decrease. */
@@ -68,9 +68,9 @@
   }
 
   private adjustLimit(meanMs: number): void {
-    const { min, max, tolerance, floorMs } = this.options;
+    const { min, max, tolerance, minOverloadMs } = this.options;
     this.bestMeanMs = Math.min(meanMs, this.bestMeanMs * BEST_MEAN_DRIFT);
-    const overloadMs = Math.max(floorMs, this.bestMeanMs * tolerance);
+    const overloadMs = Math.max(minOverloadMs, this.bestMeanMs * tolerance);
     if (meanMs > overloadMs) this.limit = Math.max(min, this.limit * DECREASE_FACTOR);
     else if (this.wasLimitUsed) this.limit = Math.min(max, this.limit + 1);
   }
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -27,7 +27,7 @@
   /** The start of a task was decided; it is not committed yet. */
   | { readonly kind: 'task_placed'; readonly task: TaskOnMachine; readonly team: TeamName }
   /** A preemption was decided; it is not committed yet. */
-  | { readonly kind: 'task_preempted'; readonly task: TaskOnMachine; readonly inFavourOf: JobId }
+  | { readonly kind: 'task_preempted'; readonly task: TaskOnMachine; readonly preemptor: JobId }
   | { readonly kind: 'command_sent'; readonly machine: MachineName; readonly command: AgentCommand }
   /** A heartbeat or an answer to a direct command was recorded under the machine's present fencing token. */
   | { readonly kind: 'heartbeat_recorded'; readonly heartbeat: Heartbeat }
--- a/src/core/health/slow-machine-detector.ts
+++ b/src/core/health/slow-machine-detector.ts
@@ -16,9 +16,9 @@
   /** Multiple of the median from which a run counts as slow. */
   readonly factor: number;
   /** Number of latest runs that must all be slow for a machine to count as slow. */
-  readonly runs: number;
+  readonly latestRuns: number;
   /** Number of runs of a job or class that must be known before a run is compared with them. */
-  readonly samples: number;
+  readonly minSamples: number;
 }
 
 /** A finished run of a task: run time and estimate in seconds. */
@@ -51,23 +51,24 @@
     this.durationsByJob.set(job, [...durations, durationS].slice(-MAX_RUNS_KEPT));
     evictOldest(this.durationsByJob, MAX_JOBS_KEPT);
     const runs = this.runsByMachine.get(machine) ?? [];
-    this.runsByMachine.set(machine, [...runs, run].slice(-this.options.runs));
+    this.runsByMachine.set(machine, [...runs, run].slice(-this.options.latestRuns));
   }
 
   /** Whether all of the machine's latest runs were slow. */
   isSlow(machine: MachineName): boolean {
     const runs = this.runsByMachine.get(machine);
-    if (runs === undefined || runs.length < this.options.runs) return false;
+    if (runs === undefined || runs.length < this.options.latestRuns) return false;
     const jobsComparedWithClass = new Set<JobId>();
     return runs.every((run) => {
       const durations = this.durationsByJob.get(run.job) ?? [];
-      if (durations.length >= this.options.samples) return this.isSlowComparedWith(run.durationS, durations);
+      if (durations.length >= this.options.minSamples)
+        return this.isSlowComparedWith(run.durationS, durations);
       // An estimate is wrong by the same factor for all tasks of a job, so only one run per job is compared with its
       // class.
       if (jobsComparedWithClass.has(run.job)) return false;
       jobsComparedWithClass.add(run.job);
       const ratios = this.ratiosByClass.get(run.jobClass) ?? [];
-      if (ratios.length < this.options.samples) return false;
+      if (ratios.length < this.options.minSamples) return false;
       return this.isSlowComparedWith(run.durationS / run.estimateS, ratios);
     });
   }
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -22,7 +22,7 @@
   /** No dependency is unfinished, but the final states of those in `unread` have not been read yet. */
   | { readonly kind: 'unknown'; readonly unread: readonly JobId[] }
   /** The job `because`, a direct or transitive dependency, was cancelled. */
-  | { readonly kind: 'withdrawn'; readonly because: JobId };
+  | { readonly kind: 'cancelled'; readonly because: JobId };
 
 /** The dependencies of all unfinished jobs, as resolved from the records. */
 export interface DependencyGraph {
@@ -48,7 +48,7 @@
 
 /** The states of one job's direct dependencies, from which its own status follows. */
 interface DependencySummary {
-  /** The cancelled job that withdraws this one; null for none. Where it is set, the other fields are incomplete. */
+  /** The cancelled job with which this one is cancelled; null for none. If set, the other fields are incomplete. */
   readonly cancelled: JobId | null;
   /** When the last dependency was done, as far as known; never before the job's submission. */
   readonly since: WallClockMs;
@@ -64,7 +64,7 @@
   const ordered = topologicalOrder(jobs.values(), jobs);
   const byJob = resolveInOrder(ordered, input);
   const dependents = ordered.filter(
-    (job) => job.phase === 'active' && byJob.get(job.spec.id)?.kind !== 'withdrawn',
+    (job) => job.phase === 'active' && byJob.get(job.spec.id)?.kind !== 'cancelled',
   );
   const inherited = inheritUrgency(dependents, jobs, input.runMs);
   const startable: JobRecord[] = [];
@@ -79,7 +79,7 @@
 }
 
 /** Resolves the dependencies of one job, as far as final states have been read; undefined if the job has none. */
-export function resolveDependency(job: JobRecord, input: DependencyInput): DependencyStatus | undefined {
+export function resolveJobDependencies(job: JobRecord, input: DependencyInput): DependencyStatus | undefined {
   const involved = transitiveDependencies(job, input.jobs);
   return resolveInOrder(topologicalOrder(involved, input.jobs), input).get(job.spec.id);
 }
@@ -100,7 +100,7 @@
   input: DependencyInput,
 ): DependencyStatus {
   const { cancelled, since, unfinished, unread } = summarize(job, statuses, input);
-  if (cancelled !== null) return { kind: 'withdrawn', because: cancelled };
+  if (cancelled !== null) return { kind: 'cancelled', because: cancelled };
   if (job.done.count > 0 || input.hasStarted(job)) return { kind: 'ready', since };
   if (unfinished.length > 0) return { kind: 'blocked', by: unfinished, unread };
   if (unread.length > 0) return { kind: 'unknown', unread };
@@ -118,7 +118,7 @@
   for (const id of dependenciesOf(job)) {
     if (input.jobs.has(id)) {
       const status = statuses.get(id);
-      if (status?.kind === 'withdrawn') return { cancelled: status.because, since, unfinished, unread };
+      if (status?.kind === 'cancelled') return { cancelled: status.because, since, unfinished, unread };
       unfinished.push(id);
       continue;
     }
--- a/src/core/jobs/feasibility.ts
+++ b/src/core/jobs/feasibility.ts
@@ -50,10 +50,10 @@
   if (![...types].some((type) => fitsType(spec, type))) return 'fits_no_type';
   // An array may run one task after the other; the tasks of all other jobs run at the same time.
   const tasksAtOnce = spec.kind === 'array' ? 1 : spec.tasks;
-  const isOverLimit =
-    exceedsLimit(spec.demand[CPU] * tasksAtOnce, team.limitCpu) ||
-    exceedsLimit(spec.demand[GPU] * tasksAtOnce, team.limitGpu);
-  return isOverLimit ? 'over_limit' : 'ok';
+  const isOverQuota =
+    exceedsQuota(spec.demand[CPU] * tasksAtOnce, team.cpuQuota) ||
+    exceedsQuota(spec.demand[GPU] * tasksAtOnce, team.gpuQuota);
+  return isOverQuota ? 'over_limit' : 'ok';
 }
 
 function fitsType(spec: JobSpec, type: MachineType): boolean {
@@ -62,7 +62,7 @@
   return fitsWithin(spec.demand, type.capacity);
 }
 
-const exceedsLimit = (amount: number, limit: number | null): boolean => limit !== null && amount > limit;
+const exceedsQuota = (amount: number, quota: number | null): boolean => quota !== null && amount > quota;
 
 /** How many tasks of the job may be in one zone: half of them, rounded up, for a spread job, otherwise all. */
 export function maxTasksPerZone(spec: JobSpec): number {
--- a/src/core/model/cluster.ts
+++ b/src/core/model/cluster.ts
@@ -8,9 +8,9 @@
   /** Resources that the team may obtain by preempting others; 0 for one without a guarantee, as memory always is. */
   readonly guarantee: ResourceVector;
   /** Quota of CPUs in micro-units; null for no quota, which the settings write as 0. */
-  readonly limitCpu: number | null;
+  readonly cpuQuota: number | null;
   /** Quota of GPUs in micro-units; null for no quota, which the settings write as 0. */
-  readonly limitGpu: number | null;
+  readonly gpuQuota: number | null;
 }
 
 /** The stored record of a team. */
--- a/src/core/placement/candidate-machines.ts
+++ b/src/core/placement/candidate-machines.ts
@@ -24,7 +24,7 @@
   /** Partly used and fetching other images: worse than an empty machine while no job needs whole machines. */
   fetchingOtherImages: 2,
   /** Empty while some jobs need whole machines. */
-  emptyKeptForGangs: 4,
+  emptyLeftToGangs: 4,
 } as const;
 
 /**
@@ -199,7 +199,7 @@
     const offset = this.request.spec.spot && !machine.spot ? ON_DEMAND_TIER_OFFSET : 0;
     if (isEmpty) {
       const { preferPartlyUsedMachines } = this.input;
-      return offset + (preferPartlyUsedMachines ? MACHINE_TIER.emptyKeptForGangs : MACHINE_TIER.empty);
+      return offset + (preferPartlyUsedMachines ? MACHINE_TIER.emptyLeftToGangs : MACHINE_TIER.empty);
     }
     return (
       offset + (fetchRank === FETCH_RANK_BUSY ? MACHINE_TIER.fetchingOtherImages : MACHINE_TIER.partlyUsed)
--- a/src/core/placement/gang-placement.ts
+++ b/src/core/placement/gang-placement.ts
@@ -15,7 +15,7 @@
 /** Places all tasks of a gang under one attempt, or none of them if there is no room for all. */
 export function placeGang(state: PlacementState, { spec }: JobRecord, share: number): PlacementOutcome {
   const { totals, newAttempt } = state.input;
-  if (totals.jobs.has(spec.id)) return 'old_attempt';
+  if (totals.allocationsByJob.has(spec.id)) return 'old_attempt';
   if (!totals.isWithinQuota(spec.team, spec.demand, spec.tasks)) return 'team_limit';
   const choices = chooseMachines(state, spec);
   if (choices === null) return 'no_room';
--- a/src/core/placement/placement-state.ts
+++ b/src/core/placement/placement-state.ts
@@ -38,7 +38,7 @@
 
   constructor(readonly input: PlacementInput) {
     const { totals } = input;
-    const order = compareJobs({ ...input.order, hasTasks: (id) => totals.jobs.has(id) });
+    const order = compareJobs({ ...input.order, hasTasks: (id) => totals.allocationsByJob.has(id) });
     this.queues = queuesByTeam(input.jobs, order);
     this.candidates = candidateMachines(input, smallestDemand(this.queues.values()));
   }
@@ -54,7 +54,7 @@
    */
   nextTaskOf(job: JobRecord): TaskIndex | null {
     const { id } = job.spec;
-    const allocated = this.input.totals.jobs.get(id)?.tasks;
+    const allocated = this.input.totals.allocationsByJob.get(id)?.tasks;
     let tasks = this.unfinishedTasks.get(id);
     if (tasks === undefined) {
       tasks = unfinishedTasks(job);
--- a/src/core/placement/placement.ts
+++ b/src/core/placement/placement.ts
@@ -34,12 +34,12 @@
     if (outcome !== 'placed' && outcome !== 'no_tasks_left') state.recordWait(job.spec.id, outcome);
     if (outcome !== 'placed' || isGang) queue.shift();
     if (outcome === 'placed') return;
-    if (isGang) protectWaitingGang(state, job, outcome, queue);
+    if (isGang) protectPendingGang(state, job, outcome, queue);
   }
 }
 
 /** Keeps smaller jobs from starving a gang that is next in its team's order and could not be placed. */
-function protectWaitingGang(
+function protectPendingGang(
   state: PlacementState,
   gang: JobRecord,
   outcome: PlacementOutcome,
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -43,7 +43,7 @@
 export function selectVictims(input: PreemptionInput): PreemptionChoice | null {
   const { job, totals, teams } = input;
   const isEntitled = isWithinGuarantee(teams.get(job.team), totals, job, 1);
-  const tasksPerZone = totals.jobs.get(job.id)?.tasksPerZone ?? NO_TASKS_PER_ZONE;
+  const tasksPerZone = totals.allocationsByJob.get(job.id)?.tasksPerZone ?? NO_TASKS_PER_ZONE;
   let best: CostedChoice | null = null;
   for (const machine of input.machines) {
     if (!allowsMachine(job, machine) || input.isClaimed(machine)) continue;
--- a/src/core/placement/task-placement.ts
+++ b/src/core/placement/task-placement.ts
@@ -17,7 +17,7 @@
   const { input, candidates } = state;
   const index = state.nextTaskOf(job);
   if (index === null) return 'no_tasks_left';
-  const allocations = input.totals.jobs.get(spec.id);
+  const allocations = input.totals.allocationsByJob.get(spec.id);
   if (allocations !== undefined && input.isFailingEverywhere(job)) return 'failing';
   if (!input.totals.isWithinQuota(spec.team, spec.demand, 1)) return 'team_limit';
 
--- a/src/core/scaling/demand-forecast.ts
+++ b/src/core/scaling/demand-forecast.ts
@@ -21,7 +21,7 @@
   /** How long an arrival is counted, in seconds. */
   readonly windowS: number;
   /** How many standard deviations of the number of running tasks are added to its mean. */
-  readonly spread: number;
+  readonly stdDevs: number;
   /** Seconds that a task holds its resources in addition to its run time and the time to fetch its image. */
   readonly overheadS: number;
 }
@@ -93,7 +93,7 @@
     const meanTasks = average(arrivals, ({ spec }) => spec.tasks);
     const meanSquare = average(arrivals, ({ spec }) => spec.tasks ** 2);
     const holdS = this.holdTimeS(arrivals, latest, type);
-    return rate * holdS * meanTasks + this.options.spread * Math.sqrt(rate * holdS * meanSquare);
+    return rate * holdS * meanTasks + this.options.stdDevs * Math.sqrt(rate * holdS * meanSquare);
   }
 
   /** Arrivals per second. Those within one second count as one: a batch of submissions does not indicate a rate. */
--- a/src/core/scaling/pending-demand.ts
+++ b/src/core/scaling/pending-demand.ts
@@ -10,7 +10,7 @@
 /** The demand of a job whose team belongs to the shard. */
 export function demandOfJob(job: JobRecord, shard: NodeName, input: ScalingInput): PendingDemand {
   const { spec } = job;
-  const allocations = input.totals.jobs.get(spec.id);
+  const allocations = input.totals.allocationsByJob.get(spec.id);
   const tasksPerZone = new Map<Zone, number>(allocations?.tasksPerZone);
   return {
     spec,
--- a/src/core/scaling/scaling-plan.ts
+++ b/src/core/scaling/scaling-plan.ts
@@ -69,7 +69,8 @@
 
   private packGangOnOwnShard(job: JobRecord, demand: PendingDemand): void {
     const { spec } = job;
-    if (this.input.totals.jobs.has(spec.id) || this.quota.tasksWithinQuota(spec) < spec.tasks) return;
+    if (this.input.totals.allocationsByJob.has(spec.id) || this.quota.tasksWithinQuota(spec) < spec.tasks)
+      return;
     this.quota.accept(spec, spec.tasks);
     const gangZone = this.packing.ownGangZone(demand);
     demand.zone = gangZone?.zone ?? null;
@@ -137,5 +138,5 @@
 function pendingJobsInOrder({ jobs, shardByTeam, totals, order }: ScalingInput): JobRecord[] {
   return [...jobs]
     .filter((job) => job.phase === 'active' && shardByTeam.has(job.spec.team))
-    .sort(compareJobs({ ...order, hasTasks: (id) => totals.jobs.has(id) }));
+    .sort(compareJobs({ ...order, hasTasks: (id) => totals.allocationsByJob.has(id) }));
 }
--- a/src/core/state/allocation-totals.ts
+++ b/src/core/state/allocation-totals.ts
@@ -46,7 +46,7 @@
 /** Totals over the machine records, updated record by record. */
 export class AllocationTotals {
   /** Allocated tasks by job; only jobs with allocated tasks. */
-  readonly jobs = new Map<JobId, JobAllocations>();
+  readonly allocationsByJob = new Map<JobId, JobAllocations>();
   /** Capacity of each machine minus its allocated resources; that of an unknown type counts as zero. */
   readonly freeByMachine = new Map<MachineName, ResourceVector>();
   private readonly machines = new Map<MachineName, MachineRecord>();
@@ -114,7 +114,7 @@
     const { tasks, attempt } = allocation;
     this.addToMachine(machine, allocation, -tasks.length);
     this.addToTeam(allocation, -tasks.length);
-    const job = this.jobs.get(allocation.job);
+    const job = this.allocationsByJob.get(allocation.job);
     if (job === undefined) return;
     for (const index of tasks) {
       const location = job.tasks.get(index);
@@ -124,7 +124,7 @@
     adjustCount(job.tasksPerAttempt, attempt, -tasks.length);
     if (allocation.stop === true) job.stoppingAllocations--;
     if (job.hasDuplicates) this.reindexTasks(allocation.job, job);
-    if (job.tasks.size === 0) this.jobs.delete(allocation.job);
+    if (job.tasks.size === 0) this.allocationsByJob.delete(allocation.job);
   }
 
   /**
@@ -179,8 +179,8 @@
     if (knownTeam === undefined) return 0;
     const used = addResources(this.usedBy(team), extra);
     return Math.min(
-      tasksWithinLimit(knownTeam.limitCpu, used[CPU], demand[CPU]),
-      tasksWithinLimit(knownTeam.limitGpu, used[GPU], demand[GPU]),
+      tasksWithinResourceQuota(knownTeam.cpuQuota, used[CPU], demand[CPU]),
+      tasksWithinResourceQuota(knownTeam.gpuQuota, used[GPU], demand[GPU]),
     );
   }
 
@@ -188,8 +188,8 @@
     const knownTeam = this.teams.get(team);
     if (knownTeam === undefined) return false;
     const after = addResources(used, demand, tasks);
-    if (knownTeam.limitCpu !== null && demand[CPU] > 0 && after[CPU] > knownTeam.limitCpu) return false;
-    return !(knownTeam.limitGpu !== null && demand[GPU] > 0 && after[GPU] > knownTeam.limitGpu);
+    if (knownTeam.cpuQuota !== null && demand[CPU] > 0 && after[CPU] > knownTeam.cpuQuota) return false;
+    return !(knownTeam.gpuQuota !== null && demand[GPU] > 0 && after[GPU] > knownTeam.gpuQuota);
   }
 
   private addCapacity(machine: MachineRecord, sign: number): void {
@@ -233,7 +233,7 @@
   }
 
   private allocationsOf(id: JobId): JobAllocations {
-    let job = this.jobs.get(id);
+    let job = this.allocationsByJob.get(id);
     if (job === undefined) {
       job = {
         tasks: new Map(),
@@ -242,7 +242,7 @@
         stoppingAllocations: 0,
         hasDuplicates: false,
       };
-      this.jobs.set(id, job);
+      this.allocationsByJob.set(id, job);
     }
     return job;
   }
@@ -273,7 +273,7 @@
 }
 
 /** Number of further tasks that the limit of one resource allows; infinite without a limit or demand. */
-function tasksWithinLimit(limit: number | null, used: number, demand: number): number {
-  if (limit === null || demand <= 0) return Number.POSITIVE_INFINITY;
-  return Math.max(0, Math.floor((limit - used) / demand));
+function tasksWithinResourceQuota(quota: number | null, used: number, demand: number): number {
+  if (quota === null || demand <= 0) return Number.POSITIVE_INFINITY;
+  return Math.max(0, Math.floor((quota - used) / demand));
 }
--- a/src/core/state/shard-assignment.ts
+++ b/src/core/state/shard-assignment.ts
@@ -22,7 +22,7 @@
   readonly shards: readonly NodeName[];
   readonly teams: readonly Team[];
   /** The present assignments by team; a team whose shard no longer exists is reassigned. */
-  readonly assigned: ReadonlyMap<TeamName, TeamRecord>;
+  readonly teamRecords: ReadonlyMap<TeamName, TeamRecord>;
 }
 
 /** Input of the assignment of shards to controllers. */
@@ -30,23 +30,23 @@
   readonly shards: readonly NodeName[];
   readonly live: readonly LiveController[];
   /** The present shard records by shard. */
-  readonly held: ReadonlyMap<string, ShardRecord>;
+  readonly shardRecords: ReadonlyMap<string, ShardRecord>;
   /**
    * Session age in seconds from which a shard returns to its default holder; keeps the shard from flapping.
    */
-  readonly settledS: number;
+  readonly returnAfterS: number;
 }
 
 /** The shards for teams without an existing shard, chosen to spread guarantees evenly. */
 export function assignTeamsToShards({
   shards,
   teams,
-  assigned,
+  teamRecords,
 }: TeamAssignmentInput): Map<TeamName, NodeName> {
   const load = new Map<NodeName, number>(shards.map((shard) => [shard, 0]));
   const unassigned: Team[] = [];
   for (const team of teams) {
-    const shard = assigned.get(team.name)?.owner;
+    const shard = teamRecords.get(team.name)?.owner;
     if (shard !== undefined && load.has(shard)) load.set(shard, load.get(shard)! + loadOf(team));
     else unassigned.push(team);
   }
@@ -62,7 +62,7 @@
 
 /** The new holders of the shards whose holder has to change; empty while no controller is live. */
 export function assignShardHolders(input: ShardAssignmentInput): Map<NodeName, LiveController> {
-  const { shards, live, settledS } = input;
+  const { shards, live, returnAfterS } = input;
   const assignments = new Map<NodeName, LiveController>();
   const candidates = holderCandidates(live);
   if (candidates.length === 0) return assignments;
@@ -72,7 +72,7 @@
     const defaultHolder = candidates.find(({ node }) => node === shard);
     if (holder !== undefined && shardCounts.has(holder)) {
       const shouldReturn =
-        defaultHolder !== undefined && defaultHolder !== holder && defaultHolder.sessionAgeS >= settledS;
+        defaultHolder !== undefined && defaultHolder !== holder && defaultHolder.sessionAgeS >= returnAfterS;
       if (shouldReturn) assignments.set(shard, defaultHolder);
       continue;
     }
@@ -113,9 +113,9 @@
 /** The live controller that holds the shard; undefined if the holder has ended or restarted. */
 function liveHolder(
   shard: NodeName,
-  { live, held }: Pick<ShardAssignmentInput, 'live' | 'held'>,
+  { live, shardRecords }: Pick<ShardAssignmentInput, 'live' | 'shardRecords'>,
 ): LiveController | undefined {
-  const record = held.get(shard);
+  const record = shardRecords.get(shard);
   if (record === undefined) return undefined;
   return live.find(({ node, incarnation }) => node === record.holder && incarnation === record.incarnation);
 }
--- a/src/io/users/job-messages.ts
+++ b/src/io/users/job-messages.ts
@@ -107,8 +107,8 @@
 
 /**
  * The response body for a job lookup. Beside the fields that the protocol requires it has, where they apply,
- * the unfinished dependencies, the inherited priority and deadline, the job whose cancellation withdrew this
- * one, and the latest failures.
+ * the unfinished dependencies, the inherited priority and deadline, the job whose cancellation caused that
+ * of this one, and the latest failures.
  */
 export function statusToWire(id: JobId, job: JobStatus) {
   const { state, done, running, needs = [], because } = job;
--- a/src/io/users/user-routes.ts
+++ b/src/io/users/user-routes.ts
@@ -14,10 +14,10 @@
   type SubmissionBody,
 } from './job-messages.js';
 
-/** Mean response times above this multiple of the best mean, and above the floor, count as overload. */
+/** Mean response times above this multiple of the best mean, and above `MIN_OVERLOAD_MS`, count as overload. */
 const OVERLOAD_TOLERANCE = 4;
 /** Mean response times below this never count as overload. */
-const OVERLOAD_FLOOR_MS = 250;
+const MIN_OVERLOAD_MS = 250;
 const RETRY_LATER = { error: 'try again later' };
 const NO_SUCH_JOB = { error: 'no such job' };
 
@@ -34,7 +34,7 @@
   jobs: JobRequests,
   bounds: { readonly min: number; readonly max: number },
 ): void {
-  const limits = { ...bounds, tolerance: OVERLOAD_TOLERANCE, floorMs: OVERLOAD_FLOOR_MS };
+  const limits = { ...bounds, tolerance: OVERLOAD_TOLERANCE, minOverloadMs: MIN_OVERLOAD_MS };
   // Submissions and lookups have separate limits, so that many or slow lookups do not block submissions.
   serveSubmissions(app, jobs, new ConcurrencyLimit(limits));
   serveLookups(app, jobs, new ConcurrencyLimit(limits));
--- a/test/concurrency-limit.test.ts
+++ b/test/concurrency-limit.test.ts
@@ -8,7 +8,7 @@
 import { monotonicMs } from '../src/core/model/time.js';
 
 test('the limit on requests in progress shrinks while responses are slow and grows while they are fast', () => {
-  const limiter = new ConcurrencyLimit({ min: 2, max: 50, tolerance: 4, floorMs: 50 });
+  const limiter = new ConcurrencyLimit({ min: 2, max: 50, tolerance: 4, minOverloadMs: 50 });
   let now = 0;
   const runRequests = (durationMs: number) => {
     for (let i = 0; i < 40; i++) {
--- a/test/demand-forecast.test.ts
+++ b/test/demand-forecast.test.ts
@@ -16,7 +16,7 @@
   job(id, { shards: 4, expectedS: 100, pullGb: 0, ...fields }).spec;
 
 /** A forecast that by default adds neither standard deviations nor overhead to the mean. */
-const newForecast = (options = { spread: 0, overheadS: 0 }) =>
+const newForecast = (options = { stdDevs: 0, overheadS: 0 }) =>
   new DemandForecast({ windowS: WINDOW_S, ...options });
 
 /** The tasks of the headroom of each class, with `unfinished` tasks of class `train` pending or running. */
@@ -40,11 +40,11 @@
   });
 
   test('standard deviations and overhead add to the headroom, unfinished tasks are subtracted', () => {
-    const withSpread = newForecast({ spread: 2, overheadS: 0 });
+    const withSpread = newForecast({ stdDevs: 2, overheadS: 0 });
     recordOnePerMinute(withSpread);
     // The mean is 6; the standard deviation is the square root of 1.5 jobs at once times the square of 4 tasks.
     assert.deepEqual(headroomTasks(withSpread, WINDOW_S), [Math.round(6 + 2 * Math.sqrt(1.5 * 16))]);
-    const withOverhead = newForecast({ spread: 0, overheadS: 100 });
+    const withOverhead = newForecast({ stdDevs: 0, overheadS: 100 });
     recordOnePerMinute(withOverhead);
     assert.deepEqual(headroomTasks(withOverhead, WINDOW_S), [12]);
     assert.deepEqual(headroomTasks(withOverhead, WINDOW_S, 7), [5]);
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -325,8 +325,8 @@
     );
     await advance(simulation, 3000);
     const after = await submitAccepted(simulation, [done, open], 1, {}, 6000);
-    const withdrawn = await submitAccepted(simulation, [done, cancelled], 1, {}, 6000);
-    await advanceUntil(simulation, () => isCancelledUnstarted(simulation, withdrawn), 6000);
+    const dependent = await submitAccepted(simulation, [done, cancelled], 1, {}, 6000);
+    await advanceUntil(simulation, () => isCancelledUnstarted(simulation, dependent), 6000);
     await advanceUntil(simulation, () => job(simulation, after).observedFinalState === 'done', 90_000);
     assert.equal(job(simulation, open).observedFinalState, 'done');
   });
--- a/test/dependency-rules.test.ts
+++ b/test/dependency-rules.test.ts
@@ -8,7 +8,7 @@
 import fc from 'fast-check';
 import {
   resolveDependencies,
-  resolveDependency,
+  resolveJobDependencies,
   type DependencyInput,
 } from '../src/core/jobs/dependencies.js';
 import { NO_TASKS_DONE } from '../src/core/jobs/done-tasks.js';
@@ -62,7 +62,7 @@
   assert.deepEqual(startable(input([b, a], { 'wk-x': done() })), ['wk-a']);
   // A job missing from the view may be done or cancelled, or the watch has not delivered its record yet.
   assert.deepEqual(startable(input([b], { 'wk-x': done() })), []);
-  assert.deepEqual(resolveDependency(b, input([b], { 'wk-x': done() })), {
+  assert.deepEqual(resolveJobDependencies(b, input([b], { 'wk-x': done() })), {
     kind: 'unknown',
     unread: ['wk-a'],
   });
@@ -77,14 +77,14 @@
   );
 });
 
-test('a cancelled job withdraws all jobs that depend on it, at any depth, and no others', () => {
+test('a cancelled job cancels all jobs that depend on it, at any depth, and no others', () => {
   const depth = 5000;
   const chain = [...Array(depth).keys()].map((i) => record(`wk-${i + 1}`, [`wk-${i}`]));
   const unrelated = record('wk-before', []);
   const graph = resolveDependencies(input([...chain.reverse(), unrelated], { 'wk-0': cancelled }));
-  const withdrawn = [...graph.byJob.values()].filter((x) => x.kind === 'withdrawn');
-  assert.equal(withdrawn.length, depth);
-  assert.ok(withdrawn.every((x) => x.because === 'wk-0'));
+  const cancelledStatuses = [...graph.byJob.values()].filter((x) => x.kind === 'cancelled');
+  assert.equal(cancelledStatuses.length, depth);
+  assert.ok(cancelledStatuses.every((x) => x.because === 'wk-0'));
   assert.deepEqual(
     graph.startable.map((j) => j.spec.id),
     ['wk-before'],
@@ -108,7 +108,7 @@
   assert.equal(resolveDependencies(input([a, b, cancelling], {}, 10_000)).startable[0]!.spec.priority, 'low');
 });
 
-test('for any graph and any final states, the dependencies of a job determine whether it may start, waits or is withdrawn', () => {
+test('for any graph and any final states, the dependencies of a job determine whether it may start, waits or is cancelled', () => {
   const states = ['open', 'done', 'cancelled'] as const;
   fc.assert(
     fc.property(
@@ -117,19 +117,19 @@
       (list, shuffled) => {
         const jobs: JobRecord[] = [];
         const finals: Record<string, FinalRecord> = {};
-        const isWithdrawn = new Map<string, boolean>();
+        const isCancelled = new Map<string, boolean>();
         list.forEach(([state, refs], i) => {
           const needs = i === 0 ? [] : [...new Set(refs.map((r) => `wk-${r % i}`))];
           const id = `wk-${i}`;
           if (state === 'open') {
             jobs.push(record(id, needs));
-            isWithdrawn.set(
+            isCancelled.set(
               id,
-              needs.some((n) => isWithdrawn.get(n) === true),
+              needs.some((n) => isCancelled.get(n) === true),
             );
           } else {
             finals[id] = state === 'done' ? done() : cancelled;
-            isWithdrawn.set(id, state === 'cancelled');
+            isCancelled.set(id, state === 'cancelled');
           }
         });
         if (shuffled) jobs.reverse();
@@ -142,8 +142,8 @@
             needs.every((n) => finals[n]?.state === 'done'),
           );
           if (needs.length === 0) continue;
-          assert.equal(graph.byJob.get(j.spec.id)?.kind === 'withdrawn', isWithdrawn.get(j.spec.id));
-          assert.deepEqual(resolveDependency(j, input(jobs, finals)), graph.byJob.get(j.spec.id));
+          assert.equal(graph.byJob.get(j.spec.id)?.kind === 'cancelled', isCancelled.get(j.spec.id));
+          assert.deepEqual(resolveJobDependencies(j, input(jobs, finals)), graph.byJob.get(j.spec.id));
         }
       },
     ),
--- a/test/drfh.test.ts
+++ b/test/drfh.test.ts
@@ -50,8 +50,8 @@
   const team = (cpus: number, gpus: number) => ({
     name: teamName('a'),
     guarantee: capacityVector(cpus, 0, gpus),
-    limitCpu: null,
-    limitGpu: null,
+    cpuQuota: null,
+    gpuQuota: null,
   });
   assert.equal(teamWeight(team(0, 24)), 24);
   assert.equal(teamWeight(team(0, 0)), 1);
--- a/test/feasibility.test.ts
+++ b/test/feasibility.test.ts
@@ -51,7 +51,7 @@
   const teams = new Map([
     [
       teamName('vision'),
-      { name: teamName('vision'), guarantee: [0, 0, 0] as const, limitCpu: null, limitGpu: 4e6 },
+      { name: teamName('vision'), guarantee: [0, 0, 0] as const, cpuQuota: null, gpuQuota: 4e6 },
     ],
   ]);
   const types = [
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -237,7 +237,7 @@
   const teams = new Map([
     [
       teamName('vision'),
-      { name: teamName('vision'), guarantee: [0, 0, 4e6] as const, limitCpu: null, limitGpu: null },
+      { name: teamName('vision'), guarantee: [0, 0, 4e6] as const, cpuQuota: null, gpuQuota: null },
     ],
   ]);
   let seed = 7;
@@ -264,9 +264,9 @@
       Math.abs(totals.dominantShareOf(teamName('vision')) - recomputed.dominantShareOf(teamName('vision'))) <
         1e-9,
     );
-    assert.deepEqual(new Set(totals.jobs.keys()), new Set(recomputed.jobs.keys()));
-    for (const [id, expected] of recomputed.jobs) {
-      const actual = totals.jobs.get(id)!;
+    assert.deepEqual(new Set(totals.allocationsByJob.keys()), new Set(recomputed.allocationsByJob.keys()));
+    for (const [id, expected] of recomputed.allocationsByJob) {
+      const actual = totals.allocationsByJob.get(id)!;
       assert.deepEqual(new Set(actual.tasks.keys()), new Set(expected.tasks.keys()));
       assert.deepEqual(actual.tasksPerZone, expected.tasksPerZone);
       assert.deepEqual(actual.tasksPerAttempt, expected.tasksPerAttempt);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -249,6 +249,6 @@
         });
         unregistered.recordHeartbeat(heartbeat!);
       }
-    assert.equal(unregistered.size, MACHINES);
+    assert.equal(unregistered.confirmedCount, MACHINES);
   });
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -99,7 +99,7 @@
 });
 
 test('a gang that waits for the quota of its team is not starved by smaller jobs behind it', () => {
-  const limited = new Map([[teamName('red'), { ...team('red', 4), limitGpu: 4e6 }]]);
+  const limited = new Map([[teamName('red'), { ...team('red', 4), gpuQuota: 4e6 }]]);
   const running = job('wk-1', { shards: 1 });
   const gang = job('wk-2', { shape: 'ensemble', shards: 4, tier: 'urgent' });
   const small = job('wk-3', { shards: 3, tier: 'low' });
--- a/test/planning.ts
+++ b/test/planning.ts
@@ -15,8 +15,8 @@
 export const team = (name: string, gpus: number) => ({
   name: teamName(name),
   guarantee: [0, 0, gpus * MICRO_UNITS] as const,
-  limitCpu: null,
-  limitGpu: null,
+  cpuQuota: null,
+  gpuQuota: null,
 });
 
 /** Two teams with the same guarantee: `red` and `blue`. */
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -60,7 +60,7 @@
     [key.shard('c-0')]: '{"holder":"c-0","incarnation":"x"}',
   });
   const totals = new AllocationTotals(view.machines.values(), types, new Map());
-  assert.equal(totals.jobs.get(id)?.tasks.size, 3);
+  assert.equal(totals.allocationsByJob.get(id)?.tasks.size, 3);
   const graph = resolveDependencies({
     jobs: view.jobs,
     finalState: () => undefined,
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -54,8 +54,8 @@
   const settings = readPlatformSettings(VALID_SETTINGS);
   assert.equal(settings.node, 'c-0');
   assert.equal(settings.peers[0]?.address, '10.0.0.2:8081');
-  assert.equal(settings.teams[0]?.limitCpu, null);
-  assert.equal(settings.teams[0].limitGpu, 32_000_000);
+  assert.equal(settings.teams[0]?.cpuQuota, null);
+  assert.equal(settings.teams[0].gpuQuota, 32_000_000);
 });
 
 test('a missing or invalid field is reported by name in one line', () => {
--- a/test/shard-assignment.test.ts
+++ b/test/shard-assignment.test.ts
@@ -36,13 +36,12 @@
 /** The new holder of each shard whose holder changes. */
 const newHolders = (
   live: readonly LiveController[],
-  held: ReadonlyMap<string, ShardRecord>,
+  shardRecords: ReadonlyMap<string, ShardRecord>,
 ): Record<NodeName, NodeName> =>
   Object.fromEntries(
-    [...assignShardHolders({ shards, live, held, settledS: SETTLED_S })].map(([shard, { node }]) => [
-      shard,
-      node,
-    ]),
+    [...assignShardHolders({ shards, live, shardRecords, returnAfterS: SETTLED_S })].map(
+      ([shard, { node }]) => [shard, node],
+    ),
   );
 
 describe('shard holders', () => {
@@ -84,8 +83,8 @@
 describe('shards of teams', () => {
   test('teams without a shard go to the one with the smallest sum of guarantees, the largest team first', () => {
     const teams = [team('red', 1), team('blue', 8), team('green', 4), team('grey', 0)];
-    const assigned = new Map([[teamName('red'), { owner: nodeName('c-0') }]]);
-    assert.deepEqual(Object.fromEntries(assignTeamsToShards({ shards, teams, assigned })), {
+    const teamRecords = new Map([[teamName('red'), { owner: nodeName('c-0') }]]);
+    assert.deepEqual(Object.fromEntries(assignTeamsToShards({ shards, teams, teamRecords })), {
       blue: 'c-1',
       green: 'c-2',
       grey: 'c-0',
@@ -94,7 +93,7 @@
 
   test('a team whose shard no longer exists is reassigned', () => {
     const teams = [team('red', 4)];
-    const assigned = new Map([[teamName('red'), { owner: nodeName('c-9') }]]);
-    assert.deepEqual([...assignTeamsToShards({ shards, teams, assigned }).keys()], ['red']);
+    const teamRecords = new Map([[teamName('red'), { owner: nodeName('c-9') }]]);
+    assert.deepEqual([...assignTeamsToShards({ shards, teams, teamRecords }).keys()], ['red']);
   });
 });
--- a/test/sim/simulated-controller.ts
+++ b/test/sim/simulated-controller.ts
@@ -115,8 +115,8 @@
       teams: [...TEAMS].map(([name, gpus]) => ({
         name: teamName(name),
         guarantee: [0, 0, size.quotaFactor * 6_000_000],
-        limitCpu: null,
-        limitGpu: gpus * size.quotaFactor * 1_000_000,
+        cpuQuota: null,
+        gpuQuota: gpus * size.quotaFactor * 1_000_000,
       })),
       objectives: [],
       workers: {
--- a/test/slow-machine-detector.test.ts
+++ b/test/slow-machine-detector.test.ts
@@ -8,7 +8,7 @@
 import { machineName, jobId } from '../src/core/model/ids.js';
 
 test('a machine is slow if all its latest runs take much longer than other runs of their job or class', () => {
-  const detector = new SlowMachineDetector({ factor: 1.7, runs: 3, samples: 8 });
+  const detector = new SlowMachineDetector({ factor: 1.7, latestRuns: 3, minSamples: 8 });
   const normalMachine = machineName('n-1');
   const slowMachine = machineName('n-2');
   let jobs = 0;
