--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -138,7 +138,7 @@
       const { settings, plugins } = loadSettings(files);
       const enabled = plugins.length === 0 ? '' : `, packages: ${plugins.map(({ name }) => name).join(', ')}`;
       printOutput(
-        `ok: ${settings.node}, ${settings.teams.length} teams, ${settings.nodes} controllers${enabled}`,
+        `ok: ${settings.node}, ${settings.teams.length} teams, ${settings.controllerCount} controllers${enabled}`,
       );
     },
   );
--- a/src/config/platform-settings.ts
+++ b/src/config/platform-settings.ts
@@ -121,15 +121,15 @@
   /** Host and port of the state service. */
   readonly state: string;
   /** Number of controllers, including this one. */
-  readonly nodes: number;
+  readonly controllerCount: number;
   readonly zones: readonly Zone[];
   readonly teams: readonly Team[];
   readonly objectives: NonNullable<PlatformSettingsFile['cluster']['objectives']>;
-  readonly workers: PlatformSettingsFile['cluster']['workers'];
+  readonly agentTimings: PlatformSettingsFile['cluster']['workers'];
   readonly stateLimits: PlatformSettingsFile['cluster']['state'];
   readonly cloudLimits: PlatformSettingsFile['cluster']['cloud'];
   /** Resource limits of this process. */
-  readonly limits: PlatformSettingsFile['cluster']['quota'];
+  readonly processLimits: PlatformSettingsFile['cluster']['quota'];
 }
 
 /** Parses the platform's settings file. Throws `SettingsError` if the text is not TOML or does not fit the schema. */
@@ -151,14 +151,14 @@
     })),
     cloud: file.outside.cloud,
     state: file.outside.state,
-    nodes: cluster.count,
+    controllerCount: cluster.count,
     zones: cluster.zones.map(zoneName),
     teams: cluster.teams.map(teamFromSettings),
     objectives: cluster.objectives ?? [],
-    workers: cluster.workers,
+    agentTimings: cluster.workers,
     stateLimits: cluster.state,
     cloudLimits: cluster.cloud,
-    limits: cluster.quota,
+    processLimits: cluster.quota,
   };
 }
 
--- a/src/controller/api/job-cancellation.ts
+++ b/src/controller/api/job-cancellation.ts
@@ -53,7 +53,7 @@
     const start = clock.now();
     const finished = this.waitUntilFinished(id);
     const peer = this.peerFor(job);
-    const outcome = peer === undefined ? null : await peer.cancel(id, PEER_TIMEOUT_MS);
+    const outcome = peer === undefined ? null : await peer.forwardCancellation(id, PEER_TIMEOUT_MS);
     // A request that the holder did not accept directly is stored in the state service, where the holder reads it.
     if (outcome !== 'taken' && !view.cancellations.has(id)) await this.storeCancellation(id);
     await finished;
--- a/src/controller/controller-context.ts
+++ b/src/controller/controller-context.ts
@@ -36,17 +36,17 @@
 }
 
 /** Limits of the state service: those in force, and the lower ones (`next`) to which they may drop without notice. */
-function stateLimitsOf({ stateLimits, nodes }: PlatformSettings): StateServiceLimits {
+function stateLimitsOf({ stateLimits, controllerCount }: PlatformSettings): StateServiceLimits {
   const { rps, write_rps, txn_ops, value_kb, next } = stateLimits;
   return {
     rps,
     writeRps: write_rps,
-    lowRps: Math.min(rps, next?.rps ?? rps),
-    lowWriteRps: Math.min(write_rps, next?.write_rps ?? write_rps),
+    minRps: Math.min(rps, next?.rps ?? rps),
+    minWriteRps: Math.min(write_rps, next?.write_rps ?? write_rps),
     // Sizes always obey the lower limits, so that no stored value exceeds the limit once it drops.
     operationsPerTransaction: Math.min(txn_ops, next?.txn_ops ?? txn_ops),
     valueBytes: Math.min(value_kb, next?.value_kb ?? value_kb) * 1024,
-    nodes,
+    controllerCount,
   };
 }
 
@@ -101,7 +101,7 @@
       allocations: this.allocations,
       finalStates: this.finalStates,
       clock,
-      heartbeatIntervalS: settings.workers.report_s,
+      heartbeatIntervalS: settings.agentTimings.report_s,
     });
     this.policy = new SchedulingPolicy(clock, operator.placement, this.allocations, this.dependencies);
   }
@@ -119,10 +119,10 @@
       clock,
       transport: stateTransport,
       watchTransport,
-      onRejected: (operations, answer) => {
+      onTransactionRejected: (operations, answer) => {
         log.error({ keys: keysOf(operations), answer }, LOG_EVENT.transactionRejected);
       },
-      onFinished: (operations, outcome, since) => {
+      onTransactionFinished: (operations, outcome, since) => {
         if (!events.isActive) return;
         events.emit({ kind: 'transaction', keys: keysOf(operations), outcome, since });
       },
--- a/src/controller/heartbeats/isolated-answers.ts
+++ b/src/controller/heartbeats/isolated-answers.ts
@@ -43,7 +43,7 @@
     // The agent is answered for the length of one lease and then redirected again. Otherwise another controller that
     // waits for its heartbeats would release its machine.
     const wasSoleContactRecently =
-      soleContactTimes.elapsedMs(machine.name, token) < settings.workers.lease_s * 1000;
+      soleContactTimes.elapsedMs(machine.name, token) < settings.agentTimings.lease_s * 1000;
     if (heartbeat.token > token || !(reachesNoOtherController || wasSoleContactRecently)) {
       soleContactTimes.delete(machine.name);
       redirectTimes.record(machine.name, token);
@@ -67,7 +67,7 @@
     const { context, redirectTimes, tokens } = this.options;
     const sinceRedirectMs = redirectTimes.elapsedMs(machine.name, token);
     if (sinceRedirectMs < MAX_RETURN_MS) {
-      const minFullCycleMs = context.settings.nodes * AGENT_FAILOVER_PAUSE_MS - HEARTBEAT_SLACK_MS;
+      const minFullCycleMs = context.settings.controllerCount * AGENT_FAILOVER_PAUSE_MS - HEARTBEAT_SLACK_MS;
       return sinceRedirectMs > minFullCycleMs;
     }
     return !context.ownership.owns(machine) && tokens.hasLeftOwner(heartbeat, token);
--- a/src/controller/heartbeats/proxied-agents.ts
+++ b/src/controller/heartbeats/proxied-agents.ts
@@ -55,7 +55,7 @@
     /** Latest redirects of agents to their owners. */
     private readonly redirectTimes: AgentTimestamps,
   ) {
-    this.heartbeatIntervalMs = context.settings.workers.report_s * 1000;
+    this.heartbeatIntervalMs = context.settings.agentTimings.report_s * 1000;
   }
 
   /** Names of the machines whose agents this controller answers as a proxy. */
--- a/src/controller/heartbeats/token-tracker.ts
+++ b/src/controller/heartbeats/token-tracker.ts
@@ -40,7 +40,7 @@
     const { clock, settings } = this.context;
     const tracked = this.tokens.get(heartbeat.machine);
     if (heartbeat.token !== token || tracked === undefined) return false;
-    const intervalMs = settings.workers.report_s * 1000;
+    const intervalMs = settings.agentTimings.report_s * 1000;
     return clock.now() - tracked.since >= intervalMs * ESTABLISHED_HEARTBEAT_INTERVALS;
   }
 }
--- a/src/controller/leader/misrouted-agents.ts
+++ b/src/controller/leader/misrouted-agents.ts
@@ -83,14 +83,14 @@
     const since = before?.token === token ? before.since : now;
     this.proxiedMachines.set(machine.name, { since, token });
     this.lastProxiedAt.set(machine.name, now);
-    return now - since > settings.workers.report_s * 1000 * INTERVALS_BEFORE_MOVE;
+    return now - since > settings.agentTimings.report_s * 1000 * INTERVALS_BEFORE_MOVE;
   }
 
   /** Forgets machines that have had no proxy for longer than an agent takes to try all controllers. */
   private expireLastProxied(): void {
     const { clock, settings, view } = this.context;
     const now = clock.now();
-    const maxAgeMs = MAX_FAILOVER_MS * settings.nodes;
+    const maxAgeMs = MAX_FAILOVER_MS * settings.controllerCount;
     for (const [name, proxiedAt] of this.lastProxiedAt)
       if (now - proxiedAt > maxAgeMs || !view.machines.has(name)) this.lastProxiedAt.delete(name);
   }
--- a/src/controller/membership/availability.ts
+++ b/src/controller/membership/availability.ts
@@ -64,7 +64,7 @@
         continue;
       }
       const answers = await Promise.all(
-        [...this.peers.values()].map((peer) => peer.contact(PEER_ANSWER_TIMEOUT_MS)),
+        [...this.peers.values()].map((peer) => peer.hasStateContact(PEER_ANSWER_TIMEOUT_MS)),
       );
       this.recordPeerAnswers(answers);
     }
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -45,7 +45,7 @@
 }
 
 function createDependencies(settings: PlatformSettings, hasPlugins: boolean): ControllerDependencies {
-  const maxConnections = settings.limits.max_connections;
+  const maxConnections = settings.processLimits.max_connections;
   const agentConnections = Math.floor(maxConnections / AGENT_CONNECTIONS_DIVISOR);
   return {
     clock: systemClock,
@@ -65,7 +65,7 @@
     onCancellation: (job) => Promise.resolve(controller.jobs.acceptForwardedCancellation(jobId(job))),
     hasStateContact: () => controller.context.state.isReachable(STATE_CONTACT_MS),
     onTopic: (topic, payload, from) => controller.channel.answer(topic, payload, from),
-    maxConnections: Math.max(MIN_PEER_CONNECTIONS, settings.nodes * PEER_CONNECTIONS_PER_NODE),
+    maxConnections: Math.max(MIN_PEER_CONNECTIONS, settings.controllerCount * PEER_CONNECTIONS_PER_NODE),
   });
   await peerServer.listen(...splitAddress(settings.peerBind));
 }
@@ -86,7 +86,7 @@
       ...status(context, shardController, availability.isHealthy),
       ...(pluginHost === null ? {} : { packages: pluginHost.status() }),
     }),
-    maxConnections: Math.floor(settings.limits.max_connections * HTTP_CONNECTIONS_FRACTION),
+    maxConnections: Math.floor(settings.processLimits.max_connections * HTTP_CONNECTIONS_FRACTION),
     minInProgress: operator.users.least_in_progress,
     maxInProgress: operator.users.most_in_progress,
     ...(pluginHost === null ? {} : { plugins: pluginHost }),
--- a/src/controller/shard/agent-sessions.ts
+++ b/src/controller/shard/agent-sessions.ts
@@ -50,7 +50,7 @@
     private readonly health: HealthTracker,
     private readonly onObservation: MachineObservationListener,
   ) {
-    this.heartbeatIntervalMs = context.settings.workers.report_s * 1000;
+    this.heartbeatIntervalMs = context.settings.agentTimings.report_s * 1000;
   }
 
   /** Names of the machines with a session. */
--- a/src/controller/shard/machine-reachability.ts
+++ b/src/controller/shard/machine-reachability.ts
@@ -59,7 +59,7 @@
     const { settings, clock } = this.context;
     const silentMs = clock.now() - session.lastContactAt;
     // An agent that has not pushed a heartbeat to this owner yet may have to try every other controller first.
-    const steps = session.lastPushedAt === null ? settings.nodes : 1;
+    const steps = session.lastPushedAt === null ? settings.controllerCount : 1;
     if (silentMs < this.failoverDelayMs(steps)) return false;
     this.zones ??= this.evaluateZones();
     const zone = this.zones.get(machine.zone);
@@ -83,7 +83,7 @@
   }
 
   private maxHeartbeatIntervalMs(): number {
-    return MAX_HEARTBEAT_JITTER * this.context.settings.workers.report_s * 1000;
+    return MAX_HEARTBEAT_JITTER * this.context.settings.agentTimings.report_s * 1000;
   }
 
   private evaluateZones(): ReadonlyMap<Zone, ZoneReachability> {
@@ -106,7 +106,7 @@
    */
   private isResponding({ lastContactAt, uninterruptedSince }: AgentSession): boolean {
     const now = this.context.clock.now();
-    const heartbeatIntervalMs = this.context.settings.workers.report_s * 1000;
+    const heartbeatIntervalMs = this.context.settings.agentTimings.report_s * 1000;
     if (uninterruptedSince === null || now - uninterruptedSince <= this.failoverDelayMs(1)) return false;
     return now - lastContactAt < heartbeatIntervalMs * FRESH_HEARTBEAT_INTERVALS;
   }
@@ -123,7 +123,7 @@
     const peers = (zone?.machines ?? 0) - (machine.phase === 'booting' ? 0 : 1);
     const bootS = peers >= MIN_CORRELATED_PEERS ? (view.typesByName.get(machine.type)?.bootS ?? 0) : 0;
     const fullFailoverMs =
-      this.maxHeartbeatIntervalMs() + settings.nodes * FAILOVER_STEP_MS + FULL_FAILOVER_SLACK_MS;
-    return fullFailoverMs + (settings.workers.lease_s + bootS) * 1000;
+      this.maxHeartbeatIntervalMs() + settings.controllerCount * FAILOVER_STEP_MS + FULL_FAILOVER_SLACK_MS;
+    return fullFailoverMs + (settings.agentTimings.lease_s + bootS) * 1000;
   }
 }
--- a/src/controller/shard/placement-pass.ts
+++ b/src/controller/shard/placement-pass.ts
@@ -145,7 +145,7 @@
   /** Owned machines that tasks may be placed on now. */
   private availableMachines(): MachineRecord[] {
     const { clock, ownership, settings } = this.context;
-    const freshMs = settings.workers.report_s * 1000 * FRESH_HEARTBEAT_INTERVALS;
+    const freshMs = settings.agentTimings.report_s * 1000 * FRESH_HEARTBEAT_INTERVALS;
     return ownership.ownedMachines().filter((machine) => {
       const session = this.sessions.find(machine.name);
       if (machine.phase === 'releasing' || machine.drain === true || session?.heartbeat == null) return false;
--- a/src/controller/shard/task-exits.ts
+++ b/src/controller/shard/task-exits.ts
@@ -190,7 +190,7 @@
   private commitIntervalMs(jobs: number): number {
     const { limits, hasSpareBudget } = this.context.state;
     const fraction = hasSpareBudget ? 2 * WRITE_BUDGET_FRACTION : WRITE_BUDGET_FRACTION;
-    const writesPerSecond = (limits.writeRps / limits.nodes) * fraction;
+    const writesPerSecond = (limits.writeRps / limits.controllerCount) * fraction;
     const minIntervalMs = hasSpareBudget ? FULL_RECONCILE_INTERVAL_MS : MIN_BATCH_MS;
     return Math.min(MAX_CLEANUP_DELAY_MS, Math.max(minIntervalMs, (jobs * 1000) / writesPerSecond));
   }
--- a/src/io/cloud/cloud-client.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -48,9 +48,9 @@
   ) {
     const rate = requestsPerSecond * RATE_FRACTION;
     this.limiter = new RateLimiter({
-      requestRates: { high: rate, low: rate },
+      requestRates: { max: rate, min: rate },
       // The cloud limits requests only: no writes are ever acquired.
-      writeRates: { high: 1, low: 1 },
+      writeRates: { max: 1, min: 1 },
       maxQueued: MAX_QUEUED_REQUESTS,
       maxBorrowFactor: 1,
       clock,
@@ -111,7 +111,7 @@
     if (!(await this.limiter.acquire(priority, 0))) return null;
     try {
       const response = await this.transport.request(method, path, body, TIMEOUT_MS);
-      if (response.status === 429) this.limiter.noteExhausted(0);
+      if (response.status === 429) this.limiter.recordRefusal(0);
       return response;
     } catch {
       return null;
--- a/src/io/paths.ts
+++ b/src/io/paths.ts
@@ -21,4 +21,4 @@
   watch: '/follow',
 };
 /** Maximum size in bytes of the body of a request to a controller. */
-export const BODY_LIMIT = 64 * 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
--- a/src/io/peers/peer-link.ts
+++ b/src/io/peers/peer-link.ts
@@ -20,12 +20,12 @@
   ) {}
 
   /** Implements `Peer.cancel`. */
-  async cancel(job: string, timeoutMs: number): Promise<string | null> {
+  async forwardCancellation(job: string, timeoutMs: number): Promise<string | null> {
     return (await this.send({ cancel: job }, timeoutMs))?.outcome ?? null;
   }
 
   /** Implements `Peer.contact`. */
-  async contact(timeoutMs: number): Promise<boolean | null> {
+  async hasStateContact(timeoutMs: number): Promise<boolean | null> {
     return (await this.send({ contact: true }, timeoutMs))?.contact ?? null;
   }
 
--- a/src/io/rate-limiter.ts
+++ b/src/io/rate-limiter.ts
@@ -78,7 +78,7 @@
    * Whether writes that can wait may be sent: the queue is empty, at least half a second's writes are left, and no
    * write was refused recently. A refusal shows that other processes need the limit, even if this one writes little.
    */
-  get isIdle(): boolean {
+  get hasSpareBudget(): boolean {
     this.refill();
     const wasRecentlyRefused = this.refilledAt - this.writesRefusedAt < RECENT_REFUSAL_MS;
     return (
@@ -99,14 +99,14 @@
   }
 
   /** Records a refusal (429): for the write limit if the refused request had writes, else for the request limit. */
-  noteExhausted(writes: number): void {
+  recordRefusal(writes: number): void {
     this.refill();
     if (writes === 0) {
-      this.requestBucket.noteExhausted();
+      this.requestBucket.recordRefusal();
       return;
     }
     this.writesRefusedAt = this.refilledAt;
-    this.writeBucket.noteExhausted();
+    this.writeBucket.recordRefusal();
   }
 
   private refill(): void {
--- a/src/io/state/group-commit.ts
+++ b/src/io/state/group-commit.ts
@@ -52,8 +52,8 @@
 
   /** Operations per second that this controller may write if all controllers share the rate equally; at least 1. */
   private writesPerSecond(): number {
-    const { writeRps, nodes } = this.client.limits;
-    return Math.max(1, Math.floor(writeRps / nodes));
+    const { writeRps, controllerCount } = this.client.limits;
+    return Math.max(1, Math.floor(writeRps / controllerCount));
   }
 
   private sendQueued(): void {
--- a/src/io/state/state-client.ts
+++ b/src/io/state/state-client.ts
@@ -43,19 +43,19 @@
 /** Maximum number of retries of a refused transaction that a user waits for. */
 const MAX_RETRIES = 2;
 
-/** The limits of the state service, and the number of controllers (`nodes`) that share them. */
+/** The limits of the state service, and the number of controllers that share them. */
 export interface StateServiceLimits {
   /** Requests per second. */
   readonly rps: number;
   /** Write operations per second. */
   readonly writeRps: number;
   /** What `rps` and `writeRps` may fall to without notice. */
-  readonly lowRps: number;
-  readonly lowWriteRps: number;
+  readonly minRps: number;
+  readonly minWriteRps: number;
   readonly operationsPerTransaction: number;
   /** Maximum size of a value, as JSON. */
   readonly valueBytes: number;
-  readonly nodes: number;
+  readonly controllerCount: number;
 }
 
 /** Result of a transaction, as far as its sender knows; `failed` has the keys whose guards failed. */
@@ -81,9 +81,9 @@
   /** Connection of the watch, apart from the other requests since a watch occupies it while it blocks. */
   readonly watchTransport: Transport;
   /** Called for each transaction that the service rejects as malformed or above a limit; `answer` is the body. */
-  readonly onRejected?: (operations: readonly WriteOperation[], answer: unknown) => void;
+  readonly onTransactionRejected?: (operations: readonly WriteOperation[], answer: unknown) => void;
   /** Called at the end of each transaction with operations; `since` is when it was passed to the client. */
-  readonly onFinished?: (
+  readonly onTransactionFinished?: (
     operations: readonly WriteOperation[],
     outcome: TransactionOutcome,
     since: MonotonicMs,
@@ -141,7 +141,7 @@
 
   /** Whether the write rate has room for writes that can wait. */
   get hasSpareBudget(): boolean {
-    return this.limiter.isIdle;
+    return this.limiter.hasSpareBudget;
   }
 
   /** How many operations this controller can write within `ms` milliseconds at its present rate. */
@@ -175,7 +175,7 @@
     const since = this.clock.now();
     const result = await this.sendTransaction(changeSet, priority, isStale);
     const { operations } = changeSet;
-    if (operations.length > 0) this.options.onFinished?.(operations, outcomeOf(result), since);
+    if (operations.length > 0) this.options.onTransactionFinished?.(operations, outcomeOf(result), since);
     return result;
   }
 
@@ -253,7 +253,7 @@
 
   /** The shortest time from one watch request to the next, so that most of the request rate is left to others. */
   get minWatchIntervalMs(): number {
-    return (1000 * this.limits.nodes) / (this.limits.rps * WATCH_FRACTION);
+    return (1000 * this.limits.controllerCount) / (this.limits.rps * WATCH_FRACTION);
   }
 
   /** Waits once for changes after `from`. Null: the service no longer has all of them; keys must be listed again. */
@@ -266,7 +266,7 @@
     const { status, body } = await watchTransport.request('GET', path, undefined, waitMs + TIMEOUT_MS);
     if (status === 410) return null;
     if (status !== 200) {
-      if (status === 429) this.limiter.noteExhausted(0);
+      if (status === 429) this.limiter.recordRefusal(0);
       throw new UnavailableError(`watch from ${from}: state service answered ${status}, expected 200 or 410`);
     }
     return eventsFromWire(body);
@@ -307,7 +307,7 @@
         return { kind: 'conflict', revision: revisionFromWire(body), failed: failedFromWire(body) };
       case 400:
         if (operations.some((operation) => operation.lease !== undefined)) return { kind: 'no_lease' };
-        this.options.onRejected?.(operations, body);
+        this.options.onTransactionRejected?.(operations, body);
         return { kind: 'rejected' };
       default:
         throw new ProtocolError(
@@ -347,7 +347,7 @@
   ): RequestResult {
     if (response.status === 429) {
       this.usage.limited++;
-      this.limiter.noteExhausted(writes);
+      this.limiter.recordRefusal(writes);
       return { kind: 'refused' };
     }
     if (response.status === 503) {
@@ -363,15 +363,15 @@
 const createLimiter = (limits: StateServiceLimits, clock: Clock): RateLimiter =>
   new RateLimiter({
     requestRates: {
-      high: (limits.rps / limits.nodes) * REQUEST_RATE_FRACTION,
-      low: (limits.lowRps / limits.nodes) * REQUEST_RATE_FRACTION,
+      max: (limits.rps / limits.controllerCount) * REQUEST_RATE_FRACTION,
+      min: (limits.minRps / limits.controllerCount) * REQUEST_RATE_FRACTION,
     },
     writeRates: {
-      high: (limits.writeRps / limits.nodes) * WRITE_RATE_FRACTION,
-      low: (limits.lowWriteRps / limits.nodes) * WRITE_RATE_FRACTION,
+      max: (limits.writeRps / limits.controllerCount) * WRITE_RATE_FRACTION,
+      min: (limits.minWriteRps / limits.controllerCount) * WRITE_RATE_FRACTION,
     },
     maxQueued: MAX_QUEUED_REQUESTS,
-    maxBorrowFactor: Math.max(1, limits.nodes * MAX_BORROWED_FRACTION),
+    maxBorrowFactor: Math.max(1, limits.controllerCount * MAX_BORROWED_FRACTION),
     clock,
   });
 
--- a/src/io/token-bucket.ts
+++ b/src/io/token-bucket.ts
@@ -12,9 +12,9 @@
 /** This process's share of a rate limit, in tokens per second. */
 export interface RateRange {
   /** The usual rate. */
-  readonly high: number;
+  readonly max: number;
   /** What the rate may fall to without notice. */
-  readonly low: number;
+  readonly min: number;
 }
 
 /**
@@ -34,7 +34,7 @@
     /** Maximum multiple of its own rate that this process may use while nothing is refused. */
     private readonly maxBorrowFactor: number,
   ) {
-    this.tokens = this.rate = range.high;
+    this.tokens = this.rate = range.max;
   }
 
   /** Tokens per second, including borrowed ones. */
@@ -49,7 +49,7 @@
 
   /** Restores the rate and the borrow factor, and adds the tokens of `seconds` up to the size of the bucket. */
   refill(seconds: number): void {
-    this.rate = Math.min(this.range.high, this.rate + this.range.high * RATE_RECOVERY_PER_SECOND * seconds);
+    this.rate = Math.min(this.range.max, this.rate + this.range.max * RATE_RECOVERY_PER_SECOND * seconds);
     const regained = seconds * BORROW_RECOVERY_PER_SECOND * this.maxBorrowFactor;
     this.borrowFactor = Math.min(this.maxBorrowFactor, this.borrowFactor + regained);
     const rate = this.borrowedRate;
@@ -57,9 +57,9 @@
   }
 
   /** Records a refusal: empties the bucket, resets borrowing, and lowers the rate if little was borrowed. */
-  noteExhausted(): void {
+  recordRefusal(): void {
     if (this.borrowFactor <= MAX_UNBORROWED_FACTOR)
-      this.rate = Math.max(this.range.low, this.rate * RATE_REDUCTION);
+      this.rate = Math.max(this.range.min, this.rate * RATE_REDUCTION);
     this.borrowFactor = 1;
     this.tokens = Math.min(this.tokens, 0);
   }
--- a/src/io/users/http-server.ts
+++ b/src/io/users/http-server.ts
@@ -6,7 +6,7 @@
 import type { Logger } from 'pino';
 import { CodedError, UnavailableError } from '../../core/errors.js';
 import { LOG_EVENT } from '../../core/log-events.js';
-import { BODY_LIMIT } from '../paths.js';
+import { MAX_BODY_BYTES } from '../paths.js';
 import { serveHeartbeats } from './agent-routes.js';
 import type { HeartbeatHandler, JobRequests, PluginRequests } from './http-api.js';
 import { servePlugins, serveStatus } from './operator-routes.js';
@@ -37,7 +37,7 @@
 /** Builds the HTTP server; it does not listen yet. */
 export function buildServer(options: ServerOptions): FastifyInstance {
   const app = fastify({
-    bodyLimit: BODY_LIMIT,
+    bodyLimit: MAX_BODY_BYTES,
     keepAliveTimeout: KEEP_ALIVE_MS,
     exposeHeadRoutes: false,
     // No type coercion: a number in quotes is rejected with 400, not read as a number.
--- a/src/plugin-host/topic-channel.ts
+++ b/src/plugin-host/topic-channel.ts
@@ -21,7 +21,7 @@
 
   /** See `PeerChannel`. */
   async isAnswering(node: NodeName, timeoutMs: number): Promise<boolean> {
-    const contact = await this.links.get(node)?.contact(timeoutMs);
+    const contact = await this.links.get(node)?.hasStateContact(timeoutMs);
     return contact != null;
   }
 
--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -21,11 +21,11 @@
 const LIMITS: StateServiceLimits = {
   rps: BUDGET.rps,
   writeRps: BUDGET.writeRps,
-  lowRps: BUDGET.rps,
-  lowWriteRps: BUDGET.writeRps,
+  minRps: BUDGET.rps,
+  minWriteRps: BUDGET.writeRps,
   operationsPerTransaction: BUDGET.txnOps,
   valueBytes: 8192,
-  nodes: 1,
+  controllerCount: 1,
 };
 
 /**
--- a/test/group-commit.test.ts
+++ b/test/group-commit.test.ts
@@ -18,7 +18,7 @@
  * Sets up group commit with a state client that answers only when `answer` is called: with a rejection for `rejectedKeys`,
  * with a conflict for guards on keys in `existingKeys`.
  */
-function setUp(settings = { operationsPerTransaction: 8, writeRps: 60, nodes: 3 }) {
+function setUp(settings = { operationsPerTransaction: 8, writeRps: 60, controllerCount: 3 }) {
   const sent: string[][] = [];
   const existingKeys = new Set<string>();
   const rejectedKeys = new Set<string>();
@@ -86,7 +86,7 @@
 });
 
 test('no transaction has more changes than this controller may write within a second', async () => {
-  const s = setUp({ operationsPerTransaction: 32, writeRps: 20, nodes: 4 });
+  const s = setUp({ operationsPerTransaction: 32, writeRps: 20, controllerCount: 4 });
   const results = [...Array(12).keys()].map((i) => s.commits.commit(`wk-${i}`, change(`wk-${i}`)));
   await s.answer();
   await Promise.all(results);
@@ -94,7 +94,7 @@
 });
 
 test('a change that would wait longer than its user does is refused at once, and none is sent twice', async () => {
-  const s = setUp({ operationsPerTransaction: 8, writeRps: 20, nodes: 4 });
+  const s = setUp({ operationsPerTransaction: 8, writeRps: 20, controllerCount: 4 });
   const commit = (i: number) => s.commits.commit(`wk-${i}`, change(`wk-${i}`));
   const first = [...Array(40).keys()].map(commit);
   const retries = [...Array(10).keys()].map(commit);
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -26,12 +26,12 @@
   await server.listen('127.0.0.1', port);
   const link = new PeerLink(`127.0.0.1:${port}`);
   try {
-    assert.equal(await link.cancel('wk-1', 2000), 'taken');
-    assert.deepEqual(await Promise.all([link.cancel('wk-2', 2000), link.cancel('wk-1', 2000)]), [
-      'not_mine',
-      'taken',
-    ]);
-    assert.equal(await link.contact(2000), true);
+    assert.equal(await link.forwardCancellation('wk-1', 2000), 'taken');
+    assert.deepEqual(
+      await Promise.all([link.forwardCancellation('wk-2', 2000), link.forwardCancellation('wk-1', 2000)]),
+      ['not_mine', 'taken'],
+    );
+    assert.equal(await link.hasStateContact(2000), true);
     // A frame length above the maximum, and a payload that is not valid protobuf.
     for (const bytes of [Buffer.from([0xff, 0xff, 0xff, 0xff, 1]), Buffer.from([0, 0, 0, 2, 0x0f, 0xff])]) {
       const connection = net.connect(port, '127.0.0.1');
@@ -39,7 +39,7 @@
       connection.write(bytes);
       await new Promise((r) => connection.once('close', r).resume());
     }
-    assert.equal(await link.cancel('wk-1', 2000), 'taken');
+    assert.equal(await link.forwardCancellation('wk-1', 2000), 'taken');
   } finally {
     link.close();
     server.close();
@@ -49,11 +49,11 @@
 test('a request to a peer that is down or does not answer yields null within the timeout', async () => {
   const port = await freePort();
   const link = new PeerLink(`127.0.0.1:${port}`);
-  assert.equal(await link.cancel('wk-1', 500), null);
+  assert.equal(await link.forwardCancellation('wk-1', 500), null);
   const sockets: net.Socket[] = [];
   const silentServer = net.createServer((socket) => sockets.push(socket));
   await new Promise<void>((r) => silentServer.listen(port, '127.0.0.1', r));
-  assert.equal(await link.contact(100), null);
+  assert.equal(await link.hasStateContact(100), null);
   link.close();
   for (const socket of sockets) socket.destroy();
   silentServer.close();
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -10,8 +10,8 @@
 /** A rate limiter whose shares do not shrink; of changes it may use `maxBorrowFactor` times its share. */
 const fixedRateLimiter = (time: VirtualTime, maxBorrowFactor: number) =>
   new RateLimiter({
-    requestRates: { high: 60, low: 60 },
-    writeRates: { high: 12, low: 12 },
+    requestRates: { max: 60, min: 60 },
+    writeRates: { max: 12, min: 12 },
     maxQueued: 200,
     maxBorrowFactor,
     clock: new ProcessClock(time, 1, 0),
@@ -54,9 +54,13 @@
   const time = new VirtualTime(1);
   const limiter = fixedRateLimiter(time, 3);
   await time.runUntil(10_000);
-  assert.equal(limiter.isIdle, true);
-  limiter.noteExhausted(1);
-  assert.equal(limiter.isIdle, false, 'the whole budget is short, even if this process has some left');
+  assert.equal(limiter.hasSpareBudget, true);
+  limiter.recordRefusal(1);
+  assert.equal(
+    limiter.hasSpareBudget,
+    false,
+    'the whole budget is short, even if this process has some left',
+  );
   let isReadGranted = false;
   let isWriteGranted = false;
   void limiter.acquire(REQUEST_PRIORITY.results, 6).then(() => {
@@ -76,9 +80,9 @@
   const high = 20;
   const low = 15;
   // Slightly below the limit, as in the client of the state service.
-  const rate = { high: high * 0.95, low: low * 0.95 };
+  const rate = { max: high * 0.95, min: low * 0.95 };
   const limiter = new RateLimiter({
-    requestRates: { high: 100, low: 100 },
+    requestRates: { max: 100, min: 100 },
     writeRates: rate,
     maxQueued: 2000,
     maxBorrowFactor: 1,
@@ -100,7 +104,7 @@
         granted += 2;
       } else {
         refused++;
-        limiter.noteExhausted(2);
+        limiter.recordRefusal(2);
       }
     }
   };
--- a/test/request-burst.test.ts
+++ b/test/request-burst.test.ts
@@ -85,11 +85,11 @@
     const limits = {
       rps: 150,
       writeRps: 60,
-      lowRps: 150,
-      lowWriteRps: 60,
+      minRps: 150,
+      minWriteRps: 60,
       operationsPerTransaction: 8,
       valueBytes: 8192,
-      nodes: 5,
+      controllerCount: 5,
     };
     const client = new StateClient({ limits, clock, transport, watchTransport });
     const view = new ClusterView();
--- a/test/sim/controller-connections.ts
+++ b/test/sim/controller-connections.ts
@@ -207,13 +207,13 @@
       this.simulation.observe(this.node.name, name, message);
     };
     return {
-      contact: (timeoutMs) => {
+      hasStateContact: (timeoutMs) => {
         observe('contact');
         return this.askPeer({ name, timeoutMs, delayMs: delayMs() }, (peer) =>
           Promise.resolve(peer.context.state.isReachable(STATE_CONTACT_MS)),
         );
       },
-      cancel: (job, timeoutMs) => {
+      forwardCancellation: (job, timeoutMs) => {
         observe({ cancel: job });
         return this.askPeer({ name, timeoutMs, delayMs: CANCEL_DELAY_MS }, (peer) =>
           Promise.resolve(peer.jobs.acceptForwardedCancellation(jobId(job))),
--- a/test/sim/simulated-controller.ts
+++ b/test/sim/simulated-controller.ts
@@ -110,7 +110,7 @@
       })),
       cloud: '',
       state: '',
-      nodes: NODES.length,
+      controllerCount: NODES.length,
       zones: ZONES.map(zoneName),
       teams: [...TEAMS].map(([name, gpus]) => ({
         name: teamName(name),
@@ -119,7 +119,7 @@
         gpuQuota: gpus * size.quotaFactor * 1_000_000,
       })),
       objectives: [],
-      workers: {
+      agentTimings: {
         report_s: LIMITS.reportS,
         lease_s: LIMITS.leaseS,
         gang_wait_s: LIMITS.gangWaitS,
@@ -134,7 +134,7 @@
         ...(this.runsPreviousVersion || upcomingLimits === null ? {} : { next: upcomingLimits }),
       },
       cloudLimits: { rps: 5, list_lag_s: 2 },
-      limits: { cpu: 1, ram_mb: 100, max_connections: 100 },
+      processLimits: { cpu: 1, ram_mb: 100, max_connections: 100 },
     };
   }
 }
--- a/test/stored-compatibility.test.ts
+++ b/test/stored-compatibility.test.ts
@@ -185,8 +185,8 @@
     });
     await listen(server);
     const link = new PeerLink(`127.0.0.1:${portOf(server)}`);
-    assert.equal(await link.cancel('wk-000412', 2000), 'taken wk-000412');
-    assert.equal(await link.contact(2000), true);
+    assert.equal(await link.forwardCancellation('wk-000412', 2000), 'taken wk-000412');
+    assert.equal(await link.hasStateContact(2000), true);
     assert.deepEqual([...(await link.ask('t', new Uint8Array([1, 2, 3]), 2000))!], [3, 2, 1]);
     assert.equal(await link.ask('nobody', new Uint8Array([9]), 2000), null);
     link.close();
