--- a/packages/warm-standby/measure/takeovers.ts
+++ b/packages/warm-standby/measure/takeovers.ts
@@ -14,7 +14,7 @@
 import { LoopbackCluster, type AgentObserver } from '../test/loopback/cluster.js';
 import type { ControllerProcess } from '../test/loopback/controller-process.js';
 import { Users, sleep } from '../test/loopback/users.js';
-import type { Shown } from '../test/standbys.js';
+import type { StandbyStatus } from '../test/standbys.js';
 
 const SHORT_PAUSE_MS = 700;
 const LONG_PAUSE_MS = 12_000;
@@ -98,7 +98,7 @@
       return {
         begin: async () => {
           const path = '/v1/packages/warm_standby/handover';
-          const reply = await victim.ask('POST', path, {}, 30_000);
+          const reply = await victim.request('POST', path, {}, 30_000);
           // Without the plugin there is no handover: the planned restart is a kill.
           if (reply?.status !== 200) await victim.kill();
         },
@@ -113,12 +113,12 @@
 /** What a controller's status shows of the plugin, and the holder of each shard; null where it does not answer. */
 const statusOf = async (
   c: ControllerProcess,
-): Promise<{ standby: Shown | null; holders: Map<string, string> } | null> => {
-  const reply = await c.ask('GET', '/v1/status');
+): Promise<{ standby: StandbyStatus | null; holders: Map<string, string> } | null> => {
+  const reply = await c.request('GET', '/v1/status');
   if (reply?.status !== 200) return null;
   const body = reply.body as {
     slices: { slice: string; holder: string }[];
-    packages?: { warm_standby: Shown };
+    packages?: { warm_standby: StandbyStatus };
   };
   return {
     standby: body.packages?.warm_standby ?? null,
@@ -291,7 +291,7 @@
     await cluster.start(OPERATOR_SETTINGS[options.standby] + (options.traced ? tracing : ''));
     await cluster.until('settled', () => isSettled(cluster));
     void users.run(SUBMIT_EVERY_MS);
-    await cluster.until('work is under way', () => cluster.simulatedCluster.starts > 30);
+    await cluster.until('work is under way', () => cluster.simulatedCluster.tasksStarted > 30);
     if (options.kind === 'cost') await measureCost(cluster, options, options.runs);
     else
       for (let round = 0; round < options.runs; round++) {
@@ -303,7 +303,7 @@
         appendFileSync(options.out, `${JSON.stringify(result)}\n`);
       }
     users.stop();
-    await cluster.until('all jobs are over', () => users.open().length === 0, 180_000);
+    await cluster.until('all jobs are over', () => users.unfinishedJobs().length === 0, 180_000);
     if (users.failed !== null) throw users.failed;
   } finally {
     users.stop();
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -12,12 +12,12 @@
 import { key } from '../../../src/core/records/keys.js';
 import type { ShardTransferOutcome } from '../../../src/plugin-host/api.js';
 import { runUntilBusy } from '../../../test/sim/fault-scenario.js';
-import { answered } from '../../../test/sim/pipeline-helpers.js';
+import { waitForAnswer } from '../../../test/sim/pipeline-helpers.js';
 import { advance, allControllers, currentLeader, holderOf } from '../../../test/sim/run-helpers.js';
 import type { SimulatedController } from '../../../test/sim/simulated-controller.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
-import { standbyStatusOf, standby } from './standbys.js';
+import { standbyStatusOf, warmStandbyPlugins } from './standbys.js';
 
 const transferOf = ({ controller }: SimulatedController) =>
   new ShardTransfer(controller!.context, controller!.membership);
@@ -26,7 +26,7 @@
 
 /** Lets time pass until `work` is done; returns the kind of its outcome. */
 const outcomeOf = async (simulation: Simulation, work: () => Promise<ShardTransferOutcome>) =>
-  (await answered(simulation, work())).kind;
+  (await waitForAnswer(simulation, work())).kind;
 
 /** A run with a shard's holder and a candidate for its failover, neither of them the leader. */
 async function runWithHolderAndCandidate() {
@@ -127,7 +127,11 @@
       { name: 'one', networks: ['10.0.0.0/32', '10.0.0.2/32'] },
       { name: 'two', networks: ['10.0.0.1/32'] },
     ];
-    const simulation = await runUntilBusy(3, undefined, standby({ failure_domains: failureDomains }));
+    const simulation = await runUntilBusy(
+      3,
+      undefined,
+      warmStandbyPlugins({ failure_domains: failureDomains }),
+    );
     // The receiver has no replica of the shard, so it knows the shard's epoch from its view only.
     const shard = nodeName(currentLeader(simulation).name);
     const receiver = allControllers(simulation).find((node) =>
--- a/packages/warm-standby/test/loopback.test.ts
+++ b/packages/warm-standby/test/loopback.test.ts
@@ -10,9 +10,9 @@
 import { NODES } from './loopback/cluster-settings.js';
 import { LoopbackCluster } from './loopback/cluster.js';
 import { Users } from './loopback/users.js';
-import type { Shown } from './standbys.js';
+import type { StandbyStatus } from './standbys.js';
 
-/** Content of the operators' file: both plug-ins are enabled, and every job is traced to a file. */
+/** Content of the operators' file: both plugins are enabled, and every job is traced to a file. */
 const operatorSettings = (directory: string) => `
 [slices]
 settled_s = 3.0
@@ -25,12 +25,12 @@
 `;
 
 interface Status {
-  readonly packages: { readonly warm_standby: Shown };
+  readonly packages: { readonly warm_standby: StandbyStatus };
 }
 
-/** The plug-in's part of a controller's status; null if the controller does not answer with 200. */
-const statusOf = async (cluster: LoopbackCluster, node: string): Promise<Shown | null> => {
-  const reply = await cluster.controllers.get(node)!.ask('GET', '/v1/status');
+/** The plugin's part of a controller's status; null if the controller does not answer with 200. */
+const statusOf = async (cluster: LoopbackCluster, node: string): Promise<StandbyStatus | null> => {
+  const reply = await cluster.controllers.get(node)!.request('GET', '/v1/status');
   return reply?.status === 200 ? (reply.body as Status).packages.warm_standby : null;
 };
 
@@ -77,13 +77,13 @@
       await cluster.start(operatorSettings(cluster.directory));
       await untilSettled();
       void users.run(120);
-      await cluster.until('work is under way', () => cluster.simulatedCluster.starts > 20);
+      await cluster.until('work is under way', () => cluster.simulatedCluster.tasksStarted > 20);
       const [first, second, third] = NODES.map((node) => cluster.controllers.get(node)!);
 
       await first!.kill();
       await untilFailedOver(first!.name);
-      const startsBefore = cluster.simulatedCluster.starts;
-      await cluster.until('work goes on', () => cluster.simulatedCluster.starts > startsBefore + 20);
+      const startsBefore = cluster.simulatedCluster.tasksStarted;
+      await cluster.until('work goes on', () => cluster.simulatedCluster.tasksStarted > startsBefore + 20);
       first!.start();
       await untilSettled();
 
@@ -102,7 +102,7 @@
       await untilSettled();
 
       users.stop();
-      await cluster.until('all jobs are over', () => users.open().length === 0, 180_000);
+      await cluster.until('all jobs are over', () => users.unfinishedJobs().length === 0, 180_000);
       assert.equal(users.failed, null);
       assert.equal(cluster.failed, null);
       const metrics = await (await fetch(`http://${second!.address}/metrics`)).text();
--- a/packages/warm-standby/test/loopback/cluster.ts
+++ b/packages/warm-standby/test/loopback/cluster.ts
@@ -63,7 +63,7 @@
     this.simulatedCluster = new SimulatedCluster({
       time: this.time,
       nodes: NODES,
-      limits: AGENT_TIMINGS,
+      agentTimings: AGENT_TIMINGS,
       quota: TEAMS,
       machinesPerZone,
       sendToController: (agent, node, heartbeat, done) => {
@@ -183,7 +183,7 @@
     const controller = this.controllers.get(node)!;
     const isPartitioned = () => controller.isPartitioned;
     if (isPartitioned()) return;
-    const reply = await controller.ask('POST', '/v1/report', heartbeat, HEARTBEAT_TIMEOUT_MS);
+    const reply = await controller.request('POST', '/v1/report', heartbeat, HEARTBEAT_TIMEOUT_MS);
     if (!this.isRunning || isPartitioned()) return;
     const tasksBefore = agent.tasks.size;
     done(reply ?? { status: 500, body: null });
@@ -198,7 +198,7 @@
         if (!controller().isPartitioned) reply(response);
       };
       if (controller().isPartitioned) return;
-      if (url.startsWith('/follow')) this.state.follow(url, answer);
+      if (url.startsWith('/follow')) this.state.watch(url, answer);
       else answer(this.state.handle(method, url, body));
     });
   }
--- a/packages/warm-standby/test/loopback/controller-process.ts
+++ b/packages/warm-standby/test/loopback/controller-process.ts
@@ -58,7 +58,7 @@
   }
 
   /** Sends a request to the controller; null if it fails or is not answered within `timeoutMs`. */
-  async ask(method: Method, url: string, body?: unknown, timeoutMs = 5000): Promise<HttpResponse | null> {
+  async request(method: Method, url: string, body?: unknown, timeoutMs = 5000): Promise<HttpResponse | null> {
     try {
       return await this.client.request(method, url, body, timeoutMs);
     } catch {
--- a/packages/warm-standby/test/random-faults.test.ts
+++ b/packages/warm-standby/test/random-faults.test.ts
@@ -9,7 +9,7 @@
 import { injectFaults } from '../../../test/sim/faults.js';
 import { advance, allControllers } from '../../../test/sim/run-helpers.js';
 import type { Dependency, SimulatedController } from '../../../test/sim/simulated-controller.js';
-import { requestHandover, standby } from './standbys.js';
+import { requestHandover, warmStandbyPlugins } from './standbys.js';
 
 /** Each fault affects one controller. It begins up to 3 s after the one before and lasts up to 9 s, so faults overlap. */
 const faultSequences = fc.array(
@@ -47,7 +47,7 @@
     case 'cut_state':
       return partition('state');
     case 'cut_off':
-      return partition('state', 'workers', 'peers');
+      return partition('state', 'agents', 'peers');
     default:
       if (node.controller !== null) void requestHandover(node).catch(() => undefined);
       return () => undefined;
@@ -58,7 +58,7 @@
   it('any sequence of faults of controllers violates no invariant and loses no job', async () => {
     await fc.assert(
       fc.asyncProperty(faultSequences, async (sequence) => {
-        const simulation = await runUntilBusy(5, undefined, standby({ degree: 2 }));
+        const simulation = await runUntilBusy(5, undefined, warmStandbyPlugins({ degree: 2 }));
         const endings: (() => void)[] = [];
         for (const { kind, node, afterMs, forMs } of sequence) {
           await advance(simulation, afterMs);
@@ -81,9 +81,9 @@
 
   it('overlapping random faults of controllers, agents and state service violate no invariant and lose no job', async () => {
     for (const seed of [21, 22, 23, 24]) {
-      const simulation = await runUntilBusy(seed, undefined, standby({ degree: 2 }));
+      const simulation = await runUntilBusy(seed, undefined, warmStandbyPlugins({ degree: 2 }));
       try {
-        simulation.isSmooth = false;
+        simulation.isNetworkReliable = false;
         injectFaults(simulation, 60_000);
         await simulation.time.runUntil(64_000);
         await advance(simulation, 22_000);
--- a/packages/warm-standby/test/standbys.ts
+++ b/packages/warm-standby/test/standbys.ts
@@ -16,15 +16,15 @@
   handover: { drain_ms: 1500, hold_ms: 8000 },
 };
 
-/** Enables the plug-in at each controller of a run. `overrides` replace whole sections of `SIMULATION_OPTIONS`. */
-export const standby =
+/** Enables the plugin at each controller of a run. `overrides` replace whole sections of `SIMULATION_OPTIONS`. */
+export const warmStandbyPlugins =
   (overrides: object = {}) =>
   (settings: PlatformSettings): LoadedPlugin[] => [
     configurePlugin('warm_standby', servicePackage, { ...SIMULATION_OPTIONS, ...overrides }, settings),
   ];
 
-/** The plug-in's part of a controller's status, as far as tests read it. */
-export interface Shown {
+/** The plugin's part of a controller's status, as far as tests read it. */
+export interface StandbyStatus {
   readonly slices: readonly {
     readonly slice: string;
     readonly active: string;
@@ -56,10 +56,10 @@
   readonly rejectedMessages: Readonly<Record<string, number>>;
 }
 
-/** The plug-in's part of a running controller's status; fails if the plug-in could not produce it. */
-export function standbyStatusOf(node: SimulatedController): Shown {
+/** The plugin's part of a running controller's status; fails if the plugin could not produce it. */
+export function standbyStatusOf(node: SimulatedController): StandbyStatus {
   const { pluginHost } = node.controller!;
-  const status = pluginHost!.status()['warm_standby'] as Shown & { failed?: string };
+  const status = pluginHost!.status()['warm_standby'] as StandbyStatus & { failed?: string };
   assert.equal(status.failed, undefined);
   return status;
 }
@@ -78,14 +78,14 @@
     node.controller === null ? [] : standbyStatusOf(node).takeovers,
   );
 
-/** One of the plug-in's counts, summed over the controllers that run now. */
-export const totalCount = (simulation: Simulation, count: keyof Shown['counts']) =>
+/** One of the plugin's counts, summed over the controllers that run now. */
+export const totalCount = (simulation: Simulation, count: keyof StandbyStatus['counts']) =>
   [...simulation.controllers.values()].reduce(
     (sum, node) => sum + (node.controller === null ? 0 : standbyStatusOf(node).counts[count]),
     0,
   );
 
-/** The plug-in's reply to an operator's handover request. */
+/** The plugin's reply to an operator's handover request. */
 export interface HandoverReply {
   readonly status: number;
   readonly body: {
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/takeover.test.ts
@@ -9,7 +9,7 @@
 import { ViewCommittedState } from '../../../src/controller/committed-state.js';
 import { attempt, jobId, machineName, nodeName } from '../../../src/core/model/ids.js';
 import { LEASE_MS, faultScenario, runUntilBusy } from '../../../test/sim/fault-scenario.js';
-import { answered } from '../../../test/sim/pipeline-helpers.js';
+import { waitForAnswer } from '../../../test/sim/pipeline-helpers.js';
 import { advance, allControllers, currentLeader, holderOf } from '../../../test/sim/run-helpers.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
 import type { LogEntry } from '../src/log-entries.js';
@@ -17,7 +17,7 @@
 import {
   requestHandover,
   standbyStatusOf,
-  standby,
+  warmStandbyPlugins,
   firstStandbyOf,
   allFailovers,
   totalCount,
@@ -26,14 +26,14 @@
 const nonLeaders = (simulation: Simulation) =>
   allControllers(simulation).filter((node) => node !== currentLeader(simulation));
 const SEEDS = [3, 8];
-/** Defines one `faultScenario` test a seed, with the plug-in enabled at all controllers. */
+/** Defines one `faultScenario` test a seed, with the plugin enabled at all controllers. */
 const standbyScenario = (
   name: string,
   inject: (simulation: Simulation) => Promise<void>,
   options: object = {},
   seeds = SEEDS,
 ) => {
-  faultScenario(name, inject, seeds, standby(options));
+  faultScenario(name, inject, seeds, warmStandbyPlugins(options));
 };
 
 /** Lets time pass until the shard has another holder than `from`; returns the milliseconds, fails after `timeoutMs`. */
@@ -53,7 +53,7 @@
 
 describe('failover to a warm standby', () => {
   it('every shard has a warm standby in another zone, and no holder is suspected', async () => {
-    const simulation = await runUntilBusy(3, undefined, standby());
+    const simulation = await runUntilBusy(3, undefined, warmStandbyPlugins());
     for (const node of allControllers(simulation))
       for (const s of standbyStatusOf(node).slices) {
         if (s.role === 'holder') {
@@ -227,7 +227,7 @@
   );
 });
 
-describe('repeated failovers, and controllers without the plug-in', () => {
+describe('repeated failovers, and controllers without the plugin', () => {
   // Without the backoff each of the 12 pauses could move the shard away and back.
   standbyScenario(
     'the backoff spaces the failovers of a holder that is paused repeatedly',
@@ -253,9 +253,9 @@
     },
   );
 
-  // Controllers with and without the plug-in run side by side during an upgrade.
+  // Controllers with and without the plugin run side by side during an upgrade.
   standbyScenario(
-    'a controller without the plug-in follows no shard and does not disturb the other standbys',
+    'a controller without the plugin follows no shard and does not disturb the other standbys',
     async (simulation) => {
       const nodeWithoutPlugin = nonLeaders(simulation)[0]!;
       nodeWithoutPlugin.crash();
@@ -285,7 +285,7 @@
     async (simulation) => {
       for (const node of [nonLeaders(simulation)[0]!, currentLeader(simulation)]) {
         const to = firstStandbyOf(simulation, node.name);
-        const answer = await answered(simulation, requestHandover(node), HANDOVER_TIMEOUT_MS);
+        const answer = await waitForAnswer(simulation, requestHandover(node), HANDOVER_TIMEOUT_MS);
         assert.equal(answer.status, 200, JSON.stringify(answer.body));
         assert.equal(holderOf(simulation, node.name), to.name);
         await advance(simulation, 500);
@@ -312,17 +312,18 @@
       const [node] = nonLeaders(simulation);
       const standbyNode = firstStandbyOf(simulation, node!.name);
       standbyNode.unreachable.add('peers');
-      const answer = await answered(simulation, requestHandover(node!), HANDOVER_TIMEOUT_MS);
+      const answer = await waitForAnswer(simulation, requestHandover(node!), HANDOVER_TIMEOUT_MS);
       assert.equal(answer.status, 409);
       assert.equal(holderOf(simulation, node!.name), node!.name, 'the controller keeps its shard');
       assert.match(JSON.stringify(answer.body.refused), /does not (keep up|answer)/);
       standbyNode.unreachable.clear();
       assert.equal(
-        (await answered(simulation, requestHandover(node!, { to: 'nobody' }), HANDOVER_TIMEOUT_MS)).status,
+        (await waitForAnswer(simulation, requestHandover(node!, { to: 'nobody' }), HANDOVER_TIMEOUT_MS))
+          .status,
         400,
       );
       assert.equal(
-        (await answered(simulation, requestHandover(node!, { too: 1 }), HANDOVER_TIMEOUT_MS)).status,
+        (await waitForAnswer(simulation, requestHandover(node!, { too: 1 }), HANDOVER_TIMEOUT_MS)).status,
         400,
       );
     },
--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -66,7 +66,7 @@
   const watchTransport: Transport = {
     request: (_method, path) =>
       new Promise<HttpResponse>((resolve) => {
-        state.follow(path, (r) => {
+        state.watch(path, (r) => {
           time.at(Math.max(time.now + 5, watchBlockedUntil), () => {
             resolve(r);
           });
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -11,16 +11,16 @@
 import { jsonBytes } from '../src/core/records/stored-records.js';
 import {
   submitAccepted,
-  answered,
+  waitForAnswer,
   findAt,
   isCancelledUnstarted,
-  runQuietly,
-  submitRunning,
+  runWarmUp,
+  submitLongRunning,
   submitSmall,
   submitTo,
 } from './sim/pipeline-helpers.js';
 import { scheduleRollingUpgrade } from './sim/rolling-upgrade.js';
-import { advance, advanceUntil, job, restartAllControllers } from './sim/run-helpers.js';
+import { advance, advanceUntil, jobOf, restartAllControllers } from './sim/run-helpers.js';
 import { GROWN, SMALL, Simulation } from './sim/simulation.js';
 
 const LOW_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 150 };
@@ -45,7 +45,7 @@
 
 describe('submission of dependent jobs', () => {
   it('a controller whose view lags accepts a dependency on a job that another controller has just accepted', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     // Decided on the lagging view alone, the dependency would be refused as unknown.
     for (let i = 0; i < 6; i++) {
       for (const node of simulation.controllers.values()) node.watchLagMs = 0;
@@ -64,7 +64,7 @@
   });
 
   it('every controller answers a retried submission as known, whatever its dependencies and their states', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     const short = await submitAccepted(simulation, []);
     const cancelled = await submitAccepted(simulation, [], 30);
     const fields = { nameId: 'wk-dependent', awaits: [short, cancelled] };
@@ -80,7 +80,7 @@
     simulation.cancel(cancelled);
     await advanceUntil(
       simulation,
-      () => job(simulation, cancelled).observedFinalState === 'cancelled',
+      () => jobOf(simulation, cancelled).observedFinalState === 'cancelled',
       20_000,
     );
     await assertKnown('cancelled');
@@ -92,7 +92,7 @@
 
 describe('dependent jobs under lower limits of the state service', () => {
   it('a job accepted under higher limits of the state service is still known under lower ones', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     // With this list of machine types the record is larger than the lower limit on values.
     const flavors = ['m', ...[...Array(40).keys()].map((i) => `another-type-with-a-rather-long-name-${i}`)];
     const ids = ['wk-large1', 'wk-large2'];
@@ -118,8 +118,8 @@
 describe('dependencies that end or are cancelled', () => {
   for (const seed of [3, 11])
     it(`a dependent ends as its dependency does, even if that ends during the submission, seed ${seed}`, async () => {
-      const simulation = await runQuietly(seed);
-      simulation.isSmooth = false;
+      const simulation = await runWarmUp(seed);
+      simulation.isNetworkReliable = false;
       simulation.cancelAtEndProbability = 0.4;
       const pairs: [string, string][] = [];
       for (let i = 0; i < 25; i++) {
@@ -132,7 +132,7 @@
         pairs.push([first, submitSmall(simulation, [first])]);
         await advance(simulation, simulation.time.int(0, 300));
       }
-      const isFinal = (id: string) => job(simulation, id).observedFinalState !== null;
+      const isFinal = (id: string) => jobOf(simulation, id).observedFinalState !== null;
       await advanceUntil(
         simulation,
         () => pairs.every(([first, next]) => isFinal(first) && isFinal(next)),
@@ -140,17 +140,17 @@
       );
       for (const [first, next] of pairs)
         assert.equal(
-          job(simulation, next).observedFinalState,
-          job(simulation, first).observedFinalState,
+          jobOf(simulation, next).observedFinalState,
+          jobOf(simulation, first).observedFinalState,
           `${next} after ${first}`,
         );
-      const finalStates = new Set(pairs.map(([first]) => job(simulation, first).observedFinalState));
+      const finalStates = new Set(pairs.map(([first]) => jobOf(simulation, first).observedFinalState));
       assert.equal(finalStates.size, 2, 'some dependencies were done and others cancelled');
     });
 
   it('a dependent is cancelled with one of its dependencies while another still runs', async () => {
-    const simulation = await runQuietly(4);
-    const long = await submitRunning(simulation, 60_000, { tenant: 'red' });
+    const simulation = await runWarmUp(4);
+    const long = await submitLongRunning(simulation, 60_000, { tenant: 'red' });
     const cancelled = await submitAccepted(simulation, [], 30, { tenant: 'red' });
     // Another controller schedules this team and has to read the final state of the cancelled job.
     const dependent = await submitAccepted(simulation, [long, cancelled], 1, { tenant: 'blue' });
@@ -160,28 +160,28 @@
     await advanceUntil(simulation, () => !stored(dependent) && !stored(last), 12_000);
     assert.ok(
       isCancelledUnstarted(simulation, cancelled) ||
-        job(simulation, cancelled).observedFinalState === 'cancelled',
+        jobOf(simulation, cancelled).observedFinalState === 'cancelled',
     );
-    assert.equal(job(simulation, long).observedFinalState, null, 'the other dependency still runs');
+    assert.equal(jobOf(simulation, long).observedFinalState, null, 'the other dependency still runs');
     assert.ok(stored(long));
   });
 });
 
 describe('jobs with hundreds of dependencies', () => {
   it('the record of a job with hundreds of dependencies stays within the lower limit on values', async () => {
-    const simulation = await runQuietly(4, GROWN);
+    const simulation = await runWarmUp(4, GROWN);
     restartWithLowLimits(simulation, { ...LOW_LIMITS, write_rps: GROWN.writeRps });
     await advance(simulation, 4000);
     const many = [...Array(300).keys()].map(() =>
       submitSmall(simulation, [], 1, { vcpus: 0.25, memoryGb: 0.25 }),
     );
     // Records omit finished dependencies: the jobs that depend on this long one stay unfinished while it runs.
-    const first = await submitRunning(simulation, 100_000);
-    await advanceUntil(simulation, () => many.every((id) => job(simulation, id).accepted), 60_000);
+    const first = await submitLongRunning(simulation, 100_000);
+    await advanceUntil(simulation, () => many.every((id) => jobOf(simulation, id).accepted), 60_000);
     const waiting = [...Array(300).keys()].map(() =>
       submitSmall(simulation, [first], 1, { vcpus: 0.25, memoryGb: 0.25 }),
     );
-    await advanceUntil(simulation, () => waiting.every((id) => job(simulation, id).accepted), 90_000);
+    await advanceUntil(simulation, () => waiting.every((id) => jobOf(simulation, id).accepted), 90_000);
     const last = await submitAccepted(simulation, [...many, ...waiting, first], 1, {}, 20_000);
     const record = simulation.state.rows.get(key.job(jobId(last)))!.value;
     assert.ok(jsonBytes(record) <= 2048, `${jsonBytes(record)} bytes`);
@@ -191,24 +191,24 @@
       const needs = node.controller!.context.view.jobs.get(jobId(last))?.spec.needs ?? [];
       assert.ok(needs.length > 300, `${needs.length} dependencies in the view`);
     }
-    await advanceUntil(simulation, () => job(simulation, last).observedFinalState === 'done', 240_000);
+    await advanceUntil(simulation, () => jobOf(simulation, last).observedFinalState === 'done', 240_000);
   });
 });
 
 describe('a restart with pending dependents', () => {
   it('a restart with hundreds of pending dependents causes few reads of final states and changes no job', async () => {
-    const simulation = await runQuietly(4, GROWN);
+    const simulation = await runWarmUp(4, GROWN);
     const dependencies: string[] = [];
     for (let i = 0; i < 20; i++)
       dependencies.push(await submitAccepted(simulation, [], 1, { vcpus: 0.25 }, 10_000));
-    const long = await submitRunning(simulation, 200_000);
+    const long = await submitLongRunning(simulation, 200_000);
     const waiting = [...Array(300).keys()].map((i) =>
       submitSmall(simulation, [long, dependencies[i % dependencies.length]!]),
     );
-    await advanceUntil(simulation, () => waiting.every((id) => job(simulation, id).accepted), 60_000);
+    await advanceUntil(simulation, () => waiting.every((id) => jobOf(simulation, id).accepted), 60_000);
     await advanceUntil(
       simulation,
-      () => dependencies.every((id) => job(simulation, id).observedFinalState === 'done'),
+      () => dependencies.every((id) => jobOf(simulation, id).observedFinalState === 'done'),
       60_000,
     );
     const isUnfinished = (id: string) => simulation.state.rows.has(key.job(jobId(id)));
@@ -223,14 +223,14 @@
     );
     for (const count of reads) assert.ok(count <= 60, `${count} final states read`);
     assert.equal(waiting.filter(isUnfinished).length, 300, 'all dependents are still pending');
-    assert.equal(waiting.filter((id) => job(simulation, id).doneTasks.size > 0).length, 0);
+    assert.equal(waiting.filter((id) => jobOf(simulation, id).doneTasks.size > 0).length, 0);
   });
 });
 
 describe('status of dependents', () => {
   it('every controller shows inherited urgency and the cancelled dependency of a job, also after a restart', async () => {
-    const simulation = await runQuietly(4);
-    const first = await submitRunning(simulation, 60_000, { tier: 'low' });
+    const simulation = await runWarmUp(4);
+    const first = await submitLongRunning(simulation, 60_000, { tier: 'low' });
     const middle = await submitAccepted(simulation, [first], 1, { tier: 'low' });
     const last = await submitAccepted(simulation, [middle], 1, { tier: 'urgent', dueS: 90, expectedS: 10 });
     for (const node of controllerNames(simulation)) {
@@ -246,7 +246,7 @@
       'a job does not inherit its own urgency',
     );
     simulation.cancel(first);
-    await advanceUntil(simulation, () => job(simulation, first).observedFinalState === 'cancelled', 20_000);
+    await advanceUntil(simulation, () => jobOf(simulation, first).observedFinalState === 'cancelled', 20_000);
     const late = await submitAccepted(simulation, [last]);
     const assertShown = async (when: string) => {
       for (const node of controllerNames(simulation))
@@ -274,8 +274,8 @@
 
 describe('scheduling of pending dependents', () => {
   it('pending dependents take no resources and no quota, and no machine is rented for them', async () => {
-    const simulation = await runQuietly(4);
-    const dependency = await submitRunning(simulation, 60_000);
+    const simulation = await runWarmUp(4);
+    const dependency = await submitLongRunning(simulation, 60_000);
     for (let i = 0; i < 6; i++)
       await submitAccepted(simulation, [dependency], 40, {
         tenant: 'red',
@@ -289,7 +289,7 @@
     assert.ok(startable().every((j) => j.spec.needs === undefined));
     // Of the same team and of lower priority, so that it is behind them in the order of jobs; it starts at once.
     const small = await submitAccepted(simulation, [], 1, { tenant: 'red', cards: 1, tier: 'low' });
-    await advanceUntil(simulation, () => job(simulation, small).observedFinalState === 'done', 30_000);
+    await advanceUntil(simulation, () => jobOf(simulation, small).observedFinalState === 'done', 30_000);
     for (const node of simulation.controllers.values())
       for (const [id, j] of node.controller!.context.view.jobs)
         if (j.spec.needs !== undefined)
@@ -302,18 +302,18 @@
     // The previous version writes final states without their time.
     const simulation = new Simulation({ seed: 6, size: SMALL, startsWithPreviousVersion: true });
     simulation.duplicateHeartbeatProbability = 0;
-    simulation.isSmooth = true;
+    simulation.isNetworkReliable = true;
     await simulation.time.runUntil(9000);
     const done = await submitAccepted(simulation, []);
     const cancelled = await submitAccepted(simulation, [], 20);
     simulation.cancel(cancelled);
-    const finalState = (id: string) => job(simulation, id).observedFinalState;
+    const finalState = (id: string) => jobOf(simulation, id).observedFinalState;
     await advanceUntil(
       simulation,
       () => finalState(done) === 'done' && finalState(cancelled) === 'cancelled',
       40_000,
     );
-    const open = await submitRunning(simulation, 25_000);
+    const open = await submitLongRunning(simulation, 25_000);
     scheduleRollingUpgrade(simulation, 0);
     await advanceUntil(
       simulation,
@@ -327,14 +327,14 @@
     const after = await submitAccepted(simulation, [done, open], 1, {}, 6000);
     const dependent = await submitAccepted(simulation, [done, cancelled], 1, {}, 6000);
     await advanceUntil(simulation, () => isCancelledUnstarted(simulation, dependent), 6000);
-    await advanceUntil(simulation, () => job(simulation, after).observedFinalState === 'done', 90_000);
-    assert.equal(job(simulation, open).observedFinalState, 'done');
+    await advanceUntil(simulation, () => jobOf(simulation, after).observedFinalState === 'done', 90_000);
+    assert.equal(jobOf(simulation, open).observedFinalState, 'done');
   });
 });
 
 describe('unknown dependencies', () => {
   it('a job with an unknown dependency is refused, and no controller finds it afterwards', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     for (const node of controllerNames(simulation)) {
       const result = await submitTo(simulation, node, { nameId: 'wk-unknown-need', awaits: ['wk-never'] });
       assert.deepEqual(result, { kind: 'impossible', why: 'unknown_need' });
@@ -344,7 +344,7 @@
     simulation.state.setOutage(true);
     await advance(simulation, 3000);
     const before = simulation.time.now;
-    const later = await answered(
+    const later = await waitForAnswer(
       simulation,
       submitTo(simulation, 'c-1', { nameId: 'wk-unknown-need', awaits: ['wk-never'] }).catch(() => ({
         kind: 'later',
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -44,7 +44,7 @@
 describe('a fleet of 4,000 machines', () => {
   it('controllers serve 4,000 machines through the start, a crash and a burst of jobs', async () => {
     const simulation = new Simulation({ seed: 5, size: HUGE });
-    simulation.isSmooth = true;
+    simulation.isNetworkReliable = true;
     simulation.duplicateHeartbeatProbability = 0;
     // A task fills a machine, so that each machine has one.
     const fields = { vcpus: 14, cards: 0, tier: 'standard', vault: null, samePlace: false };
@@ -83,7 +83,7 @@
     assert.equal(simulation.cluster.tasksLostToLeaseExpiry, 0, 'tasks killed by an expired lease');
 
     // A burst of small tasks runs on the resources that the large tasks leave.
-    const starts = simulation.cluster.starts;
+    const starts = simulation.cluster.tasksStarted;
     for (const tenant of teams)
       for (let i = 0; i < 10; i++)
         simulation.submit({
@@ -93,7 +93,7 @@
           isNeverCancelled: true,
           fields: { ...fields, tenant, vcpus: 1, memoryGb: 1 },
         });
-    await runUntil(simulation, 40_000, 'the burst', () => simulation.cluster.starts - starts >= 1200);
+    await runUntil(simulation, 40_000, 'the burst', () => simulation.cluster.tasksStarted - starts >= 1200);
     assert.equal(simulation.state.oversizedTransactions, 0, 'transactions above a limit');
     for (const [k, r] of simulation.state.rows)
       assert.ok(jsonBytes(r.value) <= simulation.state.valueBytes, k);
--- a/test/overlapping-faults.test.ts
+++ b/test/overlapping-faults.test.ts
@@ -74,7 +74,7 @@
       const leaderProcesses = new Set<string>();
       for (let i = 0; i < 10; i++) {
         const node = currentLeader(simulation);
-        leaderProcesses.add(`${node.name} ${node.starts}`);
+        leaderProcesses.add(`${node.name} ${node.processStarts}`);
         if (i === 5) simulation.state.setOutage(true);
         node.crash();
         await advance(simulation, i % 2 === 0 ? 100 : 3000);
@@ -150,7 +150,7 @@
     simulation.duplicateHeartbeatProbability = 1;
     const old = currentLeader(simulation);
     await advance(simulation, 3000);
-    for (const node of allControllers(simulation)) if (node === old) node.unreachable.add('workers');
+    for (const node of allControllers(simulation)) if (node === old) node.unreachable.add('agents');
     cancelRunningJobs(simulation, 3);
     old.crash();
     await advance(simulation, 6000);
@@ -342,7 +342,7 @@
   );
 
   faultScenario('jobs of all priorities finish under overload over a slow network', async (simulation) => {
-    simulation.isSmooth = false;
+    simulation.isNetworkReliable = false;
     for (let k = 0; k < 16; k++)
       simulation.submit({
         kind: k % 4 === 0 ? 'daemon' : 'sweep',
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -14,13 +14,13 @@
 import {
   submitAccepted,
   isCancelledUnstarted,
-  runQuietly,
-  submitRunning,
+  runWarmUp,
+  submitLongRunning,
   submitSmall,
 } from './sim/pipeline-helpers.js';
 import { scheduleRollingUpgrade } from './sim/rolling-upgrade.js';
-import { advance, advanceUntil, job, restartAllControllers } from './sim/run-helpers.js';
-import { GROWN, LIMITS, SMALL, Simulation } from './sim/simulation.js';
+import { advance, advanceUntil, jobOf, restartAllControllers } from './sim/run-helpers.js';
+import { GROWN, AGENT_TIMINGS, SMALL, Simulation } from './sim/simulation.js';
 
 /** Guards against dependents that run or wait for ever because a fault interrupts the cancellation of their dependency. */
 describe('cancellation of a dependency', () => {
@@ -41,29 +41,32 @@
       'during an outage longer than the cancellation bound',
       (simulation: Simulation) => {
         simulation.state.setOutage(true);
-        simulation.time.after(LIMITS.cancelS * 1000 * 12, () => {
+        simulation.time.after(AGENT_TIMINGS.cancelS * 1000 * 12, () => {
           simulation.state.setOutage(false);
         });
       },
     ],
   ] as const)
     it(`cancelling a job cancels its dependents, at any depth and in any team, ${name}`, async () => {
-      const simulation = await runQuietly(4);
+      const simulation = await runWarmUp(4);
       const head = submitSmall(simulation, [], 30);
-      await advanceUntil(simulation, () => job(simulation, head).accepted, 2000);
+      await advanceUntil(simulation, () => jobOf(simulation, head).accepted, 2000);
       const chain = [head];
       for (const tenant of ['red', 'blue', 'green', 'red', 'blue']) {
         chain.push(submitSmall(simulation, [chain.at(-1)!], 2, { tenant }));
-        await advanceUntil(simulation, () => job(simulation, chain.at(-1)!).accepted, 2000);
+        await advanceUntil(simulation, () => jobOf(simulation, chain.at(-1)!).accepted, 2000);
       }
       simulation.cancel(head);
-      await advanceUntil(simulation, () => job(simulation, head).observedCancelledAt !== null, 8000);
+      await advanceUntil(simulation, () => jobOf(simulation, head).observedCancelledAt !== null, 8000);
       injectFault(simulation);
       // A job that is submitted with a cancelled dependency is accepted, and cancelled with it.
       chain.push(submitSmall(simulation, [chain.at(-1)!]));
       await advance(simulation, 15_000);
       for (const id of chain.slice(1))
-        assert.ok(isCancelledUnstarted(simulation, id), `${id} is ${job(simulation, id).observedFinalState}`);
+        assert.ok(
+          isCancelledUnstarted(simulation, id),
+          `${id} is ${jobOf(simulation, id).observedFinalState}`,
+        );
     });
 });
 
@@ -73,47 +76,47 @@
  */
 describe('cancellation of a stage', () => {
   it('cancelling a stage cancels the stages after it, and those before it go on', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     const first = submitSmall(simulation, [], 3);
-    await advanceUntil(simulation, () => job(simulation, first).accepted, 2000);
+    await advanceUntil(simulation, () => jobOf(simulation, first).accepted, 2000);
     const middle = submitSmall(simulation, [first]);
     const beside = submitSmall(simulation, [first]);
     await advanceUntil(
       simulation,
-      () => job(simulation, middle).accepted && job(simulation, beside).accepted,
+      () => jobOf(simulation, middle).accepted && jobOf(simulation, beside).accepted,
       2000,
     );
     const last = submitSmall(simulation, [middle, beside]);
-    await advanceUntil(simulation, () => job(simulation, last).accepted, 2000);
+    await advanceUntil(simulation, () => jobOf(simulation, last).accepted, 2000);
     simulation.cancel(middle);
     await advanceUntil(
       simulation,
-      () => [first, middle, beside, last].every((id) => job(simulation, id).observedFinalState !== null),
+      () => [first, middle, beside, last].every((id) => jobOf(simulation, id).observedFinalState !== null),
       60_000,
     );
     assert.deepEqual(
-      [first, middle, beside, last].map((id) => job(simulation, id).observedFinalState),
+      [first, middle, beside, last].map((id) => jobOf(simulation, id).observedFinalState),
       ['done', 'cancelled', 'done', 'cancelled'],
     );
   });
 
   it('dependents run when a cancellation is answered with done', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     simulation.cancelAtEndProbability = 1;
     const ids: string[] = [];
     for (let i = 0; i < 8; i++) {
       const first = submitSmall(simulation, []);
-      await advanceUntil(simulation, () => job(simulation, first).accepted, 2000);
+      await advanceUntil(simulation, () => jobOf(simulation, first).accepted, 2000);
       ids.push(first, submitSmall(simulation, [first]));
     }
     await advanceUntil(
       simulation,
-      () => ids.every((id) => job(simulation, id).observedFinalState !== null),
+      () => ids.every((id) => jobOf(simulation, id).observedFinalState !== null),
       60_000,
     );
     let finished = 0;
     for (let i = 0; i < ids.length; i += 2) {
-      if (job(simulation, ids[i]!).observedFinalState === 'cancelled')
+      if (jobOf(simulation, ids[i]!).observedFinalState === 'cancelled')
         assert.ok(isCancelledUnstarted(simulation, ids[i + 1]!));
       else finished++;
     }
@@ -124,7 +127,7 @@
 /** Guards against accepted jobs that can never run, since they depend on a job that does not exist or does not end. */
 describe('validation of dependencies', () => {
   it('a job may depend on accepted jobs only, not on itself or services; finished dependencies are dropped', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     const service = simulation.submit({
       kind: 'daemon',
       isNeverCancelled: true,
@@ -134,7 +137,7 @@
     const finished = submitSmall(simulation, []);
     await advanceUntil(
       simulation,
-      () => job(simulation, finished).observedFinalState !== null && job(simulation, service).accepted,
+      () => jobOf(simulation, finished).observedFinalState !== null && jobOf(simulation, service).accepted,
       40_000,
     );
     const { controller } = simulation.controllers.get('c-1')!;
@@ -145,7 +148,7 @@
       assert.equal(result.kind, 'impossible', awaits.join());
     }
     const next = submitSmall(simulation, [finished], 30);
-    await advanceUntil(simulation, () => job(simulation, next).accepted, 3000);
+    await advanceUntil(simulation, () => jobOf(simulation, next).accepted, 3000);
     const stored = simulation.state.rows.get(key.job(jobId(next)))?.value as
       { spec: { needs?: unknown } } | undefined;
     assert.equal(stored?.spec.needs, undefined, 'a finished dependency was stored');
@@ -167,19 +170,19 @@
 describe('scheduling of pipelines', () => {
   it('hundreds of dependents run when a job is done, and are cancelled when it is cancelled', async () => {
     for (const isCancelled of [false, true]) {
-      const simulation = await runQuietly(4, GROWN);
+      const simulation = await runWarmUp(4, GROWN);
       // The job to be cancelled must still run when all dependents are accepted.
       const head = isCancelled
-        ? await submitRunning(simulation, 120_000)
+        ? await submitLongRunning(simulation, 120_000)
         : await submitAccepted(simulation, [], 60, {}, 5000);
       const dependents = [...Array(250).keys()].map(() =>
         submitSmall(simulation, [head], 1, { tier: 'production' }),
       );
-      await advanceUntil(simulation, () => dependents.every((id) => job(simulation, id).accepted), 60_000);
+      await advanceUntil(simulation, () => dependents.every((id) => jobOf(simulation, id).accepted), 60_000);
       if (isCancelled) simulation.cancel(head);
-      await advanceUntil(simulation, () => job(simulation, head).observedFinalState !== null, 60_000);
+      await advanceUntil(simulation, () => jobOf(simulation, head).observedFinalState !== null, 60_000);
       if (isCancelled) {
-        assert.equal(job(simulation, head).observedFinalState, 'cancelled');
+        assert.equal(jobOf(simulation, head).observedFinalState, 'cancelled');
         // The cancellation of dependents is reported at once, and recorded in batches.
         await advanceUntil(
           simulation,
@@ -194,14 +197,14 @@
       } else
         await advanceUntil(
           simulation,
-          () => dependents.every((id) => job(simulation, id).observedFinalState === 'done'),
+          () => dependents.every((id) => jobOf(simulation, id).observedFinalState === 'done'),
           150_000,
         );
     }
   });
 
   it('all stages of a pipeline inherit the priority of its last stage', async () => {
-    const simulation = await runQuietly(4);
+    const simulation = await runWarmUp(4);
     // More work of the standard priority than the team may run at once.
     for (let i = 0; i < 12; i++)
       simulation.submit({
@@ -211,9 +214,9 @@
       });
     await advance(simulation, 2000);
     const first = submitSmall(simulation, [], 2, { tenant: 'blue', cards: 1, tier: 'low' });
-    await advanceUntil(simulation, () => job(simulation, first).accepted, 2000);
+    await advanceUntil(simulation, () => jobOf(simulation, first).accepted, 2000);
     const last = submitSmall(simulation, [first], 1, { tenant: 'blue', cards: 1, tier: 'urgent', dueS: 30 });
-    await advanceUntil(simulation, () => job(simulation, last).observedFinalState === 'done', 45_000);
+    await advanceUntil(simulation, () => jobOf(simulation, last).observedFinalState === 'done', 45_000);
   });
 });
 
@@ -225,7 +228,7 @@
   it('records stay below the announced lower limit, and a machine still runs many small tasks', async () => {
     const simulation = new Simulation({ seed: 5 });
     simulation.duplicateHeartbeatProbability = 0;
-    simulation.isSmooth = true;
+    simulation.isNetworkReliable = true;
     simulation.upcomingLimits = { value_kb: 2, txn_ops: 4, write_rps: 150 };
     restartAllControllers(simulation);
     await simulation.time.runUntil(10_000);
@@ -244,8 +247,8 @@
   });
 
   it('records above the lower limit are left alone or shrunk, and block nothing', async () => {
-    const simulation = await runQuietly(6, SMALL, 30_000);
-    const before = simulation.cluster.starts;
+    const simulation = await runWarmUp(6, SMALL, 30_000);
+    const before = simulation.cluster.tasksStarted;
     // Records as the previous version left them: larger than two KiB because of their images and allocations.
     let enlarged = 0;
     for (const [k, row] of simulation.state.rows) {
@@ -261,7 +264,7 @@
     restartAllControllers(simulation);
     await advance(simulation, 30_000);
     assert.equal(simulation.state.oversizedTransactions, 0);
-    assert.ok(simulation.cluster.starts > before + 10, 'too few tasks start');
+    assert.ok(simulation.cluster.tasksStarted > before + 10, 'too few tasks start');
   });
 });
 
@@ -283,7 +286,7 @@
       const ids = simulation.users.submitPipeline(2, false);
       await advanceUntil(
         simulation,
-        () => ids.length >= 4 && ids.every((id) => job(simulation, id).observedFinalState === 'done'),
+        () => ids.length >= 4 && ids.every((id) => jobOf(simulation, id).observedFinalState === 'done'),
         70_000,
       );
       assert.equal(simulation.state.oversizedTransactions, 0);
--- a/test/sim.test.ts
+++ b/test/sim.test.ts
@@ -42,7 +42,10 @@
       'transactions above a limit of the state service were sent',
     );
     // A run with few tasks would show nothing. Long after the last fault, every job must have finished.
-    assert.ok(simulation.cluster.starts > 30, `only ${simulation.cluster.starts} tasks were started`);
+    assert.ok(
+      simulation.cluster.tasksStarted > 30,
+      `only ${simulation.cluster.tasksStarted} tasks were started`,
+    );
     const unfinishedJobs = (includesDependents: boolean) =>
       [...simulation.cluster.submitted]
         .filter(([, j]) => j.kind !== 'daemon' && j.observedFinalState === null && !j.alwaysFails)
@@ -104,7 +107,10 @@
 describe('a controller that loses its dependencies', () => {
   it('a controller without state service and peers redirects its agents before their leases expire', async () => {
     const simulation = await runUntilSuitable((s) => busyAgents(s).length >= 4);
-    const before = { starts: simulation.cluster.starts, lost: simulation.cluster.tasksLostToLeaseExpiry };
+    const before = {
+      starts: simulation.cluster.tasksStarted,
+      lost: simulation.cluster.tasksLostToLeaseExpiry,
+    };
     for (const node of simulation.controllers.values()) {
       node.unreachable.add('state').add('peers');
       await simulation.time.runUntil(simulation.time.now + 12_000);
@@ -125,7 +131,7 @@
       before.lost,
       'tasks were killed by an expired lease',
     );
-    assert.ok(simulation.cluster.starts > before.starts + 10);
+    assert.ok(simulation.cluster.tasksStarted > before.starts + 10);
   });
 
   it('controllers keep their agents and stay healthy during an outage of the state service', async () => {
@@ -174,7 +180,7 @@
     for (const agent of simulation.cluster.liveAgents()) agent.partitionedFrom.clear();
     await simulation.time.runUntil(simulation.time.now + 10_000);
     assert.equal(simulation.cluster.tasksLostToLeaseExpiry, 0);
-    assert.equal(simulation.cluster.cloud.busyMachinesReturned, 0);
+    assert.equal(simulation.cluster.cloud.busyMachinesReleased, 0);
   });
 });
 
--- a/test/sim/agent-network.ts
+++ b/test/sim/agent-network.ts
@@ -5,7 +5,7 @@
 import type { HttpResponse } from '../../src/io/http-client.js';
 import type { SimulatedAgent } from './simulated-agent.js';
 import type { Simulation } from './simulation.js';
-import { LIMITS, type Json } from './sizes.js';
+import { AGENT_TIMINGS, type Json } from './sizes.js';
 
 /** Interval at which a message that a partition holds back is sent again. */
 export const PARTITION_RETRY_MS = 900;
@@ -84,7 +84,7 @@
 
   private isReachable(agent: SimulatedAgent, node: string): boolean {
     return (
-      !this.simulation.controllers.get(node)!.unreachable.has('workers') && !this.isPartitioned(agent, node)
+      !this.simulation.controllers.get(node)!.unreachable.has('agents') && !this.isPartitioned(agent, node)
     );
   }
 
@@ -94,7 +94,7 @@
    */
   private deliverDuplicateLater(node: string, body: Json): void {
     const { time } = this.simulation;
-    time.after(time.int(1000, LIMITS.leaseS * 1000 * MAX_DUPLICATE_AGE_LEASES), () => {
+    time.after(time.int(1000, AGENT_TIMINGS.leaseS * 1000 * MAX_DUPLICATE_AGE_LEASES), () => {
       const heartbeat = heartbeatFromWire(structuredClone(body));
       assert.ok(heartbeat !== null);
       const { controller, clock } = this.simulation.controllers.get(node)!;
@@ -103,8 +103,8 @@
   }
 
   private delayMs(): number {
-    const { time, isSmooth } = this.simulation;
-    if (!isSmooth && time.happens(SLOW_MESSAGE_PROBABILITY))
+    const { time, isNetworkReliable } = this.simulation;
+    if (!isNetworkReliable && time.happens(SLOW_MESSAGE_PROBABILITY))
       return time.int(SLOW_DELAY_MS.min, SLOW_DELAY_MS.max);
     return time.int(DELAY_MS.min, DELAY_MS.max);
   }
--- a/test/sim/controller-connections.ts
+++ b/test/sim/controller-connections.ts
@@ -41,7 +41,7 @@
     const { time } = this.simulation;
     return {
       clock: this.clock,
-      identity: `${this.node.name}-${this.node.starts}`,
+      identity: `${this.node.name}-${this.node.processStarts}`,
       random: () => time.real(0, 1),
       state: { request: (...request) => this.requestState(...request) },
       watch: { request: (...request) => this.watchState(...request) },
@@ -70,7 +70,7 @@
     return this.withTimeout(timeoutMs, (respond) => {
       this.simulation.observe(this.node.name, 'state watch', { method, path, body });
       const answer = () => {
-        state.follow(path, (response) => {
+        state.watch(path, (response) => {
           this.respondFromState(this.node.watchLagMs, respond, response);
         });
       };
@@ -131,7 +131,7 @@
     const arrive = () => {
       this.whenStateReachable(answer);
     };
-    const isUnreliable = !simulation.isSmooth && time.now < UNRELIABLE_UNTIL_MS;
+    const isUnreliable = !simulation.isNetworkReliable && time.now < UNRELIABLE_UNTIL_MS;
     if (isUnreliable && time.happens(LOSS_PROBABILITY)) return;
     if (hasChanges(body) && time.happens(simulation.lateWriteProbability)) {
       // The answer is lost, and the transaction is applied late, possibly after newer ones of the same process.
@@ -187,7 +187,7 @@
       const agent = cluster.machines.get(address)?.agent;
       if (agent == null || agent.isTerminated) return;
       const isHeldBack =
-        this.node.unreachable.has('workers') ||
+        this.node.unreachable.has('agents') ||
         network.isPartitioned(agent, this.node.name) ||
         agent.isInboundPartitioned;
       if (isHeldBack) time.after(PARTITION_RETRY_MS, arrive);
--- a/test/sim/digest.ts
+++ b/test/sim/digest.ts
@@ -1,6 +1,6 @@
 /** Digests of all messages that controllers send in seeded runs. Equal digests show that their behaviour is equal. */
 import { createHash, type Hash } from 'node:crypto';
-import { standby } from '../../packages/warm-standby/test/standbys.js';
+import { warmStandbyPlugins } from '../../packages/warm-standby/test/standbys.js';
 import { injectFaults } from './faults.js';
 import { scheduleRollingUpgrade } from './rolling-upgrade.js';
 import { Simulation } from './simulation.js';
@@ -63,7 +63,7 @@
  */
 export async function digestRun(spec: RunSpec, onMessage?: (line: string) => void): Promise<RunDigest> {
   const isUpgrade = spec.kind !== 'standby' && spec.seed % UPGRADE_EVERY === 0;
-  const plugins = spec.kind === 'standby' ? standby() : undefined;
+  const plugins = spec.kind === 'standby' ? warmStandbyPlugins() : undefined;
   const hash: Hash = createHash('sha256');
   let messages = 0;
   const simulation = new Simulation({
--- a/test/sim/fault-scenario.ts
+++ b/test/sim/fault-scenario.ts
@@ -3,10 +3,16 @@
 import { it } from 'node:test';
 import { advance } from './run-helpers.js';
 import type { SimulatedController } from './simulated-controller.js';
-import { LIMITS, SMALL, runWithoutFaults, type Simulation, type SimulationSize } from './simulation.js';
+import {
+  AGENT_TIMINGS,
+  SMALL,
+  runWithoutFaults,
+  type Simulation,
+  type SimulationSize,
+} from './simulation.js';
 
 /** Length of an agent's lease in seeded runs. An agent whose lease expires kills its tasks. */
-export const LEASE_MS = LIMITS.leaseS * 1000;
+export const LEASE_MS = AGENT_TIMINGS.leaseS * 1000;
 
 /** Number of jobs that must be running when a scenario begins. */
 const MIN_RUNNING_JOBS = 3;
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -32,7 +32,7 @@
     partitionController(simulation, node, simulation.time.int(500, 12_000), ['state']);
   },
   ({ simulation, node }) => {
-    partitionController(simulation, node, simulation.time.int(500, 12_000), ['workers']);
+    partitionController(simulation, node, simulation.time.int(500, 12_000), ['agents']);
   },
   ({ simulation, node }) => {
     setTemporarily(simulation, simulation.time.int(500, 9000), node, {
--- a/test/sim/observed-states.ts
+++ b/test/sim/observed-states.ts
@@ -28,10 +28,10 @@
    * dependency, was reported. A request sent before that report is not checked, since it may have been evaluated earlier.
    */
   private checkNotOrphaned(id: string, state: string, askedAt: number): void {
-    const { time, limits } = this.cluster;
+    const { time, agentTimings } = this.cluster;
     const cancelledFrom = this.cluster.cancelledFrom(id);
     assert.ok(
-      askedAt < cancelledFrom || time.now - cancelledFrom <= limits.cancelS * 1000,
+      askedAt < cancelledFrom || time.now - cancelledFrom <= agentTimings.cancelS * 1000,
       `orphaned: ${id} is ${state}, but it or a dependency was reported cancelled at ${cancelledFrom} ms`,
     );
   }
--- a/test/sim/pipeline-helpers.ts
+++ b/test/sim/pipeline-helpers.ts
@@ -3,17 +3,17 @@
 import { jobId } from '../../src/core/model/ids.js';
 import { jobFromWire } from '../../src/io/users/job-messages.js';
 import { submission } from '../samples.js';
-import { advance, advanceUntil, job } from './run-helpers.js';
+import { advance, advanceUntil, jobOf } from './run-helpers.js';
 import { SMALL, runWithoutFaults, type Simulation, type SimulationSize } from './simulation.js';
 import type { Json } from './sizes.js';
 import { newJob } from './submitted-job.js';
 
 const SMALL_TASK = { cards: 0, vcpus: 1, memoryGb: 1 };
-/** Interval at which `answered` checks whether the request has ended. */
+/** Interval at which `waitForAnswer` checks whether the request has ended. */
 const ANSWER_POLL_MS = 5;
 
 /** Runs a simulation without faults up to the given simulated time, 15 s by default. */
-export function runQuietly(seed: number, size: SimulationSize = SMALL, ms = 15_000): Promise<Simulation> {
+export function runWarmUp(seed: number, size: SimulationSize = SMALL, ms = 15_000): Promise<Simulation> {
   return runWithoutFaults(seed, size, ms);
 }
 
@@ -34,7 +34,7 @@
 }
 
 /** Submits an array job of two tasks, the second of which runs `runMs` longer than the first; waits until it is accepted. */
-export async function submitRunning(
+export async function submitLongRunning(
   simulation: Simulation,
   runMs: number,
   fields: Json = {},
@@ -46,7 +46,7 @@
     staggerMs: runMs,
     fields: { ...SMALL_TASK, loaner: true, ...fields },
   });
-  await advanceUntil(simulation, () => job(simulation, id).accepted, 60_000);
+  await advanceUntil(simulation, () => jobOf(simulation, id).accepted, 60_000);
   return id;
 }
 
@@ -59,13 +59,13 @@
   timeoutMs = 3000,
 ): Promise<string> {
   const id = submitSmall(simulation, needs, tasks, fields);
-  await advanceUntil(simulation, () => job(simulation, id).accepted, timeoutMs);
+  await advanceUntil(simulation, () => jobOf(simulation, id).accepted, timeoutMs);
   return id;
 }
 
 /** Whether the job was reported cancelled and none of its tasks has ended successfully. */
 export function isCancelledUnstarted(simulation: Simulation, id: string): boolean {
-  const { observedFinalState, doneTasks } = job(simulation, id);
+  const { observedFinalState, doneTasks } = jobOf(simulation, id);
   return observedFinalState === 'cancelled' && doneTasks.size === 0;
 }
 
@@ -73,7 +73,11 @@
  * Runs the simulation until the request ends; returns its answer or throws its error. Fails if there is neither within
  * `timeoutMs` of simulated time.
  */
-export async function answered<T>(simulation: Simulation, request: Promise<T>, timeoutMs = 5000): Promise<T> {
+export async function waitForAnswer<T>(
+  simulation: Simulation,
+  request: Promise<T>,
+  timeoutMs = 5000,
+): Promise<T> {
   let isOver = false as boolean;
   const watched = request.finally(() => {
     isOver = true;
@@ -101,11 +105,11 @@
       }),
     );
   const { jobs } = simulation.controllers.get(node)!.controller!;
-  return answered(simulation, jobs.submit(jobFromWire(body as never)), timeoutMs);
+  return waitForAnswer(simulation, jobs.submit(jobFromWire(body as never)), timeoutMs);
 }
 
 /** Looks up a job at the given controller. */
 export function findAt(simulation: Simulation, node: string, id: string, timeoutMs?: number) {
   const { jobs } = simulation.controllers.get(node)!.controller!;
-  return answered(simulation, jobs.find(jobId(id)), timeoutMs);
+  return waitForAnswer(simulation, jobs.find(jobId(id)), timeoutMs);
 }
--- a/test/sim/run-helpers.ts
+++ b/test/sim/run-helpers.ts
@@ -58,7 +58,7 @@
 }
 
 /** A job that a user of the run has submitted. */
-export function job(simulation: Simulation, id: string): SubmittedJob {
+export function jobOf(simulation: Simulation, id: string): SubmittedJob {
   return simulation.cluster.submitted.get(id)!;
 }
 
--- a/test/sim/simulated-agent.ts
+++ b/test/sim/simulated-agent.ts
@@ -127,8 +127,8 @@
   /** Kills all tasks and begins a new epoch if the lease has run out. */
   private checkLease(): void {
     if (this.isHung || this.isTerminated) return;
-    const { time, limits } = this.cluster;
-    if (time.now - this.leaseStartedAt <= limits.leaseS * 1000) return;
+    const { time, agentTimings } = this.cluster;
+    if (time.now - this.leaseStartedAt <= agentTimings.leaseS * 1000) return;
     this.cluster.tasksLostToLeaseExpiry += this.tasks.size;
     for (const task of [...this.tasks.values()]) this.cluster.recordTaskExit(this, task, 'lease');
     this.tasks.clear();
@@ -149,7 +149,7 @@
   private isHeartbeatDue(): boolean {
     const sinceLastMs = this.cluster.time.now - this.lastSentAt;
     return (
-      sinceLastMs >= this.cluster.limits.reportS * 1000 ||
+      sinceLastMs >= this.cluster.agentTimings.reportS * 1000 ||
       (this.hasChanged && sinceLastMs >= MIN_HEARTBEAT_INTERVAL_MS)
     );
   }
@@ -285,7 +285,7 @@
     task.state = 'waiting';
     this.hasChanged = true;
     cluster.startGangIfComplete(task);
-    cluster.time.after(cluster.limits.gangWaitS * 1000, () => {
+    cluster.time.after(cluster.agentTimings.gangWaitS * 1000, () => {
       if (task.state === 'waiting' && this.holds(task)) this.endTask(task, 'incomplete');
     });
   }
--- a/test/sim/simulated-cloud.ts
+++ b/test/sim/simulated-cloud.ts
@@ -44,7 +44,7 @@
 export class SimulatedCloud {
   readonly machines = new Map<string, SimulatedMachine>();
   /** Number of machines that were released while tasks were on them. */
-  busyMachinesReturned = 0;
+  busyMachinesReleased = 0;
   private readonly namesByRental = new Map<string, string[]>();
   private machinesRented = 0;
 
@@ -63,7 +63,7 @@
     for (const name of body['tellers'] as string[]) {
       const agent = this.machines.get(name)?.agent;
       if (agent != null && [...agent.tasks.values()].some((task) => task.state !== 'ended'))
-        this.busyMachinesReturned++;
+        this.busyMachinesReleased++;
       agent?.terminate();
       this.machines.delete(name);
     }
--- a/test/sim/simulated-cluster.ts
+++ b/test/sim/simulated-cluster.ts
@@ -27,7 +27,7 @@
   readonly time: VirtualTime;
   /** Controllers to which agents may send heartbeats. */
   readonly nodes: readonly string[];
-  readonly limits: AgentTimings;
+  readonly agentTimings: AgentTimings;
   /** Number of GPUs that each team may use at once. */
   readonly quota: ReadonlyMap<string, number>;
   readonly machinesPerZone: number;
@@ -41,7 +41,7 @@
 export class SimulatedCluster {
   readonly time: VirtualTime;
   readonly nodes: readonly string[];
-  readonly limits: AgentTimings;
+  readonly agentTimings: AgentTimings;
   readonly quota: ReadonlyMap<string, number>;
   readonly sendToController: SendToController;
   readonly endpointOf: (name: string) => string;
@@ -51,7 +51,7 @@
   readonly submitted = new Map<string, SubmittedJob>();
   readonly placements = new TaskPlacements();
   /** Number of tasks started so far. */
-  starts = 0;
+  tasksStarted = 0;
   /** Number of tasks killed because an agent's lease ran out. */
   tasksLostToLeaseExpiry = 0;
   /** Called when a job's last task has ended successfully, before any controller knows of it. */
@@ -60,7 +60,7 @@
   constructor(options: SimulatedClusterOptions) {
     this.time = options.time;
     this.nodes = options.nodes;
-    this.limits = options.limits;
+    this.agentTimings = options.agentTimings;
     this.quota = options.quota;
     this.sendToController = options.sendToController;
     this.endpointOf = options.endpointOf ?? ((name) => name);
@@ -90,7 +90,7 @@
 
   /** Checks the invariants of a task's start and records the start. */
   recordTaskStart(agent: SimulatedAgent, task: SimulatedTask): void {
-    this.starts++;
+    this.tasksStarted++;
     checkTaskStart(this, agent, task);
   }
 
@@ -99,7 +99,7 @@
     if (!this.placements.remove(agent, task) || task.job.kind !== 'ensemble') return;
     if (exitCause === 'done') this.endRunningGang(task, 'done');
     else if (exitCause !== 'incomplete')
-      this.time.after(this.time.real(MIN_GANG_NOTICE_S, this.limits.gangPeerS) * 1000, () => {
+      this.time.after(this.time.real(MIN_GANG_NOTICE_S, this.agentTimings.gangPeerS) * 1000, () => {
         this.endRunningGang(task, 'peers');
       });
   }
@@ -113,7 +113,7 @@
 
   /** Fails if a task is on a machine longer than `cancelS` after its job's cancellation was reported to the user. */
   checkNoCancelledTaskRuns(): void {
-    checkNoCancelledTaskRuns(this.placements, this.time.now, this.limits.cancelS * 1000);
+    checkNoCancelledTaskRuns(this.placements, this.time.now, this.agentTimings.cancelS * 1000);
   }
 
   /** Earliest time at which the job or one that it depends on was reported as cancelled; infinite where none was. */
--- a/test/sim/simulated-controller.ts
+++ b/test/sim/simulated-controller.ts
@@ -7,7 +7,7 @@
 import type { LoadedPlugin } from '../../src/plugin-host/api.js';
 import { ControllerConnections, addressOf } from './controller-connections.js';
 import type { Simulation } from './simulation.js';
-import { LIMITS, NODES, TEAMS, ZONES } from './sizes.js';
+import { AGENT_TIMINGS, NODES, TEAMS, ZONES } from './sizes.js';
 import { ProcessClock } from './virtual-time.js';
 
 /** The operators' file of seeded runs, with shorter intervals than in production. */
@@ -29,8 +29,8 @@
 /** Maximum error of a process's wall clock, in both directions. */
 const MAX_WALL_CLOCK_OFFSET_MS = 100;
 
-/** What a controller may be unable to reach; `workers` are the agents. */
-export type Dependency = 'state' | 'workers' | 'peers';
+/** What a controller may be unable to reach. */
+export type Dependency = 'state' | 'agents' | 'peers';
 
 /** Returns an error as it is, and wraps any other thrown value. */
 export const asError = (error: unknown): Error =>
@@ -42,7 +42,7 @@
   /** Clock of the current process, or of the last one while the process is down. */
   clock: ProcessClock;
   /** Number of processes started so far. */
-  starts = 0;
+  processStarts = 0;
   /** Creates the plugins that the controller runs; called at each start. */
   plugins: (settings: PlatformSettings) => readonly LoadedPlugin[] = () => [];
   /** Controllers from which the controller is partitioned in both directions. */
@@ -76,7 +76,7 @@
       time.real(1, MAX_CLOCK_RATE),
       time.int(-MAX_WALL_CLOCK_OFFSET_MS, MAX_WALL_CLOCK_OFFSET_MS),
     );
-    this.starts++;
+    this.processStarts++;
     const settings = this.platformSettings();
     this.controller = new Controller({
       settings,
@@ -120,11 +120,11 @@
       })),
       objectives: [],
       agentTimings: {
-        report_s: LIMITS.reportS,
-        lease_s: LIMITS.leaseS,
-        gang_wait_s: LIMITS.gangWaitS,
-        gang_peer_s: LIMITS.gangPeerS,
-        cancel_s: LIMITS.cancelS,
+        report_s: AGENT_TIMINGS.reportS,
+        lease_s: AGENT_TIMINGS.leaseS,
+        gang_wait_s: AGENT_TIMINGS.gangWaitS,
+        gang_peer_s: AGENT_TIMINGS.gangPeerS,
+        cancel_s: AGENT_TIMINGS.cancelS,
       },
       stateLimits: {
         rps: size.rps,
--- a/test/sim/simulated-users.ts
+++ b/test/sim/simulated-users.ts
@@ -38,9 +38,12 @@
       if (submitsPipelines && time.happens(PIPELINE_PROBABILITY)) this.submitPipeline();
       else this.submit();
     }
-    time.after(time.int(Math.round(size.everyMs / 6), Math.round((size.everyMs * 11) / 6)), () => {
-      this.run();
-    });
+    time.after(
+      time.int(Math.round(size.submitIntervalMs / 6), Math.round((size.submitIntervalMs * 11) / 6)),
+      () => {
+        this.run();
+      },
+    );
   }
 
   /** Submits a job until it is accepted, then polls it until the run ends; `overrides` replace what would be random. */
--- a/test/sim/simulation.ts
+++ b/test/sim/simulation.ts
@@ -8,12 +8,20 @@
 import { SimulatedCluster } from './simulated-cluster.js';
 import { SimulatedController, asError } from './simulated-controller.js';
 import { SimulatedUsers } from './simulated-users.js';
-import { LIMITS, NODES, SMALL, TEAMS, ZONES, type JobOverrides, type SimulationSize } from './sizes.js';
+import {
+  AGENT_TIMINGS,
+  NODES,
+  SMALL,
+  TEAMS,
+  ZONES,
+  type JobOverrides,
+  type SimulationSize,
+} from './sizes.js';
 import { StarvationCheck } from './starvation-check.js';
 import { StateService } from './state-service.js';
 import { VirtualTime } from './virtual-time.js';
 
-export { FLEET, GROWN, HUGE, LIMITS, SMALL, type SimulationSize } from './sizes.js';
+export { FLEET, GROWN, HUGE, AGENT_TIMINGS, SMALL, type SimulationSize } from './sizes.js';
 
 /** Receives every message that a controller sends: requests, and answers to agents and users. */
 export type Observer = (from: string, to: string, message: unknown) => void;
@@ -55,7 +63,7 @@
   /** Whether users also submit pipelines. */
   submitsPipelines = false;
   /** Turns off random losses and long delays of heartbeats and state requests, for tests of a single fault. */
-  isSmooth = false;
+  isNetworkReliable = false;
   /** Share of transactions that get no answer and are applied seconds later. */
   lateWriteProbability = 0;
   /** Transactions that were applied late so far. */
@@ -137,7 +145,7 @@
     const cluster = new SimulatedCluster({
       time: this.time,
       nodes: NODES,
-      limits: LIMITS,
+      agentTimings: AGENT_TIMINGS,
       quota: new Map([...TEAMS].map(([team, gpus]) => [team, gpus * size.quotaFactor])),
       machinesPerZone: size.machinesPerZone,
       agentTickMs: size.agentTickMs,
@@ -182,7 +190,7 @@
 ): Promise<Simulation> {
   const simulation = new Simulation({ seed, size, plugins });
   simulation.duplicateHeartbeatProbability = 0;
-  simulation.isSmooth = true;
+  simulation.isNetworkReliable = true;
   await simulation.time.runUntil(ms);
   return simulation;
 }
--- a/test/sim/sizes.ts
+++ b/test/sim/sizes.ts
@@ -14,7 +14,13 @@
 }
 
 /** `cancelS` is short since a cancellation is reported only once no task of the job is left. */
-export const LIMITS: AgentTimings = { leaseS: 8, reportS: 1.5, gangWaitS: 20, gangPeerS: 3, cancelS: 0.5 };
+export const AGENT_TIMINGS: AgentTimings = {
+  leaseS: 8,
+  reportS: 1.5,
+  gangWaitS: 20,
+  gangPeerS: 3,
+  cancelS: 0.5,
+};
 /** Names of the controllers. */
 export const NODES = ['c-0', 'c-1', 'c-2'];
 /** Names of the zones; controllers are assigned to them round-robin. */
@@ -33,7 +39,7 @@
   /** Number of machines that the cloud can rent out in each zone. */
   readonly machinesPerZone: number;
   /** Mean time between two submissions of users. */
-  readonly everyMs: number;
+  readonly submitIntervalMs: number;
   /** Maximum number of tasks of a random job. */
   readonly maxTasks: number;
   /** Interval of an agent's check for a due heartbeat; longer for thousands of agents. Leases are checked half as often. */
@@ -48,7 +54,7 @@
 export const SMALL: SimulationSize = {
   quotaFactor: 1,
   machinesPerZone: 6,
-  everyMs: 1900,
+  submitIntervalMs: 1900,
   maxTasks: 9,
   rps: 300,
   writeRps: 200,
@@ -59,7 +65,7 @@
 export const GROWN: SimulationSize = {
   quotaFactor: 8,
   machinesPerZone: 48,
-  everyMs: 1900,
+  submitIntervalMs: 1900,
   maxTasks: 60,
   rps: 120,
   writeRps: 20,
@@ -70,7 +76,7 @@
 export const FLEET: SimulationSize = {
   quotaFactor: 70,
   machinesPerZone: 450,
-  everyMs: 900,
+  submitIntervalMs: 900,
   maxTasks: 150,
   rps: 300,
   writeRps: 80,
@@ -81,7 +87,7 @@
 export const HUGE: SimulationSize = {
   quotaFactor: 2000,
   machinesPerZone: 2200,
-  everyMs: 4000,
+  submitIntervalMs: 4000,
   maxTasks: 20,
   rps: 600,
   writeRps: 500,
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -92,7 +92,7 @@
    * Answers one watch request: with the first changes after its revision, or with none once its time is over. A request
    * whose time ends during an outage gets no changes, and its own revision in place of the latest.
    */
-  follow(url: string, respond: (response: HttpResponse) => void): void {
+  watch(url: string, respond: (response: HttpResponse) => void): void {
     const query = new URLSearchParams(url.split('?')[1]);
     const prefix = query.get('starts') ?? '';
     const from = Number(query.get('from'));
--- a/test/single-tasks.test.ts
+++ b/test/single-tasks.test.ts
@@ -9,7 +9,7 @@
 
 describe('jobs of a single small task', () => {
   it('dozens of small jobs that fit on one machine share transactions within the limits of the state service and finish', async () => {
-    const simulation = await runWithoutFaults(3, { ...SMALL, everyMs: 1e9, txnOps: 4 }, 5000);
+    const simulation = await runWithoutFaults(3, { ...SMALL, submitIntervalMs: 1e9, txnOps: 4 }, 5000);
     const ids = [...Array(60).keys()].map(() =>
       simulation.submit({
         kind: 'sweep',
--- a/test/state-usage.test.ts
+++ b/test/state-usage.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { runQuietly, submitSmall, submitTo } from './sim/pipeline-helpers.js';
-import { advance, advanceUntil, job } from './sim/run-helpers.js';
+import { runWarmUp, submitSmall, submitTo } from './sim/pipeline-helpers.js';
+import { advance, advanceUntil, jobOf } from './sim/run-helpers.js';
 import { GROWN, type Simulation } from './sim/simulation.js';
 
 /** Writes of all controllers so far for one reason. */
@@ -17,7 +17,7 @@
 };
 
 test('an array whose tasks finish in parallel writes its results only at its end', async () => {
-  const simulation = await runQuietly(4);
+  const simulation = await runWarmUp(4);
   // The simulated users submit nothing any more, so that no other job writes results.
   await advance(simulation, 110_000);
   const before = { results: writesFor(simulation, 'results'), end: writesFor(simulation, 'end') };
@@ -28,22 +28,22 @@
     staggerMs: 500,
     fields: { cards: 0, vcpus: 1, memoryGb: 1, loaner: true, expectedS: 15 },
   });
-  await advanceUntil(simulation, () => job(simulation, id).observedFinalState === 'done', 60_000);
+  await advanceUntil(simulation, () => jobOf(simulation, id).observedFinalState === 'done', 60_000);
   assert.equal(writesFor(simulation, 'results') - before.results, 0);
   assert.equal(writesFor(simulation, 'end') - before.end, 2);
 });
 
 test('results of a long job are written before its end', async () => {
-  const simulation = await runQuietly(4);
+  const simulation = await runWarmUp(4);
   await advance(simulation, 110_000);
   const before = writesFor(simulation, 'results');
   const id = submitSmall(simulation, [], 200, { vcpus: 8, expectedS: 3 });
-  await advanceUntil(simulation, () => job(simulation, id).observedFinalState === 'done', 400_000);
+  await advanceUntil(simulation, () => jobOf(simulation, id).observedFinalState === 'done', 400_000);
   assert.ok(writesFor(simulation, 'results') - before >= 3, `${writesFor(simulation, 'results') - before}`);
 });
 
 test('a submission that the write budget delays briefly is accepted; in an outage its user is told at once to retry', async () => {
-  const simulation = await runQuietly(4, GROWN);
+  const simulation = await runWarmUp(4, GROWN);
   const { budget } = simulation.state;
   for (let i = 0; i < 5; i++) {
     simulation.state.budget = { ...budget, writeRps: 0.01 };
--- a/test/unresponsive-controllers.test.ts
+++ b/test/unresponsive-controllers.test.ts
@@ -134,7 +134,7 @@
     'jobs finish when one controller loses its agents and another is paused',
     async (simulation) => {
       const [partitioned, paused] = nonLeaders(simulation);
-      partitioned!.unreachable.add('workers');
+      partitioned!.unreachable.add('agents');
       await pauseAndResume(simulation, [paused!], PAUSE_MS);
       partitioned!.unreachable.clear();
     },
