--- a/packages/warm-standby/measure/takeovers.ts
+++ b/packages/warm-standby/measure/takeovers.ts
@@ -14,7 +14,7 @@
 import { LoopbackCluster, type AgentObserver } from '../test/loopback/cluster.js';
 import type { ControllerProcess } from '../test/loopback/controller-process.js';
 import { Users, sleep } from '../test/loopback/users.js';
-import type { StandbyStatus } from '../test/standbys.js';
+import type { StandbyStatus } from '../test/standby-run-helpers.js';
 
 const SHORT_PAUSE_MS = 700;
 const LONG_PAUSE_MS = 12_000;
--- a/packages/warm-standby/test/takeover.test.ts
+++ b/packages/warm-standby/test/failover.test.ts
@@ -21,7 +21,7 @@
   firstStandbyOf,
   allFailovers,
   totalCount,
-} from './standbys.js';
+} from './standby-run-helpers.js';
 
 const nonLeaders = (simulation: Simulation) =>
   allControllers(simulation).filter((node) => node !== currentLeader(simulation));
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -17,7 +17,7 @@
 import type { SimulatedController } from '../../../test/sim/simulated-controller.js';
 import type { Simulation } from '../../../test/sim/simulation.js';
 import { TOPIC, decodeAcknowledgement, encodeAppend } from '../src/messages.js';
-import { standbyStatusOf, warmStandbyPlugins } from './standbys.js';
+import { standbyStatusOf, warmStandbyPlugins } from './standby-run-helpers.js';
 
 const transferOf = ({ controller }: SimulatedController) =>
   new ShardTransfer(controller!.context, controller!.membership);
--- a/packages/warm-standby/test/loopback.test.ts
+++ b/packages/warm-standby/test/loopback.test.ts
@@ -10,7 +10,7 @@
 import { NODES } from './loopback/cluster-settings.js';
 import { LoopbackCluster } from './loopback/cluster.js';
 import { Users } from './loopback/users.js';
-import type { StandbyStatus } from './standbys.js';
+import type { StandbyStatus } from './standby-run-helpers.js';
 
 /** Content of the operators' file: both plugins are enabled, and every job is traced to a file. */
 const operatorSettings = (directory: string) => `
--- a/packages/warm-standby/test/random-faults.test.ts
+++ b/packages/warm-standby/test/random-faults.test.ts
@@ -9,7 +9,7 @@
 import { injectFaults } from '../../../test/sim/faults.js';
 import { advance, allControllers } from '../../../test/sim/run-helpers.js';
 import type { Dependency, SimulatedController } from '../../../test/sim/simulated-controller.js';
-import { requestHandover, warmStandbyPlugins } from './standbys.js';
+import { requestHandover, warmStandbyPlugins } from './standby-run-helpers.js';
 
 /** Each fault affects one controller. It begins up to 3 s after the one before and lasts up to 9 s, so faults overlap. */
 const faultSequences = fc.array(
--- a/test/demand-forecast.test.ts
+++ b/test/demand-forecast.test.ts
@@ -6,8 +6,8 @@
 import { describe, test } from 'node:test';
 import type { JobSpec } from '../src/core/model/jobs.js';
 import { DemandForecast } from '../src/core/scaling/demand-forecast.js';
-import { job } from './planning.js';
 import { type } from './samples.js';
+import { job } from './scheduling-samples.js';
 
 const WINDOW_S = 600;
 
--- a/test/feasibility.test.ts
+++ b/test/feasibility.test.ts
@@ -15,8 +15,8 @@
 import type { JobSpec } from '../src/core/model/jobs.js';
 import { demandVector } from '../src/core/model/resources.js';
 import { jobFromWire } from '../src/io/users/job-messages.js';
-import { job } from './planning.js';
 import { submission } from './samples.js';
+import { job } from './scheduling-samples.js';
 
 const machine = { type: typeName('m'), zone: zoneName('a'), spot: false };
 const spec = (fields: Record<string, unknown>) => job('wk-1', fields).spec;
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -12,8 +12,8 @@
 import type { PlacementInput } from '../src/core/placement/placement-types.js';
 import { placeTasks } from '../src/core/placement/placement.js';
 import { AllocationTotals } from '../src/core/state/allocation-totals.js';
-import { allocated, job, scalingPlan, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
+import { allocated, job, scalingPlan, team, teams } from './scheduling-samples.js';
 
 /** One placement pass; no image is cached, no machine avoided and no record near its size limit. */
 const placementPass = (
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -8,8 +8,8 @@
 import type { MachineRecord } from '../src/core/model/machines.js';
 import { selectVictims } from '../src/core/placement/preemption.js';
 import { AllocationTotals } from '../src/core/state/allocation-totals.js';
-import { allocated, job, teams } from './planning.js';
 import { machine, types } from './samples.js';
+import { allocated, job, teams } from './scheduling-samples.js';
 
 const victimsFor = (preemptor: JobRecord, others: JobRecord[], machines: MachineRecord[]) =>
   selectVictims({
--- a/test/reclaim.test.ts
+++ b/test/reclaim.test.ts
@@ -10,8 +10,8 @@
 import { selectGangVictims } from '../src/core/placement/gang-preemption.js';
 import { selectVictims } from '../src/core/placement/preemption.js';
 import { AllocationTotals } from '../src/core/state/allocation-totals.js';
-import { allocated, job, scalingPlan, team, teams } from './planning.js';
 import { machine, types } from './samples.js';
+import { allocated, job, scalingPlan, team, teams } from './scheduling-samples.js';
 
 const UNGUARANTEED = 'guest';
 const teamsWithUnguaranteed = new Map([...teams, [teamName(UNGUARANTEED), team(UNGUARANTEED, 0)]]);
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -9,8 +9,8 @@
 import type { JobRecord } from '../src/core/model/jobs.js';
 import type { MachineRecord } from '../src/core/model/machines.js';
 import type { ScalingInput } from '../src/core/scaling/scaling-types.js';
-import { allocated, job, scalingPlan } from './planning.js';
 import { machine } from './samples.js';
+import { allocated, job, scalingPlan } from './scheduling-samples.js';
 
 test('machines reserved for a gang are not released, and a machine without contact with its owner is not moved', () => {
   const gang = job('wk-1', { shape: 'ensemble', shards: 3, tier: 'urgent', vcpus: 14, samePlace: true });
--- a/test/shard-assignment.test.ts
+++ b/test/shard-assignment.test.ts
@@ -11,7 +11,7 @@
   assignTeamsToShards,
   type LiveController,
 } from '../src/core/state/shard-assignment.js';
-import { team } from './planning.js';
+import { team } from './scheduling-samples.js';
 
 const SETTLED_S = 10;
 const shards = ['c-0', 'c-1', 'c-2'].map(nodeName);
--- a/test/sim/digest.ts
+++ b/test/sim/digest.ts
@@ -1,6 +1,6 @@
 /** Digests of all messages that controllers send in seeded runs. Equal digests show that their behaviour is equal. */
 import { createHash, type Hash } from 'node:crypto';
-import { warmStandbyPlugins } from '../../packages/warm-standby/test/standbys.js';
+import { warmStandbyPlugins } from '../../packages/warm-standby/test/standby-run-helpers.js';
 import { injectFaults } from './faults.js';
 import { scheduleRollingUpgrade } from './rolling-upgrade.js';
 import { Simulation } from './simulation.js';
