--- a/src/controller/shard/task-exits.ts
+++ b/src/controller/shard/task-exits.ts
@@ -173,7 +173,7 @@
     if (!context.ownership.ownsTeam(team)) return 0;
     const totals = context.allocations.current();
     if (!totals.isWithinQuota(team, demand, 1)) return 0;
-    for (const [index, { machine }] of totals.jobs.get(id)?.tasks ?? [])
+    for (const [index, { machine }] of totals.allocationsByJob.get(id)?.tasks ?? [])
       if (!isDone(done, index) && this.ownsMachine(machine)) return Math.min(estimateS * 1000, MAX_BATCH_MS);
     return 0;
   }
@@ -190,7 +190,7 @@
   private commitIntervalMs(jobs: number): number {
     const { limits, hasSpareBudget } = this.context.state;
     const fraction = hasSpareBudget ? 2 * WRITE_BUDGET_FRACTION : WRITE_BUDGET_FRACTION;
-    const writesPerSecond = (limits.writeRps / limits.nodes) * fraction;
+    const writesPerSecond = (limits.writeRps / limits.controllerCount) * fraction;
     const minIntervalMs = hasSpareBudget ? FULL_RECONCILE_INTERVAL_MS : MIN_BATCH_MS;
     return Math.min(MAX_CLEANUP_DELAY_MS, Math.max(minIntervalMs, (jobs * 1000) / writesPerSecond));
   }
--- a/src/io/paths.ts
+++ b/src/io/paths.ts
@@ -7,7 +7,7 @@
   cancel: '/v1/jobs/:id/abort',
   health: '/healthz',
   status: '/v1/status',
-  packageCommand: '/v1/packages/:name/:command',
+  pluginCommand: '/v1/packages/:name/:command',
   metrics: '/metrics',
   heartbeat: '/v1/report',
   directCommands: '/do',
@@ -21,4 +21,4 @@
   watch: '/follow',
 };
 /** Maximum size in bytes of the body of a request to a controller. */
-export const BODY_LIMIT = 64 * 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
--- a/src/io/users/http-server.ts
+++ b/src/io/users/http-server.ts
@@ -6,7 +6,7 @@
 import type { Logger } from 'pino';
 import { CodedError, UnavailableError } from '../../core/errors.js';
 import { LOG_EVENT } from '../../core/log-events.js';
-import { BODY_LIMIT } from '../paths.js';
+import { MAX_BODY_BYTES } from '../paths.js';
 import { serveHeartbeats } from './agent-routes.js';
 import type { HeartbeatHandler, JobRequests, PluginRequests } from './http-api.js';
 import { servePlugins, serveStatus } from './operator-routes.js';
@@ -26,7 +26,7 @@
   readonly minInProgress: number;
   readonly maxInProgress: number;
   /** Commands and metrics of plugins; absent if no plugin is enabled. */
-  readonly packages?: PluginRequests;
+  readonly plugins?: PluginRequests;
 }
 
 /** Thrown for a request body that is not JSON; answered with 400. */
@@ -37,7 +37,7 @@
 /** Builds the HTTP server; it does not listen yet. */
 export function buildServer(options: ServerOptions): FastifyInstance {
   const app = fastify({
-    bodyLimit: BODY_LIMIT,
+    bodyLimit: MAX_BODY_BYTES,
     keepAliveTimeout: KEEP_ALIVE_MS,
     exposeHeadRoutes: false,
     // No type coercion: a number in quotes is rejected with 400, not read as a number.
@@ -49,7 +49,7 @@
   serveJobs(app, options.jobs, { min: options.minInProgress, max: options.maxInProgress });
   serveHeartbeats(app, options.heartbeats);
   serveStatus(app, options);
-  if (options.packages !== undefined) servePlugins(app, options.packages);
+  if (options.plugins !== undefined) servePlugins(app, options.plugins);
   return app;
 }
 
--- a/test/feasibility.test.ts
+++ b/test/feasibility.test.ts
@@ -15,8 +15,8 @@
 import type { JobSpec } from '../src/core/model/jobs.js';
 import { demandVector } from '../src/core/model/resources.js';
 import { jobFromWire } from '../src/io/users/job-messages.js';
-import { job } from './planning.js';
 import { submission } from './samples.js';
+import { job } from './scheduling-samples.js';
 
 const machine = { type: typeName('m'), zone: zoneName('a'), spot: false };
 const spec = (fields: Record<string, unknown>) => job('wk-1', fields).spec;
@@ -51,7 +51,7 @@
   const teams = new Map([
     [
       teamName('vision'),
-      { name: teamName('vision'), guarantee: [0, 0, 0] as const, limitCpu: null, limitGpu: 4e6 },
+      { name: teamName('vision'), guarantee: [0, 0, 0] as const, cpuQuota: null, gpuQuota: 4e6 },
     ],
   ]);
   const types = [
--- a/test/sim/fault-scenario.ts
+++ b/test/sim/fault-scenario.ts
@@ -3,10 +3,16 @@
 import { it } from 'node:test';
 import { advance } from './run-helpers.js';
 import type { SimulatedController } from './simulated-controller.js';
-import { LIMITS, SMALL, runWithoutFaults, type Simulation, type SimulationSize } from './simulation.js';
+import {
+  AGENT_TIMINGS,
+  SMALL,
+  runWithoutFaults,
+  type Simulation,
+  type SimulationSize,
+} from './simulation.js';
 
 /** Length of an agent's lease in seeded runs. An agent whose lease expires kills its tasks. */
-export const LEASE_MS = LIMITS.leaseS * 1000;
+export const LEASE_MS = AGENT_TIMINGS.leaseS * 1000;
 
 /** Number of jobs that must be running when a scenario begins. */
 const MIN_RUNNING_JOBS = 3;
@@ -34,10 +40,10 @@
 export async function runUntilBusy(
   seed: number,
   size: SimulationSize = SMALL,
-  packages?: SimulatedController['packages'],
+  plugins?: SimulatedController['plugins'],
 ): Promise<Simulation> {
   for (let i = 0; i < MAX_TRIES; i++) {
-    const simulation = await runWithoutFaults(seed + i * SEED_STEP, size, SCENARIO_START_MS, packages);
+    const simulation = await runWithoutFaults(seed + i * SEED_STEP, size, SCENARIO_START_MS, plugins);
     if (simulation.runningJobs().length >= MIN_RUNNING_JOBS) return simulation;
   }
   return assert.fail(
@@ -71,11 +77,11 @@
   name: string,
   inject: (simulation: Simulation) => Promise<void>,
   seeds: readonly number[] = DEFAULT_SEEDS,
-  packages?: SimulatedController['packages'],
+  plugins?: SimulatedController['plugins'],
 ): void {
   for (const seed of seeds)
     it(`${name}, seed ${seed}`, async () => {
-      const simulation = await runUntilBusy(seed, SMALL, packages);
+      const simulation = await runUntilBusy(seed, SMALL, plugins);
       try {
         await inject(simulation);
         await expectAllJobsFinish(simulation);
--- a/test/sim/simulated-controller.ts
+++ b/test/sim/simulated-controller.ts
@@ -7,7 +7,7 @@
 import type { LoadedPlugin } from '../../src/plugin-host/api.js';
 import { ControllerConnections, addressOf } from './controller-connections.js';
 import type { Simulation } from './simulation.js';
-import { LIMITS, NODES, TEAMS, ZONES } from './sizes.js';
+import { AGENT_TIMINGS, NODES, TEAMS, ZONES } from './sizes.js';
 import { ProcessClock } from './virtual-time.js';
 
 /** The operators' file of seeded runs, with shorter intervals than in production. */
@@ -29,8 +29,8 @@
 /** Maximum error of a process's wall clock, in both directions. */
 const MAX_WALL_CLOCK_OFFSET_MS = 100;
 
-/** What a controller may be unable to reach; `workers` are the agents. */
-export type Dependency = 'state' | 'workers' | 'peers';
+/** What a controller may be unable to reach. */
+export type Dependency = 'state' | 'agents' | 'peers';
 
 /** Returns an error as it is, and wraps any other thrown value. */
 export const asError = (error: unknown): Error =>
@@ -42,9 +42,9 @@
   /** Clock of the current process, or of the last one while the process is down. */
   clock: ProcessClock;
   /** Number of processes started so far. */
-  starts = 0;
-  /** Creates the packages that the controller runs; called at each start. */
-  packages: (settings: PlatformSettings) => readonly LoadedPlugin[] = () => [];
+  processStarts = 0;
+  /** Creates the plugins that the controller runs; called at each start. */
+  plugins: (settings: PlatformSettings) => readonly LoadedPlugin[] = () => [];
   /** Controllers from which the controller is partitioned in both directions. */
   readonly partitionedFrom = new Set<string>();
   /** Dependencies that the controller cannot reach now. */
@@ -76,14 +76,14 @@
       time.real(1, MAX_CLOCK_RATE),
       time.int(-MAX_WALL_CLOCK_OFFSET_MS, MAX_WALL_CLOCK_OFFSET_MS),
     );
-    this.starts++;
+    this.processStarts++;
     const settings = this.platformSettings();
     this.controller = new Controller({
       settings,
       operator: readOperatorSettings(OPERATOR_FILE),
       log: pino({ level: 'silent' }),
       dependencies: new ControllerConnections(simulation, this, this.clock).dependencies(),
-      packages: this.packages(settings),
+      plugins: this.plugins(settings),
     });
     this.controller.run().catch((error: unknown) => {
       simulation.fail(error);
@@ -110,21 +110,21 @@
       })),
       cloud: '',
       state: '',
-      nodes: NODES.length,
+      controllerCount: NODES.length,
       zones: ZONES.map(zoneName),
       teams: [...TEAMS].map(([name, gpus]) => ({
         name: teamName(name),
         guarantee: [0, 0, size.quotaFactor * 6_000_000],
-        limitCpu: null,
-        limitGpu: gpus * size.quotaFactor * 1_000_000,
+        cpuQuota: null,
+        gpuQuota: gpus * size.quotaFactor * 1_000_000,
       })),
       objectives: [],
-      workers: {
-        report_s: LIMITS.reportS,
-        lease_s: LIMITS.leaseS,
-        gang_wait_s: LIMITS.gangWaitS,
-        gang_peer_s: LIMITS.gangPeerS,
-        cancel_s: LIMITS.cancelS,
+      agentTimings: {
+        report_s: AGENT_TIMINGS.reportS,
+        lease_s: AGENT_TIMINGS.leaseS,
+        gang_wait_s: AGENT_TIMINGS.gangWaitS,
+        gang_peer_s: AGENT_TIMINGS.gangPeerS,
+        cancel_s: AGENT_TIMINGS.cancelS,
       },
       stateLimits: {
         rps: size.rps,
@@ -134,7 +134,7 @@
         ...(this.runsPreviousVersion || upcomingLimits === null ? {} : { next: upcomingLimits }),
       },
       cloudLimits: { rps: 5, list_lag_s: 2 },
-      limits: { cpu: 1, ram_mb: 100, max_connections: 100 },
+      processLimits: { cpu: 1, ram_mb: 100, max_connections: 100 },
     };
   }
 }
