--- a/src/config/operator-settings.ts
+++ b/src/config/operator-settings.ts
@@ -21,7 +21,7 @@
     ),
     slices: Type.Object(
       {
-        /** Minimum age of a controller's session before a team is moved to the controller. */
+        /** Minimum age of a controller's session before the shard named after it returns to it from another holder. */
         settled_s: seconds(10),
       },
       section,
--- a/src/controller/api/job-lookup.ts
+++ b/src/controller/api/job-lookup.ts
@@ -13,8 +13,8 @@
   constructor(private readonly context: ControllerContext) {}
 
   /**
-   * The job's state, at least as new as anything that any controller told a user before the call; undefined where the
-   * job was never accepted. Throws `UnavailableError` where that cannot be known now.
+   * The job's state, at least as new as any state that a controller showed to a user before the call; undefined where
+   * the job was never accepted. Throws `UnavailableError` where that cannot be known now.
    */
   async find(id: JobId): Promise<JobStatus | undefined> {
     const { watcher, state, view, finalStates, dependencies } = this.context;
--- a/src/controller/api/job-service.ts
+++ b/src/controller/api/job-service.ts
@@ -13,7 +13,7 @@
 import { JobLookup } from './job-lookup.js';
 import { JobSubmission } from './job-submission.js';
 
-/** Serves users' requests; every state that a user is told has been committed before. */
+/** Serves users' requests; every job state in an answer to a user was committed before the answer is sent. */
 export class JobService {
   private readonly lookup: JobLookup;
   private readonly submission: JobSubmission;
--- a/src/controller/api/job-submission.ts
+++ b/src/controller/api/job-submission.ts
@@ -1,4 +1,4 @@
-/** Accepts submissions: a user is told that a job is accepted only after it is committed. */
+/** Accepts submissions: one is answered as accepted only after its job is committed. */
 import type { DependencyStatus } from '../../core/jobs/dependencies.js';
 import { NO_TASKS_DONE } from '../../core/jobs/done-tasks.js';
 import { checkFeasibility } from '../../core/jobs/feasibility.js';
--- a/src/controller/committed-state.ts
+++ b/src/controller/committed-state.ts
@@ -62,7 +62,10 @@
     return this.context.view.isHeldBy(shard, this.context.incarnation);
   }
 
-  /** Whether the state service answered the last request, or one sent less than `withinMs` milliseconds ago. */
+  /**
+   * Whether no request to the state service has failed since the latest answered one was sent, or that one was sent
+   * less than `withinMs` milliseconds ago.
+   */
   isStateReachable(withinMs: number): boolean {
     return this.context.state.isReachable(withinMs);
   }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -61,7 +61,7 @@
   readonly heartbeats: HeartbeatRouter;
   /** Requests between the plugins of different controllers. */
   readonly channel: TopicChannel;
-  /** Null where no plugin is enabled. */
+  /** The host of the enabled plugins; null if no plugin is enabled. */
   readonly pluginHost: PluginHost | null;
   private readonly health: HealthTracker;
 
--- a/src/controller/dependency-tracker.ts
+++ b/src/controller/dependency-tracker.ts
@@ -98,7 +98,9 @@
       if (unread.length === 0) return status;
       for (const id of unread.slice(0, MAX_CONCURRENT_READS))
         if ((await finalStates.read(id, view.revision)) === undefined)
-          throw new UnavailableError(`dependency ${id} has neither a job record nor a final state`);
+          throw new UnavailableError(
+            `dependencies of ${job.spec.id}: expected a job record or a final state of ${id}, found neither`,
+          );
       this.graph = null;
     }
   }
--- a/src/controller/health/health-tracker.ts
+++ b/src/controller/health/health-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * The health of machines and jobs, as heartbeats and exits of tasks show it. Kept in memory only: losing it costs time,
- * never correctness.
+ * The health of machines and jobs, as heartbeats and exits of tasks show it. Kept in memory only: losing it delays
+ * decisions, but causes no wrong ones.
  */
 import { FailureTracker } from '../../core/health/failure-tracker.js';
 import { SlowMachineDetector, type TaskRun } from '../../core/health/slow-machine-detector.js';
--- a/src/controller/heartbeats/heartbeat-router.ts
+++ b/src/controller/heartbeats/heartbeat-router.ts
@@ -108,7 +108,7 @@
     this.soleContactTimes.delete(name);
   }
 
-  /** Answers the agent of a machine without a record. Only the leader, which registers such machines, records it. */
+  /** Answers the agent of a machine without a record. Only the leader, which registers machines, uses the heartbeat. */
   private answerUnregistered(heartbeat: Heartbeat): HeartbeatReply {
     const leader = leaderOf(this.context);
     if (leader !== this.context.settings.node) return { kind: 'redirect', node: leader };
--- a/src/controller/leader/cloud-inventory.ts
+++ b/src/controller/leader/cloud-inventory.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the records consistent with the cloud: machine types, machines that have failed or are gone, and machines that
- * have no record.
+ * Keeps the records consistent with the cloud: machine types, machines that have failed or no longer exist, and
+ * machines that have no record.
  */
 import { addToCount } from '../../core/collections.js';
 import { LOG_EVENT } from '../../core/log-events.js';
@@ -20,7 +20,7 @@
 import { maxListLagS, type UnregisteredMachines } from './unregistered-machines.js';
 
 const LIST_INTERVAL_MS = 4000;
-/** A machine counts as gone once the list has lacked it for the list's longest lag plus this margin. */
+/** A machine counts as delisted once the list has lacked it for longer than the list's longest lag plus this margin. */
 const DELISTED_MARGIN_S = 4;
 /** The machine types are read again once in this many lists, since prices change. */
 const LISTS_PER_TYPES_REFRESH = 8;
@@ -135,9 +135,9 @@
 
   /**
    * Machines with a record that the cloud once listed and has not listed for longer than any list lags. A machine stays
-   * listed until it is gone, but a list may be older than the previous one by as much as lists lag. Marking these
-   * machines for release is safe: only the cloud's confirmation of the release frees their tasks. Unmarked, a machine
-   * that is alone in its zone would be treated as partitioned.
+   * listed for as long as it exists, but a list may be older than the previous one by as much as lists lag. Marking
+   * these machines for release is safe: only the cloud's confirmation of the release frees their tasks. Unmarked, a
+   * machine that is alone in its zone would be treated as partitioned.
    */
   private delistedMachines(list: readonly ListedMachine[], requestedAt: MonotonicMs): MachineRecord[] {
     const { view, clock, settings } = this.context;
--- a/src/controller/leader/leader-transactions.ts
+++ b/src/controller/leader/leader-transactions.ts
@@ -54,7 +54,7 @@
     return areAllCommitted;
   }
 
-  /** Change sets whose guards have failed in the view by now are left out, and do not count as failures. */
+  /** Packs change sets into transactions. Those whose guards fail in the view are left out, which is not a failure. */
   private packed(changeSets: readonly ChangeSet[]): Generator<ChangeSet> {
     const { state, view } = this.context;
     return packTransactions(changeSets, [this.leaderGuard()], state.limits, view);
--- a/src/controller/leader/machine-changes.ts
+++ b/src/controller/leader/machine-changes.ts
@@ -26,7 +26,7 @@
   };
 }
 
-/** The write that marks a machine for release. Its tasks stay allocated until the cloud confirms that it is gone. */
+/** The write that marks a machine for release. Its tasks stay allocated until the cloud confirms the release. */
 export function markForRelease(machine: MachineRecord): WriteOperation {
   const value: MachineRecord = { ...machine, phase: 'releasing' };
   return { key: key.machine(machine.name), value, reason: 'return' };
--- a/src/controller/leader/machine-releases.ts
+++ b/src/controller/leader/machine-releases.ts
@@ -45,7 +45,8 @@
     const { context, cloud, transactions, unregisteredMachines } = this.options;
     if (!(await cloud.release(names))) return;
     unregisteredMachines.recordReleased(names);
-    // The cloud has confirmed that the machines and everything on them are gone, so their tasks are free.
+    // The cloud has confirmed that the machines and everything on them no longer exist, so their records, and with them
+    // the allocations of their tasks, can be removed.
     const recorded = names.filter((name) => context.view.machines.has(name));
     context.log.info({ machines: recorded }, LOG_EVENT.machinesReleased);
     await transactions.commitEach(
--- a/src/controller/leader/misrouted-agents.ts
+++ b/src/controller/leader/misrouted-agents.ts
@@ -33,7 +33,8 @@
   private readonly proxiedMachines = new Map<MachineName, ProxiedMachine>();
   /**
    * When each machine was last seen with a proxy. An agent that can send but not receive tries all controllers in turn.
-   * If its machine were moved to another shard, the new owner would judge it anew and place tasks on it once more.
+   * If its machine were moved to another shard, the new owner would start over in determining whether it has failed,
+   * and place tasks on it again.
    */
   private readonly lastProxiedAt = new Map<MachineName, MonotonicMs>();
   private readonly cutOffUntil = new Map<string, MonotonicMs>();
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -24,7 +24,7 @@
 
 /** Largest number of machines that the cloud rents out per request. */
 const MAX_MACHINES_PER_RENTAL = 50;
-/** Allowance for a rental's record, without the names of its shards. */
+/** Allowance in bytes for a rental's record, without the names of its shards. */
 const RENTAL_RECORD_BYTES = 500;
 
 /** Rents machines and creates their records; also completes rentals that an earlier leader committed. */
@@ -144,7 +144,10 @@
   };
 }
 
-/** The shard requested for the machine at this index; if it no longer exists, the next requested one, else the first. */
+/**
+ * The shard requested for the machine at this index; if it no longer exists, the next requested one that does, else the
+ * first of `shards`.
+ */
 function shardFor(rental: RentalRecord, index: number, shards: readonly NodeName[]): NodeName {
   const owner = rental.owners.find((shard, position) => position >= index && shards.includes(shard));
   return owner ?? shards[0]!;
--- a/src/controller/leader/unregistered-machines.ts
+++ b/src/controller/leader/unregistered-machines.ts
@@ -76,7 +76,7 @@
 
   /**
    * Records a heartbeat of an agent whose machine has no record. Returns whether it confirms the machine: it must be newer
-   * than the first and arrive within the time for confirmation.
+   * than the first, and arrive between `MIN_CONFIRMATION_MS` and `MAX_CONFIRMATION_MS` after it.
    */
   recordHeartbeat(heartbeat: Heartbeat): boolean {
     const { machine: name, type, zone, spot, token } = heartbeat;
--- a/src/controller/membership/availability.ts
+++ b/src/controller/membership/availability.ts
@@ -25,7 +25,10 @@
 /** Decides whether this controller may answer agents and users now. */
 export class Availability {
   private lastPeerContact: PeerContact = { hasStateContact: true, at: Number.NEGATIVE_INFINITY };
-  /** Neither the state service nor any peer answers: all may have failed, or this controller's zone is partitioned. */
+  /**
+   * Whether neither the state service nor any peer answers: all of them may have failed, or this controller's zone is
+   * partitioned from them.
+   */
   isIsolated = false;
 
   constructor(
@@ -37,7 +40,8 @@
   /**
    * Whether this controller may answer agents for its shard: its session has certainly not expired, or no controller
    * reaches the state service, so that none can have acquired the shard. A controller that reaches neither the service
-   * nor any peer knows neither; its agents must turn, before their leases expire, to a controller that can act for them.
+   * nor any peer cannot rely on either condition: its agents have to turn to a controller that can act for them before
+   * their leases expire.
    */
   get mayAnswerAgents(): boolean {
     return this.membership.hasValidLease || this.isStateOutage;
--- a/src/controller/serve.ts
+++ b/src/controller/serve.ts
@@ -31,7 +31,10 @@
 /** Limit on incoming connections from other controllers, per controller of the cluster. */
 const PEER_CONNECTIONS_PER_NODE = 4;
 const MIN_PEER_CONNECTIONS = 8;
-/** For this long after an answer of the state service, at least, peers are told that this controller reaches it. */
+/**
+ * Age up to which an answer of the state service proves contact with it, in replies to peers' questions, even if a
+ * later request has failed.
+ */
 const STATE_CONTACT_MS = 1500;
 
 /**
--- a/src/controller/shard/machine-reachability.ts
+++ b/src/controller/shard/machine-reachability.ts
@@ -30,13 +30,13 @@
 /** The owned machines of a zone, without those that are booting. */
 interface ZoneReachability {
   machines: number;
-  /** At least one machine has sent heartbeats without a gap until now. */
+  /** Whether at least one of the machines has sent heartbeats without a gap until now. */
   isResponding: boolean;
 }
 
 /** Decides which silent machines are unreachable. The zones are evaluated at most once a pass. */
 export class MachineReachability {
-  /** Null until the zones are evaluated in the present pass. */
+  /** The evaluated zones by name; null until they are evaluated in the present pass. */
   private zones: ReadonlyMap<Zone, ZoneReachability> | null = null;
 
   constructor(
--- a/src/controller/shard/machine-reconciler.ts
+++ b/src/controller/shard/machine-reconciler.ts
@@ -33,11 +33,11 @@
 
 /** Condition of a machine, as decided from its record, its heartbeats and its health. */
 interface MachineCondition {
-  /** The cloud has announced that it will reclaim the machine. */
+  /** Whether the cloud has announced that it will reclaim the machine. */
   readonly hasPreemptionNotice: boolean;
   readonly isDraining: boolean;
   readonly isUnreachable: boolean;
-  /** The first heartbeat of a booting machine has arrived. */
+  /** Whether the record says that the machine boots, although its agent has sent a heartbeat. */
   readonly hasBooted: boolean;
 }
 
--- a/src/controller/shard/shard-controller.ts
+++ b/src/controller/shard/shard-controller.ts
@@ -98,7 +98,7 @@
     this.notification.notify();
   }
 
-  /** Runs the loop for the life of the process. An error in a pass is logged, and the loop goes on. */
+  /** Runs the loop for the lifetime of the process. An error in a pass is logged, and the loop continues. */
   async run(): Promise<never> {
     const { context } = this;
     for (;;) {
--- a/src/controller/shard/task-exits.ts
+++ b/src/controller/shard/task-exits.ts
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Whether the allocation of an exited task may stay in its machine's record for now. That of a finished task may,
-   * unless its job is being cancelled: it would delay the end of the cancellation, but nothing else.
+   * Whether the allocation of an exited task may stay in its machine's record for now. That of a done task may, unless
+   * its job is being cancelled: a remaining allocation delays the end of a cancellation, but nothing else.
    */
   mayKeepAllocation({ reason, allocation }: TaskExit): boolean {
     return reason === 'done' && this.context.view.jobs.get(allocation.job)?.phase !== 'cancelling';
--- a/src/core/agents/agent-commands.ts
+++ b/src/core/agents/agent-commands.ts
@@ -69,7 +69,8 @@
   recorded: RecordedTask | undefined,
 ): AgentCommand[] {
   const forget: AgentCommand = { op: 'forget', job, index, attempt };
-  // The transaction that writes a task's result also removes its allocation, so the result is durable once that is gone.
+  // A done task's allocation is removed only once its result is durable, or while its job is being cancelled: without
+  // an allocation, the agent may drop the exited task.
   if (recorded === undefined) return [forget];
   if (!mayStart || exitReason !== 'incomplete') return [];
   if (stopReasonFor(recorded.allocation, recorded.index, desired) !== null) return [];
--- a/src/core/log-events.ts
+++ b/src/core/log-events.ts
@@ -17,14 +17,18 @@
    */
   shardAcquired: 'shard acquired',
   /**
-   * Level `info`. The leader assigns a shard to a controller, which becomes its holder. Fields: `shard`, `from`, `to`.
+   * Level `info`. The leader assigns a shard to a controller, which becomes the shard's holder. Fields: `shard`,
+   * `from`, `to`.
    */
   shardAssigned: 'shard assigned',
   /** Level `info`. The leader assigns a team to a shard, whose holder schedules it. Fields: `team`, `shard`. */
   teamAssigned: 'team assigned',
   /** Level `info`. The leader moves a machine to another shard. Fields: `machine`, `from`, `to`, `floor`, `reason`. */
   machineAssigned: 'machine assigned',
-  /** Level `info`. The leader creates the record of a machine that has none. Fields: `machine`, `to`, `floor`. */
+  /**
+   * Level `info`. The leader creates the record of a machine that was found without one. Fields: `machine`, `to`,
+   * `floor`.
+   */
   machineRegistered: 'machine registered',
   /** Level `info`. The cloud lists the machine as failed; the machine is released. Fields: `machine`. */
   machineFailed: 'machine failed',
@@ -99,7 +103,7 @@
   /** Level `error`. Renting machines failed and will be repeated. Fields: `err`. */
   machineRentalFailed: 'machine rental failed',
   /**
-   * Level `error`. A plugin has ended with an error; the controller continues without it. Fields: `err`, `package`.
+   * Level `error`. A plugin has failed with an error; the controller continues without it. Fields: `err`, `package`.
    */
   pluginFailed: 'package failed',
 } as const;
--- a/src/core/model/cluster.ts
+++ b/src/core/model/cluster.ts
@@ -32,7 +32,10 @@
   /** Id of the lease in the state service. */
   readonly lease: number;
   readonly zone: Zone;
-  /** Whether the controller has handed over its shards and is shutting down; it is then assigned nothing. */
+  /**
+   * Whether the controller hands over its shards and is about to shut down; it is assigned shards only if no other
+   * controller can take them.
+   */
   readonly draining?: boolean;
 }
 
--- a/src/core/placement/candidate-machines.ts
+++ b/src/core/placement/candidate-machines.ts
@@ -28,12 +28,12 @@
 } as const;
 
 /**
- * Added to the tier of an on-demand machine for a job that may use spot machines; other jobs can run only on
- * on-demand machines.
+ * Added to the tier of an on-demand machine for a job that may use spot machines, to leave on-demand machines to
+ * jobs that may use no others.
  */
 const ON_DEMAND_TIER_OFFSET = 8;
 
-/** Tie-break penalty of a machine whose record is not written yet; less than one step of the fetch rank. */
+/** Tie-break penalty of a machine whose record the pass does not write so far; less than one step of the fetch rank. */
 const NEW_RECORD_PENALTY = 0.5;
 
 /** A machine that may get tasks in a placement pass, with the decisions of the pass about it so far. */
--- a/src/core/records/stored-records.ts
+++ b/src/core/records/stored-records.ts
@@ -94,7 +94,7 @@
   return parts;
 }
 
-/** Most bytes that the set of done tasks may take in the record of a job with so many tasks. */
+/** Most bytes that the set of done tasks may take in the record of a job with `tasks` tasks. */
 const maxDoneSetBytes = (tasks: number): number =>
   Math.ceil(Math.min(tasks, TASK_WINDOW) / TASKS_PER_BASE64_CHARACTER) + DONE_SET_OVERHEAD_BYTES;
 
--- a/src/core/scaling/machine-reclaim.ts
+++ b/src/core/scaling/machine-reclaim.ts
@@ -12,7 +12,10 @@
 import { isUp } from './packing-bins.js';
 import type { BinMove, PackingBin, PendingDemand, ScalingInput, UnmetDemand } from './scaling-types.js';
 
-/** Limits the changes that one plan makes in the state service; the leader plans about once a second. */
+/**
+ * Limits the changes that one plan makes in the state service. The leader makes a plan about every 0.6 s, more often
+ * while jobs or sessions change, and less often while its passes take long.
+ */
 const MAX_RECLAIMED_PER_PLAN = 6;
 
 /** The moves that reclaim machines for unmet demands above normal priority, at most `MAX_RECLAIMED_PER_PLAN`. */
--- a/src/core/scaling/shard-rebalancing.ts
+++ b/src/core/scaling/shard-rebalancing.ts
@@ -11,7 +11,10 @@
 import { isUp, type MachineBin } from './packing-bins.js';
 import type { BinMove, PackingBin, PendingDemand, ScalingInput } from './scaling-types.js';
 
-/** Limits the changes that one plan makes in the state service; the leader plans about once a second. */
+/**
+ * Limits the changes that one plan makes in the state service. The leader makes a plan about every 0.6 s, more often
+ * while jobs or sessions change, and less often while its passes take long.
+ */
 const MAX_REBALANCED_PER_PLAN = 2;
 /** A surplus or deficit of up to this many machines of average size is not rebalanced. */
 const TOLERANCE_MACHINES = 1.5;
--- a/src/io/agents/agent-client.ts
+++ b/src/io/agents/agent-client.ts
@@ -8,7 +8,7 @@
 import { paths } from '../paths.js';
 import { directCommandsToWire, heartbeatFromWire } from './agent-messages.js';
 
-/** Time-out of a connection attempt, and of a whole request. */
+/** Timeout of a connection attempt, and of a whole request. */
 const TIMEOUT_MS = 1500;
 /** Idle time after which a connection is closed: short, since there are far more agents than connections. */
 const KEEP_ALIVE_MS = 2000;
@@ -17,7 +17,7 @@
 export interface AgentGateway {
   /**
    * Sends a token and commands to the agent at `address`. Returns the agent's answer, its heartbeat after the commands;
-   * null if no valid heartbeat came within the time-out, or if too many messages were in flight to send it.
+   * null if no valid heartbeat came within the timeout, or if too many messages were in flight to send it.
    */
   sendCommands(
     address: string,
--- a/src/io/cloud/cloud-client.ts
+++ b/src/io/cloud/cloud-client.ts
@@ -76,7 +76,7 @@
     return { kind: isCapacityRefusal(response) ? 'no_capacity' : 'unknown' };
   }
 
-  /** Releases machines to the cloud. True: they and everything on them are gone; false: they may still exist. */
+  /** Releases machines. True: they and everything on them no longer exist; false: they may still exist. */
   async release(names: readonly MachineName[]): Promise<boolean> {
     const body = releaseToWire(names);
     const response = await this.call({
@@ -119,7 +119,7 @@
   }
 }
 
-/** Whether the cloud refused a rental. An outage is a 503, too; only the body tells it from a lack of capacity. */
+/** Whether the cloud refused a rental. It answers 503 in an outage, too, which only the body distinguishes. */
 function isCapacityRefusal(response: HttpResponse | null): boolean {
   if (response?.status === 400) return true;
   return response?.status === 503 && JSON.stringify(response.body ?? '').includes('no capacity');
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -12,7 +12,7 @@
   readonly body: unknown;
 }
 
-/** No response came in time: the request may or may not have been carried out. */
+/** Thrown if no response came in time: the request may or may not have been carried out. */
 export class TimeoutError extends CodedError {
   readonly code = 'timeout';
 }
--- a/src/io/peers/peer-frames.ts
+++ b/src/io/peers/peer-frames.ts
@@ -33,7 +33,7 @@
   cancel: string;
   /** Outcome of a forwarded cancellation, in its answer; empty if it failed. */
   outcome: string;
-  /** In a request: asks whether the receiver has contact to the state service. In the answer: whether it has. */
+  /** In a request: asks whether the receiver has contact with the state service. In the answer: whether it has. */
   contact: boolean;
   /** Topic of a plugin's request; empty in all other frames. */
   topic: string;
--- a/src/io/peers/peer-link.ts
+++ b/src/io/peers/peer-link.ts
@@ -31,7 +31,7 @@
 
   /** Implements `Peer.ask`. */
   async ask(topic: string, payload: Uint8Array, timeoutMs: number): Promise<Uint8Array | null> {
-    // A version without topics takes this for a question about its contact to the state service, which is harmless.
+    // A version without topics takes this for a question about its contact with the state service: harmless.
     const answer = await this.send({ topic, payload, contact: true }, timeoutMs);
     return answer === null || answer.payload.length === 0 ? null : answer.payload;
   }
--- a/src/io/peers/peer-server.ts
+++ b/src/io/peers/peer-server.ts
@@ -6,7 +6,7 @@
 export interface PeerServerOptions {
   /** Handles a forwarded cancellation of a job; resolves to the outcome that is sent back. */
   readonly onCancellation: (job: string) => Promise<string>;
-  /** Returns whether this controller has contact to the state service. */
+  /** Returns whether this controller has contact with the state service. */
   readonly hasStateContact: () => boolean;
   /** Handles a plugin's request; resolves to null if no plugin knows the topic. `from` is the sender's IP address. */
   readonly onTopic?: (topic: string, payload: Uint8Array, from: string) => Promise<Uint8Array | null>;
--- a/src/io/rate-limiter.ts
+++ b/src/io/rate-limiter.ts
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Resolves to true once one request with so many writes may be sent, or to false at once if the queue is full and the
-   * priority is not 0.
+   * Resolves to true once one request with `writes` writes may be sent, or to false at once if the queue is full and
+   * the priority is not 0.
    */
   acquire(priority: RequestPriority, writes: number): Promise<boolean> {
     if (this.queue.length >= this.maxQueued && priority > 0) return Promise.resolve(false);
--- a/src/io/state/state-usage.ts
+++ b/src/io/state/state-usage.ts
@@ -1,6 +1,6 @@
 /** Counters of a controller's requests to the state service and of its writes by reason, logged for operators. */
 
-/** Why a key is written; only a label of the counters. */
+/** Why a key is written: a label of the counters, without effect on the write. */
 export type WriteReason =
   | 'submission'
   | 'end'
--- a/src/io/state/state-watcher.ts
+++ b/src/io/state/state-watcher.ts
@@ -46,7 +46,7 @@
     private readonly listeners: StateWatcherListeners,
   ) {}
 
-  /** Lists and watches for ever; a listing or watch request that fails is repeated after a pause. */
+  /** Lists and watches keys for the lifetime of the process; a failed listing or watch request is repeated. */
   async run(): Promise<never> {
     for (;;) {
       try {
@@ -79,9 +79,9 @@
   }
 
   /**
-   * Waits until the view has everything committed before the call, and with it all that any controller had told a user
-   * by then. Calls during one barrier share the next one. Throws `UnavailableError` if the current revision cannot be
-   * read or the view does not reach it in time.
+   * Waits until the view has everything committed before the call, and so every state that a controller showed to a
+   * user before it. Calls during one barrier share the next one. Throws `UnavailableError` if the current revision cannot be
+   * read, or if the view does not reach it within `MAX_WATCH_LAG_MS`.
    */
   async waitUntilFresh(): Promise<void> {
     if (this.barrier === null) {
--- a/src/io/state/transaction-commit.ts
+++ b/src/io/state/transaction-commit.ts
@@ -26,8 +26,8 @@
 const SETTLE_RETRY_MS = 200;
 
 /**
- * Outcome of a transaction. `conflict`: it was outdated, its guards failed, a lease is gone, or it was settled after an
- * unknown outcome; `rejected`: it is malformed or above a limit, so that a retry is pointless.
+ * Outcome of a transaction. `conflict`: it was outdated, its guards failed, a lease no longer exists, or it was settled
+ * after an unknown outcome; `rejected`: it is malformed or above a limit, so that a retry is pointless.
  */
 export type CommitOutcome = 'ok' | 'conflict' | 'refused' | 'rejected';
 
@@ -115,8 +115,8 @@
   const guard = chooseGuardToRewrite(client, watcher.view, changeSet);
   for (;;) {
     const entry = watcher.view.entries.get(guard.key);
-    // The key has changed or gone since, so that the transaction can no longer be applied. If it was, the view is about
-    // to show it.
+    // The key was changed or removed since, so that the transaction can no longer be applied. If it has been applied,
+    // the current view shows it.
     if (entry === undefined || entry.version > guard.version) return waitForCurrentView(client, watcher);
     if (entry.version === guard.version) {
       const operation = rewriteOperation(guard, entry.value);
--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -37,7 +37,10 @@
 export interface CommittedSession {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
-  /** The controller gives up the shards that it holds and is assigned no others. */
+  /**
+   * Whether the controller hands over its shards and is about to shut down; it is assigned shards only if no other
+   * controller can take them.
+   */
   readonly isDraining: boolean;
 }
 
@@ -59,8 +62,8 @@
    */
   isHeldCompletely(shard: NodeName): boolean;
   /**
-   * Whether the state service counts as reachable: nothing since its last answer indicates the contrary, or that
-   * answer is at most `withinMs` old.
+   * Whether the state service counts as reachable: no request to it has failed since the latest answered one was sent,
+   * or that one was sent less than `withinMs` milliseconds ago.
    */
   isStateReachable(withinMs: number): boolean;
   /** Calls the listener after each change of the view. */
@@ -80,7 +83,8 @@
   /** Acquires the shard and ends its holder's session in one transaction; changes nothing if a record has changed. */
   failOver(shard: CommittedShard): Promise<ShardTransferOutcome>;
   /**
-   * Hands shards that this process holds over to a controller that has a session, and acquires none for `drainForMs`.
+   * Hands shards that this process holds over to a controller that has a session, and marks this process as draining
+   * for `drainForMs`.
    */
   handOver(
     shards: readonly CommittedShard[],
@@ -104,13 +108,13 @@
 export interface PeerChannel {
   /** Sends a request. Returns the reply; null if none came in time or the peer has no handler for the topic. */
   ask(node: NodeName, topic: string, payload: Uint8Array, timeoutMs: number): Promise<Uint8Array | null>;
-  /** Whether the controller answers within the time-out, also if its version has no such plugin. */
+  /** Whether the controller answers within the timeout, also if its version has no such plugin. */
   isAnswering(node: NodeName, timeoutMs: number): Promise<boolean>;
   /** Registers the handler for requests under a topic. */
   serve(topic: string, handler: TopicHandler): void;
 }
 
-/** An observation of another controller. A missing hint costs time, and a wrong one breaks nothing. */
+/** An observation of another controller. A missing hint delays decisions; a wrong one does not affect correctness. */
 export type Hint =
   | {
       readonly kind: 'agent';
--- a/src/plugin-host/topic-channel.ts
+++ b/src/plugin-host/topic-channel.ts
@@ -1,4 +1,4 @@
-/** Requests and replies between plugins, over connections to the other controllers that nothing else uses. */
+/** Requests and replies between plugins, over separate connections to the other controllers. */
 import type { NodeName } from '../core/model/ids.js';
 import type { Peer } from '../io/peers/peer.js';
 import type { PeerChannel, TopicHandler } from './api.js';
