--- a/src/config/operator-settings.ts
+++ b/src/config/operator-settings.ts
@@ -29,7 +29,8 @@
     placement: Type.Object(
       {
         /**
-         * Machines whose fitness differs by less than this count as equal; one that has cached the image is preferred.
+         * Machines whose fitness differs by less than this count as fitting a task equally well; one that has cached
+         * the image is preferred.
          */
         h_slack: Type.Number({ minimum: 0, default: 0.6 }),
         /** A job that may preempt others first waits this long for capacity to become free without preemption. */
@@ -45,7 +46,7 @@
          * long: users expect a job to start within 90 s while there is capacity for it.
          */
         behind_s: seconds(60),
-        /** Until this long after submission, jobs that may run on spot leave empty on-demand machines to pending gangs. */
+        /** For this long after submission, jobs that may use spot machines leave empty on-demand ones to pending gangs. */
         yield_s: seconds(60),
         /** Capacity freed by preemption is reserved this long for the job that it was freed for. */
         claim_s: seconds(15),
@@ -56,9 +57,15 @@
       {
         /** An empty machine is released once it has been empty for this multiple of the usual boot time of its type. */
         idle_boot_factor: seconds(1),
-        /** A boot counts as late after this multiple of the usual boot time of the machine type. */
+        /**
+         * A boot counts as late after this multiple of the usual boot time of the machine type: scaling plans then no
+         * longer count on the machine.
+         */
         late_boot_factor: seconds(1.5),
-        /** A boot counts as failed after this multiple of the usual boot time of the machine type. */
+        /**
+         * A boot counts as failed after this multiple of the usual boot time of the machine type and a fixed grace
+         * period: the machine is then released.
+         */
         lost_boot_factor: seconds(5),
         /**
          * After the cloud refused a machine type in a zone, spot or on demand, it is not requested again for this long.
--- a/src/controller/leader/rentals.ts
+++ b/src/controller/leader/rentals.ts
@@ -42,7 +42,7 @@
     this.task = new BackgroundTask({ log: context.log, failureEvent: LOG_EVENT.machineRentalFailed });
   }
 
-  /** False while the cloud is assumed to refuse machines of this type, zone and billing kind. */
+  /** Whether the cloud may have machines of this type, zone and billing kind; false for a time after a refusal. */
   isAvailable(type: TypeName, zone: Zone, spot: boolean): boolean {
     return (this.refusedUntil.get(traitsKeyOf({ type, zone, spot })) ?? 0) < this.context.clock.now();
   }
--- a/src/core/scaling/packing-state.ts
+++ b/src/core/scaling/packing-state.ts
@@ -29,7 +29,7 @@
 
 /** The zone in which the fewest tasks of a gang are left without a machine. */
 export interface GangZone {
-  /** Null for a gang whose tasks may run in different zones. */
+  /** The zone that all tasks share; null for a gang whose tasks may run in different zones. */
   readonly zone: Zone | null;
   /** Number of the gang's tasks that do not fit on the machines considered. */
   readonly missingTasks: number;
--- a/src/core/scaling/scaling-types.ts
+++ b/src/core/scaling/scaling-types.ts
@@ -41,7 +41,7 @@
   readonly mayReserve: (job: JobRecord) => boolean;
   /** Capacity to keep free in addition to what the pending jobs need. */
   readonly headroom: readonly Headroom[];
-  /** False while the cloud refuses machines of this type, zone and billing kind. */
+  /** Whether the cloud may have machines of this type, zone and billing kind; false for a time after a refusal. */
   readonly isAvailable: (type: TypeName, zone: Zone, spot: boolean) => boolean;
   /** Whether the machine has been empty long enough to be released. */
   readonly isIdle: (machine: MachineRecord) => boolean;
--- a/src/io/state/state-client.ts
+++ b/src/io/state/state-client.ts
@@ -49,8 +49,9 @@
   readonly rps: number;
   /** Write operations per second. */
   readonly writeRps: number;
-  /** What `rps` and `writeRps` may fall to without notice. */
+  /** What `rps` may fall to without notice. */
   readonly minRps: number;
+  /** What `writeRps` may fall to without notice. */
   readonly minWriteRps: number;
   readonly operationsPerTransaction: number;
   /** Maximum size of a value, as JSON. */
@@ -64,13 +65,13 @@
   | { readonly kind: 'conflict'; readonly revision: Revision; readonly failed: readonly string[] }
   /** Rejected with operations that name a lease: taken to mean that the lease does not exist any more. */
   | { readonly kind: 'no_lease' }
-  /** Not committed: the queue is full, the rate limit is exceeded or the service is in an outage. */
+  /** The transaction was not committed: the queue is full, the rate limit is exceeded, or there is an outage. */
   | { readonly kind: 'refused' }
-  /** Not committed: it is malformed or exceeds a limit, and would be rejected each time. */
+  /** The transaction was not committed: it is malformed or exceeds a limit, and would be rejected each time. */
   | { readonly kind: 'rejected' }
-  /** Not sent: it was outdated by the time the rate limiter granted it. */
+  /** The transaction was not sent: it was outdated by the time that the rate limiter granted it. */
   | { readonly kind: 'stale' }
-  /** No response came: it may have been committed, or may be later. */
+  /** No response came: the transaction may have been committed, or may still be. */
   | { readonly kind: 'unknown' };
 
 /** Limits, clock, connections and observers of a state client. */
@@ -98,7 +99,7 @@
   readonly revision: Revision;
 }
 
-/** All watched keys. The watch must begin at the first page's revision, `from`, and is complete from `upTo` on. */
+/** All watched keys. The watch must begin at `from`, the first page's revision; the view is complete from `upTo` on. */
 export interface KeyListing {
   readonly rows: KeyChange[];
   readonly from: Revision;
--- a/src/io/state/state-messages.ts
+++ b/src/io/state/state-messages.ts
@@ -11,7 +11,7 @@
 /** A write or removal of one key. */
 export interface WriteOperation {
   readonly key: string;
-  /** Undefined removes the key. */
+  /** The value to write; undefined removes the key. */
   readonly value: unknown;
   /** Id of the lease with which the key expires; undefined: none. */
   readonly lease?: number;
--- a/src/plugin-host/api.ts
+++ b/src/plugin-host/api.ts
@@ -189,11 +189,11 @@
 export interface RunningPlugin {
   /** Runs until the process ends; a rejection marks the plugin as failed. */
   run(): Promise<void>;
-  /** Its section of the controller's status. */
+  /** The plugin's section of the controller's status. */
   status?(): object;
   /** Operators' commands by name. */
   readonly commands?: Readonly<Record<string, (body: unknown) => Promise<CommandReply>>>;
-  /** Its metrics in the Prometheus text format. */
+  /** The plugin's metrics in the Prometheus text format. */
   metrics?(): Promise<string>;
 }
 
