--- a/src/io/state/state-client.ts
+++ b/src/io/state/state-client.ts
@@ -167,10 +167,7 @@
     return { ...entry, revision: revision(entry.version) };
   }
 
-  /**
-   * Sends a transaction once, unless `isStale` holds when the rate limiter grants it. Throws `ProtocolError` on an
-   * unexpected status.
-   */
+  /** Sends a transaction once, unless `isStale` holds once granted. Throws `ProtocolError` on an unexpected status. */
   async transact(
     changeSet: ChangeSet,
     priority: RequestPriority,
