--- a/src/controller/membership/membership.ts
+++ b/src/controller/membership/membership.ts
@@ -21,7 +21,10 @@
 
 /** Keeps this process's session alive, acquires its own shard, and takes the leadership while no other has it. */
 export class Membership {
-  /** When this process first saw each session, by name of its controller. */
+  /**
+   * When this process first saw a session of each controller that has one, by name. A session that directly replaces
+   * another, as after a plain restart, keeps the time.
+   */
   readonly sessionsFirstSeen = new Map<string, MonotonicMs>();
   private readonly notification: Notification;
   private lease: number | null = null;
--- a/src/core/state/shard-assignment.ts
+++ b/src/core/state/shard-assignment.ts
@@ -11,9 +11,9 @@
 export interface LiveController {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
-  /** Seconds for which the leader has seen this session. */
+  /** Seconds for which the leader has seen a session of this controller without interruption. */
   readonly sessionAgeS: number;
-  /** Whether the controller can reach its agents, as far as the leader knows, and may be assigned shards. */
+  /** Whether the controller can reach its agents, as far as the leader knows, and is not draining. */
   readonly canReachAgents: boolean;
 }
 
@@ -90,7 +90,7 @@
   return Math.max(1, guarantee[CPU], guarantee[GPU]);
 }
 
-/** The live controllers that can reach their agents; all live controllers if none can. */
+/** The live controllers that can reach their agents and are not draining; all live controllers if there are none. */
 function holderCandidates(live: readonly LiveController[]): readonly LiveController[] {
   const connected = live.filter((controller) => controller.canReachAgents);
   return connected.length > 0 ? connected : live;
