--- a/src/config/platform-settings.ts
+++ b/src/config/platform-settings.ts
@@ -162,7 +162,7 @@
   };
 }
 
-/** Converts a team's settings; a limit of 0 in the file means no limit, which is null in `Team`. */
+/** Converts a team's settings; a maximum of 0 in the file means no quota, which is null in `Team`. */
 function teamFromSettings(team: PlatformSettingsFile['cluster']['teams'][number]): Team {
   const limit = capacityVector(team.cpus_max, 0, team.gpus_max);
   return {
--- a/src/controller/api/job-submission.ts
+++ b/src/controller/api/job-submission.ts
@@ -101,7 +101,7 @@
     return { kind: 'later' };
   }
 
-  /** A job accepted earlier is known even if it is impossible now: limits, teams and machine types may have changed. */
+  /** A job accepted earlier is known even if it is impossible now: quotas, teams and machine types may have changed. */
   private async knownOrImpossible(id: JobId, why: string): Promise<SubmissionResult> {
     const known = await this.lookup.find(id);
     return known === undefined ? { kind: 'impossible', why } : { kind: 'known', state: known.state };
--- a/src/core/state/allocation-totals.ts
+++ b/src/core/state/allocation-totals.ts
@@ -272,7 +272,7 @@
   else counts.set(key, count);
 }
 
-/** Number of further tasks that the limit of one resource allows; infinite without a limit or demand. */
+/** Number of further tasks that the quota of one resource allows; infinite without a quota (null) or demand. */
 function tasksWithinResourceQuota(quota: number | null, used: number, demand: number): number {
   if (quota === null || demand <= 0) return Number.POSITIVE_INFINITY;
   return Math.max(0, Math.floor((quota - used) / demand));
