--- a/packages/warm-standby/measure/takeovers.ts
+++ b/packages/warm-standby/measure/takeovers.ts
@@ -26,7 +26,7 @@
 const FAILOVER_TIMEOUT_MS = 40_000;
 /** How long after the fault agents may take to be answered and to start tasks. */
 const COMPLETION_TIMEOUT_MS = 30_000;
-/** Submissions up to so long before the fault count as well, since the fault may delay their acceptance. */
+/** Submissions within this time before the fault count as well, since the fault may delay their acceptance. */
 const SUBMITTED_BEFORE_FAULT_MS = 5000;
 
 const KINDS = ['kill', 'short-pause', 'long-pause', 'cut', 'planned'] as const;
--- a/packages/warm-standby/src/failover-history.ts
+++ b/packages/warm-standby/src/failover-history.ts
@@ -51,7 +51,7 @@
   readonly uncommittedExits: number;
   /** Number of the shard's machines. */
   readonly machineCount: number;
-  /** When this controller received the shard, on the wall clock. */
+  /** Wall-clock time at which this controller received the shard, in milliseconds. */
   readonly receivedAt: number;
   readonly at: FailoverMoments;
   /** The context reserved for the span of the failover. */
@@ -83,9 +83,9 @@
   return out;
 }
 
-/** The history holds so many failovers. */
+/** Maximum number of failovers in the history; beyond it the oldest one is dropped. */
 const MAX_FAILOVERS = 20;
-/** A failover is tracked for so long at most: a phase does not end while no task is started or a machine is silent. */
+/** Maximum time for which a failover is tracked: its last phases never end if no task starts or a machine stays silent. */
 const MAX_TRACKED_MS = 60_000;
 
 /** Keeps the latest failovers, and tracks each one until its last phase has ended. */
--- a/packages/warm-standby/src/failover-loop.ts
+++ b/packages/warm-standby/src/failover-loop.ts
@@ -26,7 +26,7 @@
 const CHECK_INTERVAL_MS = 100;
 /** Pause after a probe that did not lead to a failover. */
 const PROBE_RETRY_MS = 300;
-/** A handover that was accepted but has not arrived after so long is taken as abandoned by the holder. */
+/** Time after which an accepted handover that has not arrived counts as abandoned by the holder. */
 const HANDOVER_TIMEOUT_MS = 30_000;
 /** No shard is taken over unless the state service answered the last request or one sent within this time. */
 const STATE_REACHABLE_WITHIN_MS = 1000;
--- a/packages/warm-standby/src/failover-policy.ts
+++ b/packages/warm-standby/src/failover-policy.ts
@@ -18,7 +18,7 @@
   /** Whether the holder answered a probe of this standby. */
   readonly holderAnswers: boolean;
   readonly witnesses: readonly WitnessAnswer[];
-  /** So many witnesses must confirm that they do not reach the holder. */
+  /** Number of witnesses that must confirm that they do not reach the holder. */
   readonly witnessesNeeded: number;
   /** Index of this standby in the order of the shard's standbys, from 0. */
   readonly rank: number;
--- a/packages/warm-standby/src/index.ts
+++ b/packages/warm-standby/src/index.ts
@@ -1,7 +1,7 @@
 /**
  * Warm standby: for each shard another controller replicates what its holder decides and learns, monitors the holder, and
- * takes the shard over within seconds of a failure, by a transaction after which the holder has surely lost the shard.
- * docs/warm-standby.md has the design.
+ * takes the shard over within seconds of a failure, by a transaction that fences off the former holder. The design is
+ * described in docs/warm-standby.md.
  */
 import type { RunningPlugin, PluginServices, PluginDefinition } from '../../../src/plugin-host/api.js';
 import { Cluster } from './cluster.js';
--- a/packages/warm-standby/src/metrics.ts
+++ b/packages/warm-standby/src/metrics.ts
@@ -83,7 +83,7 @@
     });
   }
 
-  /** Counts a failover that is complete or no longer followed, and records its phases. */
+  /** Counts a failover that is complete or no longer tracked, and records its phases. */
   recordFailover(failover: Failover): void {
     const { cause } = failover;
     this.failoversByCause.inc({ cause });
--- a/packages/warm-standby/test/failover.test.ts
+++ b/packages/warm-standby/test/failover.test.ts
@@ -64,7 +64,7 @@
             ['following'],
           );
         }
-        if (s.role === 'standby') assert.equal(s.warm, true, `${node.name} is warm for ${s.slice}`);
+        if (s.role === 'standby') assert.equal(s.warm, true, `${node.name} is not warm for ${s.slice}`);
       }
     assert.equal(totalCount(simulation, 'suspicions'), 0, 'no holder is suspected in a run without faults');
   });
--- a/packages/warm-standby/test/fencing.test.ts
+++ b/packages/warm-standby/test/fencing.test.ts
@@ -1,5 +1,5 @@
 /**
- * Fencing of failovers. Guards against two holders of one shard: a former holder that goes on acting, and a failover on an
+ * Fencing of failovers. Guards against two holders of one shard: a former holder that continues to act, and a failover on an
  * outdated view, after the shard or the holder's session has changed. Also guards against standbys that apply replication
  * messages of unknown senders or of former holders.
  */
@@ -38,7 +38,7 @@
 }
 
 describe('fencing of the former holder of a shard', () => {
-  // A paused holder would otherwise go on under its session and its leadership when it resumes.
+  // A paused holder would otherwise continue under its session and its leadership when it resumes.
   it("a failover ends session and leadership of the former holder, even if its lease can't be revoked", async () => {
     const simulation = await runUntilBusy(3);
     const holder = currentLeader(simulation);
--- a/packages/warm-standby/test/loopback.test.ts
+++ b/packages/warm-standby/test/loopback.test.ts
@@ -83,7 +83,7 @@
       await first!.kill();
       await untilFailedOver(first!.name);
       const startsBefore = cluster.simulatedCluster.tasksStarted;
-      await cluster.until('work goes on', () => cluster.simulatedCluster.tasksStarted > startsBefore + 20);
+      await cluster.until('tasks start', () => cluster.simulatedCluster.tasksStarted > startsBefore + 20);
       first!.start();
       await untilSettled();
 
@@ -117,7 +117,7 @@
         'takeover',
         'handover',
       ])
-        assert.ok(names.has(name), `${name} was traced`);
+        assert.ok(names.has(name), `no span ${name} was traced`);
     } finally {
       users.stop();
       await cluster.stop();
--- a/packages/warm-standby/test/loopback/cluster.ts
+++ b/packages/warm-standby/test/loopback/cluster.ts
@@ -34,7 +34,7 @@
 /** Number of servers for direct commands; agents share them by their names. */
 const AGENT_SERVERS = 160;
 
-/** Is told what the simulated agents observe, for measurements. */
+/** Receives what the simulated agents observe, for measurements. */
 export interface AgentObserver {
   /** A controller has answered a heartbeat with this fencing token. */
   readonly answered: (agent: SimulatedAgent, node: string, token: number) => void;
--- a/packages/warm-standby/test/loopback/users.ts
+++ b/packages/warm-standby/test/loopback/users.ts
@@ -79,7 +79,7 @@
     while (job.observedFinalState === null) {
       await sleep(POLL_MS);
       const reply = await this.anyController().request('GET', `/v1/jobs/${id}`, undefined, 2000);
-      assert.notEqual(reply?.status, 404, `forgotten: ${id}`);
+      assert.notEqual(reply?.status, 404, `forgotten: ${id} was accepted, but a lookup is answered 404`);
       // By the users' protocol a user asks again after any status other than 200 and 404, and without an answer. A
       // controller answers requests that were buffered while it was paused with 408.
       if (reply?.status !== 200) continue;
@@ -94,12 +94,21 @@
   }
 
   private recordObservedState(id: string, job: SubmittedJob, standing: string): void {
-    if (job.observedFinalState !== null) assert.equal(standing, job.observedFinalState, `went_back: ${id}`);
+    if (job.observedFinalState !== null)
+      assert.equal(
+        standing,
+        job.observedFinalState,
+        `went_back: ${id} is reported ${standing} after ${job.observedFinalState}`,
+      );
     if (standing !== 'done') {
-      assert.notEqual(standing, 'withdrawn', `${id} is withdrawn although nobody cancelled it`);
+      assert.notEqual(standing, 'withdrawn', `${id} is withdrawn although no user cancelled it`);
       return;
     }
-    assert.equal(job.doneTasks.size, job.tasks, `not_done: ${id}`);
+    assert.equal(
+      job.doneTasks.size,
+      job.tasks,
+      `not_done: ${id} is reported done with ${job.doneTasks.size} of ${job.tasks} tasks done`,
+    );
     job.observedFinalState = 'done';
   }
 
--- a/packages/warm-standby/test/standby-run-helpers.ts
+++ b/packages/warm-standby/test/standby-run-helpers.ts
@@ -68,7 +68,7 @@
 export function firstStandbyOf(simulation: Simulation, shard: string): SimulatedController {
   const holder = simulation.controllers.get(holderOf(simulation, shard)!)!;
   const name = standbyStatusOf(holder).slices.find((s) => s.slice === shard)?.standbys[0];
-  assert.ok(name !== undefined, `${shard} has a standby`);
+  assert.ok(name !== undefined, `the holder of ${shard} shows no standby`);
   return simulation.controllers.get(name)!;
 }
 
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -184,7 +184,7 @@
     await advanceUntil(simulation, () => waiting.every((id) => jobOf(simulation, id).accepted), 90_000);
     const last = await submitAccepted(simulation, [...many, ...waiting, first], 1, {}, 20_000);
     const record = simulation.state.rows.get(key.job(jobId(last)))!.value;
-    assert.ok(jsonBytes(record) <= 2048, `${jsonBytes(record)} bytes`);
+    assert.ok(jsonBytes(record) <= 2048, `the record has ${jsonBytes(record)} bytes, expected at most 2048`);
     // The other controllers receive the record by their watches, whose rate is limited in favour of other requests.
     await advance(simulation, 500);
     for (const node of simulation.controllers.values()) {
@@ -221,7 +221,8 @@
     const reads = [...simulation.controllers.values()].map(
       ({ controller }) => controller!.context.finalStates.reads,
     );
-    for (const count of reads) assert.ok(count <= 60, `${count} final states read`);
+    for (const count of reads)
+      assert.ok(count <= 60, `${count} final states read by a controller, expected at most 60`);
     assert.equal(waiting.filter(isUnfinished).length, 300, 'all dependents are still pending');
     assert.equal(waiting.filter((id) => jobOf(simulation, id).doneTasks.size > 0).length, 0);
   });
@@ -238,7 +239,10 @@
       assert.deepEqual(shown?.needs, [first]);
       assert.equal(shown.inherited?.priority, 'high');
       // The deadline of the last job less its own run time.
-      assert.ok(shown.inherited.dueInS! < 80 && shown.inherited.dueInS! > 40, `${shown.inherited.dueInS}`);
+      assert.ok(
+        shown.inherited.dueInS! < 80 && shown.inherited.dueInS! > 40,
+        `due in ${shown.inherited.dueInS} s, expected between 40 and 80`,
+      );
     }
     assert.equal(
       (await findAt(simulation, 'c-0', last))?.inherited,
--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -26,7 +26,7 @@
 function documentedEvents(page: string): string[] {
   const lines = readFileSync(page, 'utf8').split('\n');
   const header = lines.findIndex((line) => /^\| event +\| level/.test(line));
-  assert.ok(header >= 0, `${page} has a table of log events`);
+  assert.ok(header >= 0, `${page} has no table of log events`);
   const events: string[] = [];
   for (const line of lines.slice(header + 2)) {
     const event = /^\| `([^`]+)`/.exec(line)?.[1];
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,6 +1,6 @@
 /**
  * Dependent jobs, and the rolling upgrade to the version that supports them. The tests guard against dependents that start
- * before all of their dependencies are done, wait for ever, or are not cancelled with a dependency. This comes about when a
+ * before all of their dependencies are done, wait without end, or are not cancelled with a dependency. This comes about when a
  * dependency ends or is cancelled while controllers restart or the state service fails. The invariants are checked after
  * each step (test/sim).
  */
@@ -22,7 +22,7 @@
 import { advance, advanceUntil, jobOf, restartAllControllers } from './sim/run-helpers.js';
 import { GROWN, AGENT_TIMINGS, SMALL, Simulation } from './sim/simulation.js';
 
-/** Guards against dependents that run or wait for ever because a fault interrupts the cancellation of their dependency. */
+/** Guards against dependents that run or wait without end because a fault interrupts the cancellation of their dependency. */
 describe('cancellation of a dependency', () => {
   for (const [name, injectFault] of [
     ['without faults', () => undefined],
@@ -75,7 +75,7 @@
  * cancelled although their dependency was done before its cancellation took effect.
  */
 describe('cancellation of a stage', () => {
-  it('cancelling a stage cancels the stages after it, and those before it go on', async () => {
+  it('cancelling a stage cancels the stages after it, but not those before or beside it', async () => {
     const simulation = await runWarmUp(4);
     const first = submitSmall(simulation, [], 3);
     await advanceUntil(simulation, () => jobOf(simulation, first).accepted, 2000);
@@ -221,7 +221,7 @@
 });
 
 /**
- * Guards against transactions that the state service refuses again and again once its limits have fallen, because records
+ * Guards against transactions that the state service refuses repeatedly once its limits have fallen, because records
  * have grown above the new limit or controllers do not prepare for it.
  */
 describe('lower limits of the state service', () => {
@@ -242,11 +242,11 @@
       for (const agent of simulation.cluster.liveAgents())
         maxTasks = Math.max(maxTasks, [...agent.tasks.values()].filter((t) => t.state !== 'ended').length);
     }
-    assert.ok(largestBytes <= 2048, `a value of ${largestBytes} bytes`);
-    assert.ok(maxTasks >= 30, `at most ${maxTasks} tasks on one machine`);
+    assert.ok(largestBytes <= 2048, `a value of ${largestBytes} bytes, expected at most 2048`);
+    assert.ok(maxTasks >= 30, `at most ${maxTasks} tasks on one machine, expected at least 30`);
   });
 
-  it('records above the lower limit are left alone or shrunk, and block nothing', async () => {
+  it('records above the lower limit are not sent in that size, and tasks still start', async () => {
     const simulation = await runWarmUp(6, SMALL, 30_000);
     const before = simulation.cluster.tasksStarted;
     // Records as the previous version left them: larger than two KiB because of their images and allocations.
@@ -270,7 +270,7 @@
 
 /** Guards against a version that cannot handle what the other one has stored while both run side by side. */
 describe('rolling upgrade', () => {
-  it('the previous and the new version run side by side, through crashes, and a pipeline is accepted at once', async () => {
+  it('the previous and the new version run side by side through a crash, and a pipeline finishes after the upgrade', async () => {
     for (const seed of [2, 9]) {
       const simulation = new Simulation({ seed, size: SMALL, startsWithPreviousVersion: true });
       scheduleRollingUpgrade(simulation, 20_000);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -108,7 +108,7 @@
   const result = place([running, gang, small], shardMachines);
   assert.equal(result.placements.length, 0);
   assert.equal(result.waitReasons.get(small.spec.id), 'behind_gang');
-  // A starving job is placed all the same: it must not wait while there are free machines for it.
+  // A starving job is placed nevertheless: it must not wait while there are free machines for it.
   const withStarvingJob = placementPass(
     [running, gang, small],
     shardMachines,
--- a/test/shard-assignment.test.ts
+++ b/test/shard-assignment.test.ts
@@ -1,6 +1,6 @@
 /**
  * Which controller holds which shard, and which shard a team belongs to. Guards against shards without a live holder,
- * whose jobs nobody schedules, and against shards that flap between holders.
+ * whose jobs no controller schedules, and against shards that flap between holders.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
--- a/test/sim.test.ts
+++ b/test/sim.test.ts
@@ -148,7 +148,7 @@
 });
 
 /**
- * Guards against tasks that wait for ever on a machine whose heartbeats arrive while no answer reaches it, and against tasks
+ * Guards against tasks that wait without end on a machine whose heartbeats arrive while no answer reaches it, and against tasks
  * that are lost because agents of a partitioned zone do not get new fencing tokens after a failover.
  */
 describe('a partition between controllers and machines', () => {
--- a/test/sim/observed-states.ts
+++ b/test/sim/observed-states.ts
@@ -17,7 +17,12 @@
    */
   record(id: string, job: SubmittedJob, state: string, askedAt = Number.POSITIVE_INFINITY): void {
     this.answers++;
-    if (job.observedFinalState !== null) assert.equal(state, job.observedFinalState, `went_back: ${id}`);
+    if (job.observedFinalState !== null)
+      assert.equal(
+        state,
+        job.observedFinalState,
+        `went_back: ${id} is reported ${state} after ${job.observedFinalState}`,
+      );
     if (state === 'pending' || state === 'running') this.checkNotOrphaned(id, state, askedAt);
     if (state === 'done') this.recordDone(id, job);
     if (state === 'cancelled') this.recordCancelled(id, job);
--- a/test/sim/simulated-users.ts
+++ b/test/sim/simulated-users.ts
@@ -131,7 +131,7 @@
       );
       if (answer === null) continue;
       job.answeredAt = time.now;
-      assert.ok(answer.found !== undefined, `forgotten: ${id}`);
+      assert.ok(answer.found !== undefined, `forgotten: ${id} was accepted, but a lookup does not find it`);
       observedStates.record(id, job, answer.found.state, askedAt);
       if (time.happens(RESUBMIT_PROBABILITY)) this.checkRetry(id, job, await this.submitToAny(job.body));
     }
@@ -161,7 +161,7 @@
     if (job.observedFinalState !== null) return;
     job.isCancellationRequested = true;
     const result = await this.askController((controller) => controller.jobs.cancel(jobId(id)));
-    assert.notEqual(result?.kind, 'not_found', `forgotten: ${id}`);
+    assert.notEqual(result?.kind, 'not_found', `forgotten: a cancellation of ${id} does not find the job`);
     if (result?.kind === 'final') this.simulation.observedStates.record(id, job, result.state);
   }
 
@@ -182,7 +182,7 @@
     const answer = await this.askController((controller) =>
       controller.jobs.find(jobId(id)).then((found) => ({ found })),
     );
-    assert.equal(answer?.found, undefined, `invented: ${id}`);
+    assert.equal(answer?.found, undefined, `invented: ${id} was rejected, but a lookup finds it`);
   }
 
   private async submitStages(pipeline: {
--- a/test/sim/simulation.ts
+++ b/test/sim/simulation.ts
@@ -113,7 +113,7 @@
     return this.users.submit(overrides);
   }
 
-  /** Requests a job's cancellation as a user, again and again until the answer is the job's final state. */
+  /** Requests a job's cancellation as a user, repeatedly until the answer is the job's final state. */
   cancel(id: string): void {
     this.users.cancel(id);
   }
--- a/test/state-usage.test.ts
+++ b/test/state-usage.test.ts
@@ -18,7 +18,7 @@
 
 test('an array whose tasks finish in parallel writes its results only at its end', async () => {
   const simulation = await runWarmUp(4);
-  // The simulated users submit nothing any more, so that no other job writes results.
+  // The simulated users no longer submit jobs by then, so that no other job writes results.
   await advance(simulation, 110_000);
   const before = { results: writesFor(simulation, 'results'), end: writesFor(simulation, 'end') };
   const id = simulation.submit({
@@ -39,7 +39,10 @@
   const before = writesFor(simulation, 'results');
   const id = submitSmall(simulation, [], 200, { vcpus: 8, expectedS: 3 });
   await advanceUntil(simulation, () => jobOf(simulation, id).observedFinalState === 'done', 400_000);
-  assert.ok(writesFor(simulation, 'results') - before >= 3, `${writesFor(simulation, 'results') - before}`);
+  assert.ok(
+    writesFor(simulation, 'results') - before >= 3,
+    `${writesFor(simulation, 'results') - before} writes of results, expected at least 3`,
+  );
 });
 
 test('a submission that the write budget delays briefly is accepted; in an outage its user is told at once to retry', async () => {
--- a/test/unresponsive-controllers.test.ts
+++ b/test/unresponsive-controllers.test.ts
@@ -79,7 +79,7 @@
  */
 describe('controllers that pause and resume with their old state', () => {
   faultScenario(
-    'cancellations and retried submissions succeed while the leader is paused',
+    'while the leader is paused, jobs are cancelled and no retried submission is accepted again',
     async (simulation) => {
       const leader = currentLeader(simulation);
       leader.clock.pause();
@@ -95,14 +95,17 @@
     },
   );
 
-  faultScenario('jobs finish when an owner is paused while they are cancelled', async (simulation) => {
-    const [node] = nonLeaders(simulation);
-    node!.clock.pause();
-    await advance(simulation, 100);
-    for (const id of simulation.runningJobs()) simulation.cancel(id);
-    await advance(simulation, PAUSE_MS);
-    node!.clock.resume();
-  });
+  faultScenario(
+    'all jobs end when an owner is paused while the running ones are cancelled',
+    async (simulation) => {
+      const [node] = nonLeaders(simulation);
+      node!.clock.pause();
+      await advance(simulation, 100);
+      for (const id of simulation.runningJobs()) simulation.cancel(id);
+      await advance(simulation, PAUSE_MS);
+      node!.clock.resume();
+    },
+  );
 
   faultScenario('jobs finish when the leader and another controller are paused', async (simulation) => {
     const [node] = nonLeaders(simulation);
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -169,7 +169,7 @@
     find: () => Promise.reject(new UnavailableError('state')),
     cancel: () => Promise.resolve({ kind: 'later' }),
   });
-  // Whether a submission is malformed does not depend on the state service: it gets 400 all the same.
+  // Whether a submission is malformed does not depend on the state service: it gets 400 in any case.
   assert.equal((await post(app, '/v1/jobs', submission({ awaits: 'wk-1' }))).statusCode, 400);
   for (const r of [
     await post(app, '/v1/jobs', submission()),
