--- a/test/commit.test.ts
+++ b/test/commit.test.ts
@@ -42,7 +42,7 @@
     request: (method, path, body, timeoutMs) =>
       new Promise<HttpResponse>((resolve, reject) => {
         clock.after(timeoutMs, () => {
-          reject(new Error('no answer'));
+          reject(new Error(`no answer within ${timeoutMs} ms`));
         });
         const hasChanges = ((body as { then?: unknown[] } | undefined)?.then ?? []).length > 0;
         if (path === '/txn' && hasChanges && isFirst) {
@@ -202,7 +202,7 @@
   });
   while (isRestComplete === null && time.now < 40_000) await time.runUntil(time.now + 50);
   assert.equal(isRestComplete, false);
-  assert.ok(written() > 9 && written() < 9 + 40, `${written()} written`);
+  assert.ok(written() > 9 && written() < 9 + 40, `${written()} keys written, expected 10 to 48`);
 });
 
 test('a change set that the service rejects does not fail the others in its transaction', async () => {
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -119,6 +119,9 @@
   allowed = low;
   refused = granted = 0;
   await time.runUntil(90_000);
-  assert.ok(granted >= low * 60 * 0.85, `${granted} granted`);
+  assert.ok(
+    granted >= low * 60 * 0.85,
+    `${granted} granted in a minute, expected at least 85% of the lowered rate`,
+  );
   assert.ok(refused <= 20, `${refused} refused in a minute`);
 });
